--- a/bench/retry_vms.py
+++ b/bench/retry_vms.py
@@ -128,22 +128,22 @@
 class _Unsuspected:
     """Knows of no request that crashes its targets."""
 
-    def tell(self, member: ports.Member) -> None:
+    def announce_to(self, member: ports.Member) -> None:
         """Tell a VM that starts."""
 
-    def find_hold(self, fingerprint: str, now: float) -> float | None:
+    def find_hold_end(self, fingerprint: str, now: float) -> float | None:
         """Return that no request is kept from targets."""
         return None
 
-    def begin(self, fingerprint: str, now: float) -> None:
+    def begin_attempt(self, fingerprint: str, now: float) -> None:
         """Take in that a request is about to be sent."""
 
-    def note_crash(
+    def record_crash(
         self, fingerprint: str, target: targets.Entry, started_at: float
     ) -> None:
         """Take in that a target crashed."""
 
-    def note_answered(self, fingerprint: str) -> None:
+    def record_answer(self, fingerprint: str) -> None:
         """Take in that a target answered a request."""
 
 
--- a/packages/zinniastand-core/src/zinniastand_core/quarantine/quarantine.py
+++ b/packages/zinniastand-core/src/zinniastand_core/quarantine/quarantine.py
@@ -7,17 +7,17 @@
 
 from . import suspect
 
-MOST_SUSPECTS = 512
+MAX_SUSPECTS = 512
 """Requests with a crash that are kept. Where targets crash by themselves, each request
 there is one; those with the fewest crashes in turn go first."""
 
-MOST_ANSWERED = 4096
+MAX_ANSWERED_REQUESTS = 4096
 """Requests of which the last answer is kept."""
 
-KEEP_FOR = 120.0
+RETENTION_S = 120.0
 """Seconds after its last crash or hold for which a request is kept."""
 
-KEEP_CLEARED = 20.0
+CLEARED_RETENTION_S = 20.0
 """Seconds after the answer that cleared it for which a request is kept: others have
 heard of that by then."""
 
@@ -36,12 +36,12 @@
         """Return the record of a request, if there is one."""
         return self._suspects.get(fingerprint)
 
-    def find_hold(self, fingerprint: str, now: float) -> float | None:
+    def find_hold_end(self, fingerprint: str, now: float) -> float | None:
         """Return until when a request is quarantined, or None where it is not."""
         known = self._suspects.get(fingerprint)
         if known is None or not known.is_quarantined(now):
             return None
-        return known.find_hold()
+        return known.find_hold_end()
 
     def begin_trial(self, fingerprint: str, now: float) -> bool:
         """Let a request run once; return whether that is a trial.
@@ -53,14 +53,14 @@
             return False
         return self.merge(fingerprint, suspect.Suspect(tried_at=now))
 
-    def note_answered(self, fingerprint: str, now: float) -> bool:
+    def record_answer(self, fingerprint: str, now: float) -> bool:
         """Take in that a target answered a request; return whether others want to know.
 
         It also counts against crashes that other VMs have seen and not told yet.
         """
         self._answered[fingerprint] = now
         self._answered.move_to_end(fingerprint)
-        if len(self._answered) > MOST_ANSWERED:
+        if len(self._answered) > MAX_ANSWERED_REQUESTS:
             self._answered.popitem(last=False)
         known = self._suspects.get(fingerprint)
         if known is None or not known.crashes:
@@ -76,11 +76,11 @@
         merged = self._clear(fingerprint, known.merge(heard))
         if not merged.crashes and not known.crashes and len(heard.crashes) < 2:
             return False  # Nobody else suspects it.
-        if fingerprint in self._suspects and not merged.is_news_to(known):
+        if fingerprint in self._suspects and not merged.adds_to(known):
             self._suspects[fingerprint] = merged
             return False
         self._suspects[fingerprint] = merged
-        if len(self._suspects) > MOST_SUSPECTS:
+        if len(self._suspects) > MAX_SUSPECTS:
             self._drop_least()
         return fingerprint in self._suspects
 
@@ -102,13 +102,13 @@
         """Return how many requests are quarantined."""
         return sum(one.is_quarantined(now) for one in self._suspects.values())
 
-    def forget_old(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Forget requests that crashed nothing for long."""
         self._suspects = {
             name: one for name, one in self._suspects.items() if now < _find_end(one)
         }
 
-    def lose_time(self, seconds: float) -> None:
+    def compensate_suspension(self, seconds: float) -> None:
         """Take in that the clock has not counted some time: all is older."""
         self._suspects = {
             name: one.age(seconds) for name, one in self._suspects.items()
@@ -120,7 +120,7 @@
         least = min(
             self._suspects,
             key=lambda name: (
-                self._suspects[name].count_in_turn(),
+                self._suspects[name].count_consecutive(),
                 _find_latest(self._suspects[name]),
             ),
         )
@@ -137,9 +137,9 @@
 
 def _find_latest(one: suspect.Suspect) -> float:
     last = one.crashes[-1].ended_at if one.crashes else one.answered_at
-    return max(last, one.find_hold())
+    return max(last, one.find_hold_end())
 
 
 def _find_end(one: suspect.Suspect) -> float:
     """Return until when a record is kept."""
-    return _find_latest(one) + (KEEP_FOR if one.crashes else KEEP_CLEARED)
+    return _find_latest(one) + (RETENTION_S if one.crashes else CLEARED_RETENTION_S)
--- a/packages/zinniastand-core/src/zinniastand_core/quarantine/suspect.py
+++ b/packages/zinniastand-core/src/zinniastand_core/quarantine/suspect.py
@@ -19,38 +19,38 @@
 """Crashes in turn from which a request is quarantined, and crashes at any time from
 which it goes to one target at a time."""
 
-TRUSTED_FOR = 2.0
+ANSWER_TRUST_DURATION_S = 2.0
 """Seconds after an answer for which crashes are not held against the same request: less
 than the time within which all VMs must know one that begins to crash its targets."""
 
-HOLD = 60.0
+INITIAL_HOLD_S = 60.0
 """Seconds for which a request is quarantined at first. Targets may have crashed for a
 reason that is mended by then."""
 
-LONGEST_HOLD = 3600.0
+MAX_HOLD_S = 3600.0
 """Most seconds for which a request is quarantined at a time."""
 
-TRIAL_TIME = 10.0
+TRIAL_DURATION_S = 10.0
 """Seconds for which a trial keeps others of the same request back: longer than most
 requests take."""
 
-SHORT_TRIAL_TIME = 2.0
+SHORT_TRIAL_DURATION_S = 2.0
 """The same while crashes overlap and do not prove much: the trial may have failed for
 another reason, and callers of a sound request should not wait for long."""
 
-MOST_CRASHES = 12
+MAX_CRASHES = 12
 """Crashes that are kept: the longest hold needs nine in turn."""
 
-MOST_OVERLAP = 0.05
+MAX_OVERLAP_S = 0.05
 """Seconds by which attempts in turn may seem to overlap: times travel between VMs as
 ages, which the way lengthens."""
 
-OVERLAP_SHARE = 0.5
+MAX_OVERLAP_SHARE = 0.5
 """The same as a share of the attempt. Short work that breaks together in one moment
 would otherwise seem to have begun after it."""
 
 
-SAME_MOMENT = 0.25
+TIME_TOLERANCE_S = 0.25
 """Seconds by which two times of the same event may differ: each VM that passes it on
 adds the way. Without this, records would seem new for ever."""
 
@@ -62,7 +62,7 @@
     ended_at: float
     """When the attempt broke off."""
 
-    took: float
+    duration: float
     """Seconds from its sending until then."""
 
     target: str
@@ -71,7 +71,7 @@
     @property
     def started_at(self) -> float:
         """When the attempt was sent."""
-        return self.ended_at - self.took
+        return self.ended_at - self.duration
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -96,19 +96,19 @@
         counted = [
             one
             for one in sorted(by_target.values())
-            if one.started_at > answered_at + TRUSTED_FOR
+            if one.started_at > answered_at + ANSWER_TRUST_DURATION_S
         ]
         return Suspect(
-            tuple(counted[-MOST_CRASHES:]),
+            tuple(counted[-MAX_CRASHES:]),
             answered_at,
             _choose_later(self.tried_at, other.tried_at),
         )
 
-    def count_in_turn(self) -> int:
+    def count_consecutive(self) -> int:
         """Return how many crashes followed each other, without overlapping."""
         count, last = 0, -math.inf
         for one in self.crashes:
-            overlap = min(MOST_OVERLAP, OVERLAP_SHARE * one.took)
+            overlap = min(MAX_OVERLAP_S, MAX_OVERLAP_SHARE * one.duration)
             if one.started_at >= last - overlap:
                 count += 1
                 last = one.ended_at
@@ -119,27 +119,27 @@
         """Whether the request may go to one target at a time only."""
         return len(self.crashes) >= CRASHES_TO_QUARANTINE
 
-    def find_hold(self) -> float:
+    def find_hold_end(self) -> float:
         """Return until when the request is kept from all targets; -inf for not at all.
 
         Each further crash doubles the time, as the trials after it tell ever less.
         """
         if not self.needs_trial:
             return -math.inf
-        beyond = self.count_in_turn() - CRASHES_TO_QUARANTINE
+        beyond = self.count_consecutive() - CRASHES_TO_QUARANTINE
         latest = self.crashes[-1].ended_at
         is_on_trial = self.tried_at > latest
         if beyond < 0:
-            return self.tried_at + SHORT_TRIAL_TIME if is_on_trial else -math.inf
-        hold_until = latest + min(LONGEST_HOLD, HOLD * 2.0**beyond)
-        trial_until = self.tried_at + TRIAL_TIME if is_on_trial else hold_until
+            return self.tried_at + SHORT_TRIAL_DURATION_S if is_on_trial else -math.inf
+        hold_until = latest + min(MAX_HOLD_S, INITIAL_HOLD_S * 2.0**beyond)
+        trial_until = self.tried_at + TRIAL_DURATION_S if is_on_trial else hold_until
         return max(hold_until, trial_until)
 
     def is_quarantined(self, now: float) -> bool:
         """Return whether the request is kept from all targets."""
-        return now < self.find_hold()
+        return now < self.find_hold_end()
 
-    def is_news_to(self, known: Suspect) -> bool:
+    def adds_to(self, known: Suspect) -> bool:
         """Return whether it says more than another record, times apart."""
         targets = {one.target for one in self.crashes}
         return (
@@ -151,10 +151,11 @@
     def age(self, seconds: float) -> Suspect:
         """Return the record with all times that much earlier."""
         crashes = tuple(
-            Crash(one.ended_at - seconds, one.took, one.target) for one in self.crashes
+            Crash(one.ended_at - seconds, one.duration, one.target)
+            for one in self.crashes
         )
         return Suspect(crashes, self.answered_at - seconds, self.tried_at - seconds)
 
 
 def _choose_later(known: float, heard: float) -> float:
-    return heard if heard > known + SAME_MOMENT else known
+    return heard if heard > known + TIME_TOLERANCE_S else known
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/crash_check.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/crash_check.py
@@ -9,16 +9,16 @@
 
 from zinniastand_core.deployment import targets
 
-CHECK_TIMEOUT = 0.25
+CONNECT_TIMEOUT_S = 0.25
 """Seconds for a connection. A crashed process refuses it at once, which a busy VM
 notices some hundredths of a second later; silence says nothing, since the link may be
 cut."""
 
-SAME_BREAK = 0.05
+BREAK_TOLERANCE_S = 0.05
 """Seconds by which a check may have begun before an answer broke off: whatever a target
 held when it crashed breaks in the same moment."""
 
-KEEP_FOR = 0.5
+RESULT_RETENTION_S = 0.5
 """Seconds for which the result of a check is kept."""
 
 
@@ -35,7 +35,7 @@
         while name in self._under_way:
             await self._under_way[name].wait()
         known = self._is_down.get(name)
-        if known is not None and known[1] >= broke_at - SAME_BREAK:
+        if known is not None and known[1] >= broke_at - BREAK_TOLERANCE_S:
             return known[0]
         began = anyio.current_time()
         done = self._under_way[name] = anyio.Event()
@@ -52,14 +52,14 @@
         self._is_down = {
             known: result
             for known, result in self._is_down.items()
-            if now < result[1] + KEEP_FOR
+            if now < result[1] + RESULT_RETENTION_S
         }
         self._is_down[name] = (is_down, began)
 
 
 async def _refuses(target: targets.Entry) -> bool:
     try:
-        with anyio.fail_after(CHECK_TIMEOUT):
+        with anyio.fail_after(CONNECT_TIMEOUT_S):
             stream = await anyio.connect_tcp(target.host, target.port)
     except TimeoutError:
         return False
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -363,7 +363,7 @@
         self._forwarder.lose_time(seconds)
         self._keeper.lose_time(seconds)
         self._client.distrust_idle()
-        self._suspects.lose_time(seconds)
+        self._suspects.compensate_suspension(seconds)
         self._desk.forget()
         self._fleet.start_anew(anyio.current_time())
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_talk.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_talk.py
@@ -134,7 +134,7 @@
             case datagrams.Retries():
                 self._hearers.desk.take_retries(message, now)
             case datagrams.Suspects():
-                self._hearers.suspects.take(message)
+                self._hearers.suspects.apply(message)
             case messages.Report():
                 self._hearers.desk.report(message, now)
             case messages.Grant() | messages.Refuse() | messages.Wait():
@@ -144,7 +144,7 @@
         if self._fleet.add(hello.member):
             self._log.write("vm_joined", peer=hello.member.vm)
             if self._is_helper(now):
-                self._hearers.suspects.tell(hello.member)
+                self._hearers.suspects.announce_to(hello.member)
         self._fleet.note_heard(hello.member.vm, now)
         self._hearers.keeper.take_position(hello.member.vm, hello.position)
         if hello.wants_answer:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/ports.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/ports.py
@@ -131,21 +131,21 @@
 class SuspectRecord(typing.Protocol):
     """What is known of requests that crash their targets."""
 
-    def find_hold(self, fingerprint: str, now: float) -> float | None:
+    def find_hold_end(self, fingerprint: str, now: float) -> float | None:
         """Return until when a request is kept from targets; None where it is not."""
         ...
 
-    def begin(self, fingerprint: str, now: float) -> None:
+    def begin_attempt(self, fingerprint: str, now: float) -> None:
         """Take in that a request is about to be sent."""
         ...
 
-    def note_crash(
+    def record_crash(
         self, fingerprint: str, target: targets.Entry, started_at: float
     ) -> None:
         """Take in that a target crashed while it held a request."""
         ...
 
-    def note_answered(self, fingerprint: str) -> None:
+    def record_answer(self, fingerprint: str) -> None:
         """Take in that a target answered a request."""
         ...
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
@@ -164,7 +164,9 @@
 
     def _is_held(self) -> bool:
         """Return whether the request is kept from all targets, and note why."""
-        hold = self._parts.suspects.find_hold(self._fingerprint, anyio.current_time())
+        hold = self._parts.suspects.find_hold_end(
+            self._fingerprint, anyio.current_time()
+        )
         if hold is None:
             return False
         self._why = QUARANTINED
@@ -240,7 +242,7 @@
         started = anyio.current_time()
         outcome, why = messages.Outcome.ABANDONED, CALLER_LEFT
         has_crashed, is_resent, rate_limit = False, False, None
-        self._parts.suspects.begin(self._fingerprint, started)
+        self._parts.suspects.begin_attempt(self._fingerprint, started)
         try:
             attempt = await self._send(target, started)
             outcome, why = attempt_ends.OUTCOMES[attempt.result], attempt.detail
@@ -248,9 +250,9 @@
             broke_at = anyio.current_time()
             has_crashed = attempt.is_cut and await self._parts.is_down(target, broke_at)
             if has_crashed:
-                self._parts.suspects.note_crash(self._fingerprint, target, started)
+                self._parts.suspects.record_crash(self._fingerprint, target, started)
             elif attempt.is_success:
-                self._parts.suspects.note_answered(self._fingerprint)
+                self._parts.suspects.record_answer(self._fingerprint)
         finally:
             now = anyio.current_time()
             if outcome is messages.Outcome.ABANDONED:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_codec.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_codec.py
@@ -22,7 +22,7 @@
             _pack_time(one.answered_at, now),
             _pack_time(one.tried_at, now),
             [
-                [crash.target, _find_age(crash.ended_at, now), crash.took]
+                [crash.target, _find_age(crash.ended_at, now), crash.duration]
                 for crash in one.crashes
             ],
         ]
@@ -46,7 +46,7 @@
     if not isinstance(fingerprint, str) or len(fingerprint) != FINGERPRINT_LENGTH:
         raise ValueError("no fingerprint")
     int(fingerprint, 16)
-    found = [_unpack_crash(one, now) for one in crashes[: suspect.MOST_CRASHES]]
+    found = [_unpack_crash(one, now) for one in crashes[: suspect.MAX_CRASHES]]
     answered_at, tried_at = _unpack_time(answered, now), _unpack_time(tried, now)
     record = suspect.Suspect((), answered_at, tried_at)
     return fingerprint, record.merge(suspect.Suspect(tuple(sorted(found))))
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_exchange.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_exchange.py
@@ -17,7 +17,7 @@
 
 from . import datagrams, log_lines, members, peer_link, ports
 
-TELL_PAUSE = 0.6
+ANNOUNCE_INTERVAL_S = 0.6
 """Seconds between two tellings. A VM that has heard nothing hears of it from four
 others meanwhile, on average."""
 
@@ -77,23 +77,23 @@
     async def run(self) -> None:
         """Tell what is known from time to time, until cancelled."""
         while True:
-            await anyio.sleep(TELL_PAUSE)
+            await anyio.sleep(ANNOUNCE_INTERVAL_S)
             now = anyio.current_time()
-            self._known.forget_old(now)
+            self._known.drop_expired(now)
             self._tell_counters(now)
             self._tell_some(self._known.list_shared())
 
-    def find_hold(self, fingerprint: str, now: float) -> float | None:
+    def find_hold_end(self, fingerprint: str, now: float) -> float | None:
         """Return until when a request is kept from targets; None where it is not."""
-        return self._known.find_hold(fingerprint, now)
+        return self._known.find_hold_end(fingerprint, now)
 
-    def begin(self, fingerprint: str, now: float) -> None:
+    def begin_attempt(self, fingerprint: str, now: float) -> None:
         """Take in that a request is about to be sent."""
         if self._known.begin_trial(fingerprint, now):
             self._log.write("quarantine_trial", fingerprint=fingerprint)
             self._tell_some([fingerprint])
 
-    def note_crash(
+    def record_crash(
         self, fingerprint: str, target: targets.Entry, started_at: float
     ) -> None:
         """Take in that a target crashed while it held a request."""
@@ -105,32 +105,32 @@
             self._own[fingerprint] = now + TELL_OWN_FOR
         self._tell_counters_of(fingerprint, now)
 
-    def note_answered(self, fingerprint: str) -> None:
+    def record_answer(self, fingerprint: str) -> None:
         """Take in that a target answered a request."""
-        if self._known.note_answered(fingerprint, anyio.current_time()):
+        if self._known.record_answer(fingerprint, anyio.current_time()):
             self._log.write("quarantine_cleared", fingerprint=fingerprint)
             self._tell_some([fingerprint])
 
-    def take(self, message: datagrams.Suspects) -> None:
+    def apply(self, message: datagrams.Suspects) -> None:
         """Take in what another VM knows."""
         now = anyio.current_time()
         for fingerprint, heard in message.items:
             self._take(fingerprint, heard, now)
 
-    def tell(self, member: ports.Member) -> None:
+    def announce_to(self, member: ports.Member) -> None:
         """Tell a VM that knows nothing yet."""
         self._send(self._known.list_shared(), [member])
 
-    def lose_time(self, seconds: float) -> None:
+    def compensate_suspension(self, seconds: float) -> None:
         """Take in that the clock has not counted some time."""
-        self._known.lose_time(seconds)
+        self._known.compensate_suspension(seconds)
 
     def count_quarantined(self) -> int:
         """Return how many requests are quarantined."""
         return self._known.count_quarantined(anyio.current_time())
 
     def _take(self, fingerprint: str, heard: suspect.Suspect, now: float) -> None:
-        was_held = self._known.find_hold(fingerprint, now) is not None
+        was_held = self._known.find_hold_end(fingerprint, now) is not None
         if not self._known.merge(fingerprint, heard):
             return
         found = self._known.find(fingerprint)
@@ -140,8 +140,8 @@
             self._log.write(
                 "quarantined",
                 fingerprint=fingerprint,
-                crashes=found.count_in_turn(),
-                seconds=round(found.find_hold() - now, 1),
+                crashes=found.count_consecutive(),
+                seconds=round(found.find_hold_end() - now, 1),
             )
         if quarantine.is_shared(found):
             self._tell_some([fingerprint])
--- a/tests/edge/test_crash_check.py
+++ b/tests/edge/test_crash_check.py
@@ -77,5 +77,5 @@
     target = make_target(listener.extra(anyio.abc.SocketAttribute.local_port))
     assert not await check.is_down(target, anyio.current_time())
     await listener.aclose()
-    await anyio.sleep(2 * crash_check.SAME_BREAK)
+    await anyio.sleep(2 * crash_check.BREAK_TOLERANCE_S)
     assert await check.is_down(target, anyio.current_time())
--- a/tests/edge/test_suspect_exchange.py
+++ b/tests/edge/test_suspect_exchange.py
@@ -58,7 +58,7 @@
         await anyio.sleep(self._rng.uniform(0.001, 0.02))
         message = datagrams.decode(data, anyio.current_time())
         assert isinstance(message, datagrams.Suspects)
-        self.vms[vm].take(message)
+        self.vms[vm].apply(message)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -96,13 +96,13 @@
     phase = targets.Phase.READY
     target = targets.Entry(f"t{number}", "s", "h", 1, "a", 1, phase, 1, 0.0, 1)
     now = anyio.current_time()
-    network.vms[vm].note_crash(FINGERPRINT, target, now - 0.1)
+    network.vms[vm].record_crash(FINGERPRINT, target, now - 0.1)
 
 
 def count_holding(network: Network) -> int:
     now = anyio.current_time()
     return sum(
-        one.find_hold(FINGERPRINT, now) is not None for one in network.vms.values()
+        one.find_hold_end(FINGERPRINT, now) is not None for one in network.vms.values()
     )
 
 
@@ -179,7 +179,7 @@
             crash(network, f"vm-{number}", number)
             await anyio.sleep(0.2)
         await anyio.sleep(BOUND)
-        network.vms["vm-9"].note_answered(FINGERPRINT)
+        network.vms["vm-9"].record_answer(FINGERPRINT)
         await anyio.sleep(BOUND)
         assert count_holding(network) == 0
 
@@ -195,7 +195,9 @@
         await anyio.sleep(BOUND)
         before = network.sent
         await anyio.sleep(6.0)
-        regular = SIZE * suspect_exchange.FANOUT * 6.0 / suspect_exchange.TELL_PAUSE
+        regular = (
+            SIZE * suspect_exchange.FANOUT * 6.0 / suspect_exchange.ANNOUNCE_INTERVAL_S
+        )
         assert network.sent - before <= 1.1 * regular
 
     play(0.0, steps)
--- a/tests/scripted_run.py
+++ b/tests/scripted_run.py
@@ -131,19 +131,19 @@
 class Unsuspected:
     """Knows of no request that crashes its targets."""
 
-    def find_hold(self, fingerprint: str, now: float) -> float | None:
+    def find_hold_end(self, fingerprint: str, now: float) -> float | None:
         """Return that it may go to targets."""
         return None
 
-    def begin(self, fingerprint: str, now: float) -> None:
+    def begin_attempt(self, fingerprint: str, now: float) -> None:
         """Take in that a request is about to be sent."""
 
-    def note_crash(
+    def record_crash(
         self, fingerprint: str, target: targets.Entry, started_at: float
     ) -> None:
         """Take in a crash."""
 
-    def note_answered(self, fingerprint: str) -> None:
+    def record_answer(self, fingerprint: str) -> None:
         """Take in an answer."""
 
 
