--- a/bench/retry_fleet.py
+++ b/bench/retry_fleet.py
@@ -287,7 +287,7 @@
             objective=1.0,
             max_attempts=3,
             priority=1,
-            parts=(configuration.Part(SERVICE, 1.0),),
+            weighted_services=(configuration.WeightedService(SERVICE, 1.0),),
         )
         run = request_run.Run(vm.parts, incoming, route, SERVICE)
         reply = await vm.call(run)
--- a/packages/zinniastand-core/src/zinniastand_core/deployment/configuration.py
+++ b/packages/zinniastand-core/src/zinniastand_core/deployment/configuration.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Part:
+class WeightedService:
     """One service of a route and its share of the route's requests."""
 
     service: str
@@ -46,7 +46,7 @@
     priority: int
     """Rank among the requests of a service; 0 goes first."""
 
-    parts: tuple[Part, ...]
+    weighted_services: tuple[WeightedService, ...]
     """Services that share the requests; at least one."""
 
 
--- a/packages/zinniastand-core/src/zinniastand_core/deployment/places.py
+++ b/packages/zinniastand-core/src/zinniastand_core/deployment/positions.py
@@ -10,19 +10,19 @@
 OFFSET_BITS = 44
 """Bits of a place that hold the offset: more records than a store ever writes."""
 
-OFFSETS = 1 << OFFSET_BITS
+OFFSETS_PER_ERA = 1 << OFFSET_BITS
 
 
-def make_place(era: int, offset: int) -> int:
+def make_position(era: int, offset: int) -> int:
     """Return the place of an offset in an era."""
-    return era * OFFSETS + offset
+    return era * OFFSETS_PER_ERA + offset
 
 
-def find_era(place: int) -> int:
+def find_era(position: int) -> int:
     """Return the era of a place; that of an unknown one, which is negative, is 0."""
-    return max(0, place) // OFFSETS
+    return max(0, position) // OFFSETS_PER_ERA
 
 
-def find_offset(place: int) -> int:
+def find_offset(position: int) -> int:
     """Return the offset of a place in its era."""
-    return place % OFFSETS
+    return position % OFFSETS_PER_ERA
--- a/packages/zinniastand-core/src/zinniastand_core/deployment/routing.py
+++ b/packages/zinniastand-core/src/zinniastand_core/deployment/routing.py
@@ -41,7 +41,7 @@
         return None
 
 
-class SplitSequence:
+class WeightedRoundRobin:
     """Spreads requests of a split route over its parts by their weights.
 
     Draws at random would wander: over 300 requests a part of 10% would be off by a
@@ -59,7 +59,7 @@
     """
 
     def __init__(
-        self, parts: tuple[configuration.Part, ...], rng: random.Random
+        self, parts: tuple[configuration.WeightedService, ...], rng: random.Random
     ) -> None:
         total = sum(part.weight for part in parts) or 1.0
         self._shares = [part.weight / total for part in parts]
@@ -92,13 +92,13 @@
         self._rng = rng
         self._table = RouteTable(())
         self._splits: dict[
-            tuple[str, tuple[configuration.Part, ...]], SplitSequence
+            tuple[str, tuple[configuration.WeightedService, ...]], WeightedRoundRobin
         ] = {}
 
-    def use(self, current: configuration.Configuration) -> None:
+    def apply(self, current: configuration.Configuration) -> None:
         """Route by this configuration from now on."""
         self._table = RouteTable(current.routes)
-        kept = {(route.name, route.parts) for route in current.routes}
+        kept = {(route.name, route.weighted_services) for route in current.routes}
         self._splits = {key: one for key, one in self._splits.items() if key in kept}
 
     def find(self, host: str, path: str) -> configuration.Route | None:
@@ -107,8 +107,10 @@
 
     def choose_service(self, route: configuration.Route) -> str:
         """Return the service that takes the next request of a route."""
-        key = (route.name, route.parts)
+        key = (route.name, route.weighted_services)
         split = self._splits.get(key)
         if split is None:
-            split = self._splits[key] = SplitSequence(route.parts, self._rng)
+            split = self._splits[key] = WeightedRoundRobin(
+                route.weighted_services, self._rng
+            )
         return split.choose()
--- a/packages/zinniastand-core/src/zinniastand_core/deployment/targets.py
+++ b/packages/zinniastand-core/src/zinniastand_core/deployment/targets.py
@@ -6,24 +6,24 @@
 import dataclasses
 import enum
 
-from . import places
+from . import positions
 
-LAPSE_SHARE = 0.34
+LEASE_LAPSE_SHARE = 0.34
 """Share of a service's targets that must vanish together to look like a lapse of the
 store's leases and not like targets that leave; a release or a scale-in takes a few at a
 time."""
 
-LAPSE_GRACE = 1.2
+LEASE_LAPSE_GRACE_S = 1.2
 """Seconds for which targets that vanished together stay in use. Below the two seconds
 after which a target that has left may get nothing, by the time that the news takes."""
 
 
-REWRITE_GRACE = 1.8
+REWRITE_GRACE_S = 1.8
 """Seconds for which targets stay in use that a store lacks which has returned from an
 older copy: they write with every heartbeat, and a target that has left may get nothing
 after two seconds."""
 
-MOST_REMOVED = 4096
+MAX_REMOVED_ENTRIES = 4096
 """Removed targets whose last entry is kept: a store that returns from a copy may show
 it again."""
 
@@ -78,7 +78,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Gone:
+class Removal:
     """A target whose entry was removed."""
 
     target_id: str
@@ -88,7 +88,7 @@
     """Place of the removal in the order of all entries ever written."""
 
 
-Change = Entry | Gone
+Change = Entry | Removal
 
 
 class Registry:
@@ -113,7 +113,7 @@
         """Return all entries, draining ones included."""
         return list(self._entries.values())
 
-    def list_lasting(self) -> list[Entry]:
+    def list_registered(self) -> list[Entry]:
         """Return all entries but those of targets that have vanished.
 
         Those are in use for a moment, in case they come back. Whoever learns of them
@@ -134,7 +134,7 @@
 
     def list_usable(self, service: str, now: float) -> list[Entry]:
         """Return the targets of a service that may get new work."""
-        self.drop_lapsed(now)
+        self.drop_vanished(now)
         return [
             entry
             for entry in self._entries.values()
@@ -145,7 +145,7 @@
         self, changes: collections.abc.Iterable[Change], now: float
     ) -> list[Change]:
         """Take in changes; return those that say more than "still there"."""
-        gone: list[Gone] = []
+        gone: list[Removal] = []
         news: list[Change] = []
         for change in changes:
             if change.position <= self._positions.get(change.target_id, -1):
@@ -153,7 +153,7 @@
             if change.position < self._listed_to:
                 continue  # The last listing knew of it.
             self._positions[change.target_id] = change.position
-            if isinstance(change, Gone):
+            if isinstance(change, Removal):
                 gone.append(change)
             elif self._take_entry(change):
                 news.append(change)
@@ -165,11 +165,13 @@
         """Take in a whole listing, read at `position`: what it lacks has gone."""
         listed = list(entries)
         names = {entry.target_id for entry in listed}
-        missing = [Gone(name, position) for name in self._entries if name not in names]
-        if places.find_era(position) > places.find_era(self._listed_to):
+        missing = [
+            Removal(name, position) for name in self._entries if name not in names
+        ]
+        if positions.find_era(position) > positions.find_era(self._listed_to):
             # They write again what the store has lost, if they are still there.
             for gone in missing:
-                self._lapsing.setdefault(gone.target_id, now + REWRITE_GRACE)
+                self._lapsing.setdefault(gone.target_id, now + REWRITE_GRACE_S)
             missing = []
         # Entries of the listing are older than its end.
         self._listed_to = 0
@@ -204,13 +206,13 @@
         known = current or self._removed.get(entry.target_id)
         if known is None or entry.born != known.born:
             return False
-        if places.find_era(entry.position) <= places.find_era(known.position):
+        if positions.find_era(entry.position) <= positions.find_era(known.position):
             return False
         # One that is in use may write the same again; one that was removed has left.
         is_again = current is not None and entry.sequence == known.sequence
         return entry.sequence <= known.sequence and not is_again
 
-    def _remove(self, gone: list[Gone], now: float) -> list[Change]:
+    def _remove(self, gone: list[Removal], now: float) -> list[Change]:
         """Remove targets, slowly where many vanish at the same moment.
 
         While the store is away the leases of live targets run out, and all of a
@@ -225,7 +227,7 @@
             self._note_removed(entry)
             removed.append(one)
             if entry.phase is Phase.READY and self._is_lapse(entry.service, known):
-                self._lapsing.setdefault(one.target_id, now + LAPSE_GRACE)
+                self._lapsing.setdefault(one.target_id, now + LEASE_LAPSE_GRACE_S)
             else:
                 del self._entries[one.target_id]
         return removed
@@ -233,10 +235,10 @@
     def _note_removed(self, entry: Entry) -> None:
         """Keep the last entry of a target for a while, the newest of them only."""
         self._removed[entry.target_id] = entry
-        if len(self._removed) > MOST_REMOVED:
+        if len(self._removed) > MAX_REMOVED_ENTRIES:
             del self._removed[next(iter(self._removed))]
 
-    def _is_lapse(self, service: str, gone: list[Gone]) -> bool:
+    def _is_lapse(self, service: str, gone: list[Removal]) -> bool:
         total = sum(1 for one in self._entries.values() if one.service == service)
         vanished = {one.target_id for one in gone} | self._lapsing.keys()
         lost = sum(
@@ -244,9 +246,9 @@
             for name in vanished
             if name in self._entries and self._entries[name].service == service
         )
-        return lost > 1 and lost > LAPSE_SHARE * total
+        return lost > 1 and lost > LEASE_LAPSE_SHARE * total
 
-    def drop_lapsed(self, now: float) -> bool:
+    def drop_vanished(self, now: float) -> bool:
         """Drop targets that vanished and did not come back; return whether any did."""
         due = [name for name, at in self._lapsing.items() if at <= now]
         for name in due:
--- a/packages/zinniastand-core/src/zinniastand_core/forwarding/plan.py
+++ b/packages/zinniastand-core/src/zinniastand_core/forwarding/plan.py
@@ -40,11 +40,11 @@
 PROVED_NOT_RUN = frozenset({Result.TURNED_AWAY, Result.MISPLACED})
 """Results of a request that was sent by which the target proves that it has not run."""
 
-MOST_UNSENT = 6
+MAX_UNCONNECTED_ATTEMPTS = 6
 """Attempts that may end without a connection, beyond the route's own limit of targets.
 Each costs up to a connect timeout, so this bounds what a cut-off VM spends."""
 
-LEAST_LEFT = 0.02
+MIN_TIME_LEFT_S = 0.02
 """Seconds that must be left for another attempt to make sense: a round trip and the
 quickest work."""
 
@@ -61,15 +61,15 @@
     RELAY = "relay"
     """Give the caller the last whole answer."""
 
-    SAY_NOT_RUN = "say-not-run"
+    ANSWER_NOT_RUN = "say-not-run"
     """Tell the caller that the work has not run, and when to come back."""
 
-    SAY_UNKNOWN = "say-unknown"
+    ANSWER_UNKNOWN = "say-unknown"
     """Tell the caller that nothing is known of the work."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Times:
+class Deadlines:
     """When things end for one request, in the VM's steady clock."""
 
     objective_at: float
@@ -90,9 +90,9 @@
         When things end for it.
     """
 
-    def __init__(self, route: configuration.Route, times: Times) -> None:
+    def __init__(self, route: configuration.Route, times: Deadlines) -> None:
         self._route = route
-        self.times = times
+        self.deadlines = times
         self._attempts = 0
         self._under_way = 0
         self._sent = 0
@@ -133,7 +133,7 @@
         return self.is_idempotent and self._committed + 1 < self._route.max_attempts
 
     @property
-    def may_back_up(self) -> bool:
+    def may_send_backup(self) -> bool:
         """Whether the latest attempt may be followed by another."""
         return self.is_idempotent and self._committed < self._route.max_attempts
 
@@ -151,15 +151,15 @@
         """Whether the work may run more than once."""
         return self._route.work is services.Work.IDEMPOTENT
 
-    def end_by(self, at: float) -> None:
+    def bring_deadline_forward(self, at: float) -> None:
         """Bring the deadline forward, if it is later."""
-        deadline_at = min(at, self.times.deadline_at)
-        self.times = dataclasses.replace(self.times, deadline_at=deadline_at)
+        deadline_at = min(at, self.deadlines.deadline_at)
+        self.deadlines = dataclasses.replace(self.deadlines, deadline_at=deadline_at)
 
-    def lose_time(self, seconds: float) -> None:
+    def compensate_suspension(self, seconds: float) -> None:
         """Take in that the clock has not counted some time."""
-        self.times = Times(
-            self.times.objective_at - seconds, self.times.deadline_at - seconds
+        self.deadlines = Deadlines(
+            self.deadlines.objective_at - seconds, self.deadlines.deadline_at - seconds
         )
 
     def start_attempt(self, target_id: str) -> None:
@@ -189,13 +189,13 @@
             self._proved_not_run += 1
         if result is Result.ERROR:
             self._has_error = True
-        return self.find_next(now)
+        return self.decide_next(now)
 
-    def break_off(self) -> None:
+    def abandon_attempt(self) -> None:
         """Take in that an attempt was broken off before it ended."""
         self._under_way -= 1
 
-    def find_next(self, now: float) -> Step:
+    def decide_next(self, now: float) -> Step:
         """Return what to do next."""
         if not self._is_answered and self._may_try_again(now):
             return Step.TRY_AGAIN
@@ -209,19 +209,19 @@
         """
         if self._under_way and not self._is_answered:
             return Step.WAIT
-        return self.expire()
+        return self.decide_final()
 
-    def expire(self) -> Step:
+    def decide_final(self) -> Step:
         """Return the final answer when nobody waits any longer."""
         if self._is_answered or self._has_error:
             return Step.RELAY
-        return Step.SAY_UNKNOWN if self.may_have_run else Step.SAY_NOT_RUN
+        return Step.ANSWER_UNKNOWN if self.may_have_run else Step.ANSWER_NOT_RUN
 
     def _may_try_again(self, now: float) -> bool:
-        if now + LEAST_LEFT >= self.times.deadline_at:
+        if now + MIN_TIME_LEFT_S >= self.deadlines.deadline_at:
             return False
         if self._committed >= self._route.max_attempts:
             return False
-        if self._attempts >= self._route.max_attempts + MOST_UNSENT:
+        if self._attempts >= self._route.max_attempts + MAX_UNCONNECTED_ATTEMPTS:
             return False
         return self.is_idempotent or not self.may_have_run
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_codec.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_codec.py
@@ -82,7 +82,7 @@
         route.objective,
         route.max_attempts,
         route.priority,
-        [[part.service, part.weight] for part in route.parts],
+        [[part.service, part.weight] for part in route.weighted_services],
     ]
 
 
@@ -97,5 +97,5 @@
         objective,
         attempts,
         priority,
-        tuple(configuration.Part(*part) for part in parts),
+        tuple(configuration.WeightedService(*part) for part in parts),
     )
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
@@ -227,7 +227,7 @@
         if source in (target_record.STORE, OPERATOR):
             self._push(candidate)
         self._tell_version(to_all_near=is_first and source == target_record.STORE)
-        self._knowledge.router.use(candidate)
+        self._knowledge.router.apply(candidate)
         self._log.write(
             "configuration_in_force",
             version=candidate.version,
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
@@ -423,7 +423,7 @@
 
 def pack_change(change: targets.Change, now: float) -> list[object]:
     """Return a change of a target as plain values."""
-    if isinstance(change, targets.Gone):
+    if isinstance(change, targets.Removal):
         return [change.target_id, change.position]
     cold_left = max(0.0, change.cold_until - now)
     return [
@@ -444,7 +444,7 @@
 def unpack_change(fields: list, now: float) -> targets.Change:
     """Return the change of a target in plain values."""
     if len(fields) == 2:
-        return targets.Gone(fields[0], fields[1])
+        return targets.Removal(fields[0], fields[1])
     target_id, position, service, host, port, data_centre, slots = fields[:7]
     phase, born, cold_left, *sequence = fields[7:]
     return targets.Entry(
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -393,7 +393,7 @@
             now = anyio.current_time()
             has_tasks = bool(self._desk.list_busy())
             self._resignation.note_lateness(now - due_at, has_tasks)
-            if self._registry.drop_lapsed(now):
+            if self._registry.drop_vanished(now):
                 self._desk.update_targets(now)
             self._desk.wake(now)
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from zinniastand_core.deployment import configuration, places
+from zinniastand_core.deployment import configuration, positions
 
 from . import (
     configuration_keeper,
@@ -145,7 +145,7 @@
 
     def _read_era(self) -> int:
         """Return the newest era of the store that this VM has seen or heard of."""
-        return max(self._store.era, places.find_era(self._record.position))
+        return max(self._store.era, positions.find_era(self._record.position))
 
     @property
     def position(self) -> int:
@@ -167,7 +167,7 @@
             self._configured.current,
             self._record.position,
             self._record.heard_at,
-            tuple(self._registry.list_lasting()),
+            tuple(self._registry.list_registered()),
         )
 
     async def run(self) -> None:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
@@ -91,7 +91,7 @@
             run_messages.read_time_left(incoming, parts.words, route.time_limit),
         )
         objective = min(limit, incoming.read_at + route.objective)
-        self._plan = plan.Plan(route, plan.Times(objective, limit))
+        self._plan = plan.Plan(route, plan.Deadlines(objective, limit))
         self._scope = anyio.CancelScope(deadline=limit)
         self._is_ending = False
         self._asked = attempt_ends.Asked(self._request_id, self._fingerprint, service)
@@ -106,19 +106,19 @@
             return self._finish(await self._try_targets())
         has_left = self._incoming.caller.has_left
         self._why = CALLER_LEFT if has_left else self._name_deadline()
-        return self._finish(self._plan.expire())
+        return self._finish(self._plan.decide_final())
 
     def end_by(self, at: float) -> None:
         """Give the final answer by `at`, since the process ends then."""
-        if at < self._plan.times.deadline_at:
+        if at < self._plan.deadlines.deadline_at:
             self._is_ending = True
-            self._plan.end_by(at)
+            self._plan.bring_deadline_forward(at)
             self._scope.deadline = at
 
     def lose_time(self, seconds: float) -> None:
         """Take in that the clock has not counted some time: less is left."""
-        self._plan.lose_time(seconds)
-        self._scope.deadline = self._plan.times.deadline_at
+        self._plan.compensate_suspension(seconds)
+        self._scope.deadline = self._plan.deadlines.deadline_at
 
     def _may_cancel(self) -> bool:
         """Return whether to stop when the caller has left.
@@ -194,10 +194,10 @@
 
     def _find_overdue(self, grant: messages.Grant, now: float) -> float:
         """Return from when on another target is tried too; infinite for never."""
-        left = self._plan.times.deadline_at - now
+        left = self._plan.deadlines.deadline_at - now
         factor = OVERDUE_FACTOR + (OVERDUE_IN_DOUBT - OVERDUE_FACTOR) * grant.doubt
         overdue = max(LEAST_OVERDUE, factor * grant.expected)
-        if not self._plan.may_back_up:
+        if not self._plan.may_send_backup:
             return math.inf
         if left - overdue <= OVERDUE_LEFT * grant.expected:
             return math.inf
@@ -225,14 +225,14 @@
             group.start_soon(_attempt)
             await anyio.sleep_until(overdue_at)
             is_overdue = True
-            step = self._plan.find_next(anyio.current_time())
+            step = self._plan.decide_next(anyio.current_time())
             if step is plan.Step.TRY_AGAIN:
                 step = await self._try_targets()
             if self._plan.is_answered:
                 group.cancel_scope.cancel()
         if step is plan.Step.WAIT or self._plan.is_answered:
             # Attempts that end in one turn of the loop may report in any order.
-            return self._plan.find_next(anyio.current_time())
+            return self._plan.decide_next(anyio.current_time())
         return step
 
     async def _attempt(
@@ -256,7 +256,7 @@
         finally:
             now = anyio.current_time()
             if outcome is messages.Outcome.ABANDONED:
-                self._plan.break_off()
+                self._plan.abandon_attempt()
                 outcome, why = self._name_breaking_off(now, overdue_at)
             ended = attempt_ends.Ended(
                 outcome, why, now - started, has_crashed, rate_limit, is_resent
@@ -276,7 +276,7 @@
                 self._incoming.request,
                 self._parts.words,
                 target,
-                self._plan.times.deadline_at - now,
+                self._plan.deadlines.deadline_at - now,
             )
             return await self._parts.exchange.attempt(
                 target,
@@ -306,10 +306,10 @@
             return messages.Outcome.SILENT, OVERDUE
         if self._plan.is_answered:
             return messages.Outcome.ABANDONED, OTHER_ANSWERED
-        if self._is_ending and now >= self._plan.times.deadline_at:
+        if self._is_ending and now >= self._plan.deadlines.deadline_at:
             # The process ends, which says nothing of the target.
             return messages.Outcome.ABANDONED, STOPPING
-        if now >= self._plan.times.deadline_at:
+        if now >= self._plan.deadlines.deadline_at:
             return messages.Outcome.SILENT, DEADLINE
         return messages.Outcome.ABANDONED, CALLER_LEFT
 
@@ -329,7 +329,7 @@
                 self._plan.attempts,
                 self._service,
                 self._route.name,
-                self._plan.times.objective_at - self._incoming.read_at,
+                self._plan.deadlines.objective_at - self._incoming.read_at,
             )
         )
         return reply
@@ -338,9 +338,9 @@
         if step is plan.Step.RELAY and self._answer is not None:
             headers = http_exchange.strip_connection_headers(self._answer.headers)
             return calls.Reply(self._answer.status, headers, self._answer.body)
-        if step is plan.Step.SAY_NOT_RUN:
+        if step is plan.Step.ANSWER_NOT_RUN:
             return replies.explain(503, self._why, self._find_pause(now))
-        status = 504 if now >= self._plan.times.deadline_at else 502
+        status = 504 if now >= self._plan.deadlines.deadline_at else 502
         return replies.explain(status, self._why)
 
     def _find_pause(self, now: float) -> float:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_record.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_record.py
@@ -154,7 +154,9 @@
         for change in news:
             self._noted += 1
             self._recent.append((self._noted, change))
-            phase = "gone" if isinstance(change, targets.Gone) else change.phase.value
+            phase = (
+                "gone" if isinstance(change, targets.Removal) else change.phase.value
+            )
             self._log.write(
                 "target_changed",
                 target=change.target_id,
--- a/soak/plants.py
+++ b/soak/plants.py
@@ -124,8 +124,8 @@
         "draining",
         (
             Change(
-                f"{CORE}/deployment/places.py",
-                "return era * OFFSETS + offset",
+                f"{CORE}/deployment/positions.py",
+                "return era * OFFSETS_PER_ERA + offset",
                 "return offset",
             ),
         ),
--- a/tests/deployment/test_routing.py
+++ b/tests/deployment/test_routing.py
@@ -24,7 +24,9 @@
         objective=0.5,
         max_attempts=2,
         priority=1,
-        parts=tuple(configuration.Part(*one) for one in parts or (("desk", 1.0),)),
+        weighted_services=tuple(
+            configuration.WeightedService(*one) for one in parts or (("desk", 1.0),)
+        ),
     )
 
 
@@ -56,11 +58,12 @@
     # the shares wander; here each VM is within one request of its due for each part.
     rng = random.Random(seed)
     parts = tuple(
-        configuration.Part(f"s{n}", float(weight)) for n, weight in enumerate(weights)
+        configuration.WeightedService(f"s{n}", float(weight))
+        for n, weight in enumerate(weights)
     )
     counts: collections.Counter[str] = collections.Counter()
     for _ in range(vms):
-        split = routing.SplitSequence(parts, rng)
+        split = routing.WeightedRoundRobin(parts, rng)
         own: collections.Counter[str] = collections.Counter()
         for _ in range(12):
             own[split.choose()] += 1
@@ -74,10 +77,13 @@
 def test_fleet_of_vms_keeps_a_split_of_nine_to_one() -> None:
     # 36 VMs, 8 requests each: a part of 10% must get within 3 in 100 of its share.
     rng = random.Random(5)
-    parts = (configuration.Part("a", 90.0), configuration.Part("b", 10.0))
+    parts = (
+        configuration.WeightedService("a", 90.0),
+        configuration.WeightedService("b", 10.0),
+    )
     counts: collections.Counter[str] = collections.Counter()
     for _ in range(36):
-        split = routing.SplitSequence(parts, rng)
+        split = routing.WeightedRoundRobin(parts, rng)
         counts.update(split.choose() for _ in range(8))
     assert abs(counts["b"] / counts.total() - 0.1) < 0.03
 
@@ -86,7 +92,7 @@
     split = make_route("/s/", parts=(("a", 1.0), ("b", 1.0)))
     router = routing.Router(random.Random(1))
     limits = configuration.Limits()
-    router.use(configuration.Configuration(1, (split,), (), limits))
+    router.apply(configuration.Configuration(1, (split,), (), limits))
     first = router.choose_service(split)
-    router.use(configuration.Configuration(2, (split, make_route("/n/")), (), limits))
+    router.apply(configuration.Configuration(2, (split, make_route("/n/")), (), limits))
     assert router.choose_service(split) != first
--- a/tests/deployment/test_targets.py
+++ b/tests/deployment/test_targets.py
@@ -8,9 +8,9 @@
 import hypothesis
 import hypothesis.strategies as st
 
-from zinniastand_core.deployment import places, targets
+from zinniastand_core.deployment import positions, targets
 
-NEXT_ERA = places.make_place(1, 0)
+NEXT_ERA = positions.make_position(1, 0)
 
 
 def make_entry(
@@ -62,7 +62,7 @@
 def test_removed_target_is_not_brought_back_by_old_news() -> None:
     registry = targets.Registry()
     registry.apply([make_entry(name, n) for n, name in enumerate("abcdefgh")], 0.0)
-    registry.apply([targets.Gone("a", 20)], 0.0)
+    registry.apply([targets.Removal("a", 20)], 0.0)
     registry.apply([make_entry("a", 12)], 0.0)
     assert "a" not in list_names(registry)
     registry.apply([make_entry("a", 21)], 0.0)
@@ -82,21 +82,21 @@
     # at once would refuse every request until they have registered again.
     registry = targets.Registry()
     registry.apply([make_entry(name, n) for n, name in enumerate("abcdef")], 0.0)
-    gone = [targets.Gone(name, 10 + n) for n, name in enumerate("abcde")]
+    gone = [targets.Removal(name, 10 + n) for n, name in enumerate("abcde")]
     # The removals are news all the same: other VMs must hear of them.
     assert registry.apply(gone, 100.0) == gone
     assert list_names(registry, 100.0) == set("abcdef")
     registry.apply([make_entry("a", 30)], 100.5)
-    later = 100.0 + targets.LAPSE_GRACE
-    assert registry.drop_lapsed(later)
-    assert not registry.drop_lapsed(later)
+    later = 100.0 + targets.LEASE_LAPSE_GRACE_S
+    assert registry.drop_vanished(later)
+    assert not registry.drop_vanished(later)
     assert list_names(registry, later) == {"a", "f"}
 
 
 def test_single_one_that_vanishes_is_dropped_at_once() -> None:
     registry = targets.Registry()
     registry.apply([make_entry(name, n) for n, name in enumerate("abcdef")], 0.0)
-    registry.apply([targets.Gone("a", 10)], 0.0)
+    registry.apply([targets.Removal("a", 10)], 0.0)
     assert list_names(registry) == set("bcdef")
 
 
@@ -125,9 +125,9 @@
     registry = targets.Registry()
     names = ["t1", "t2", "t3"]
     registry.apply([make_entry(name, position=1) for name in names], 0.0)
-    registry.apply([targets.Gone("t1", 2), targets.Gone("t2", 3)], 0.0)
+    registry.apply([targets.Removal("t1", 2), targets.Removal("t2", 3)], 0.0)
     assert registry.find_usable("t1") is not None
-    assert [one.target_id for one in registry.list_lasting()] == ["t3"]
+    assert [one.target_id for one in registry.list_registered()] == ["t3"]
 
 
 def test_copy_of_a_store_does_not_bring_a_leaving_target_back() -> None:
@@ -135,7 +135,7 @@
     registry = targets.Registry()
     registry.apply([make_entry("a", 40, targets.Phase.DRAINING, sequence=9)], 0.0)
     registry.apply([make_entry("b", 41, sequence=5)], 0.0)
-    registry.apply([targets.Gone("b", 42)], 0.0)
+    registry.apply([targets.Removal("b", 42)], 0.0)
     copied = [make_entry("a", NEXT_ERA + 3, sequence=7), make_entry("b", NEXT_ERA + 4)]
     registry.replace(copied, NEXT_ERA + 5, 1.0)
     assert list_names(registry, 1.0) == set()
@@ -166,7 +166,7 @@
     registry.replace([make_entry("a", 90), make_entry("b", 91)], 95, 0.0)
     registry.replace([make_entry("a", NEXT_ERA + 1)], NEXT_ERA + 2, 10.0)
     assert list_names(registry, 10.5) == {"a", "b"}
-    assert list_names(registry, 10.0 + targets.REWRITE_GRACE + 0.1) == {"a"}
+    assert list_names(registry, 10.0 + targets.REWRITE_GRACE_S + 0.1) == {"a"}
 
 
 def test_target_whose_lost_entry_is_written_again_as_it_was_stays() -> None:
@@ -192,7 +192,7 @@
             is_copied = era > 0 and rng.random() < 0.3
             sequence += not is_copied
             number = rng.randrange(sequence + 1) if is_copied else sequence
-            place = places.make_place(era, offset)
+            place = positions.make_position(era, offset)
             said.append(make_entry("a", place, sequence=number))
             last = max(last, number)
     registry = targets.Registry()
@@ -200,7 +200,7 @@
     rng.shuffle(heard)
     for entry in heard:
         registry.apply([entry], 0.0)
-    own_era = [one for one in said if places.find_era(one.position) == eras - 1]
+    own_era = [one for one in said if positions.find_era(one.position) == eras - 1]
     newest = registry.find("a")
     assert newest is not None
     assert newest.sequence >= max(one.sequence for one in own_era[-1:])
--- a/tests/edge/test_datagrams.py
+++ b/tests/edge/test_datagrams.py
@@ -23,7 +23,7 @@
 MESSAGES = [
     datagrams.Hello(MEMBER, True),
     datagrams.Leaving("vm-1", 1),
-    datagrams.News("vm-1", 4, 20, 10, (ENTRY, targets.Gone("t2", 13))),
+    datagrams.News("vm-1", 4, 20, 10, (ENTRY, targets.Removal("t2", 13))),
     datagrams.VersionNotice("vm-1", 5),
     datagrams.Opinions(SHARD, (datagrams.Opinion("t1", 0.2, 1.5),), (("r", 0.2),)),
     datagrams.Opinions(
--- a/tests/edge/test_target_proof.py
+++ b/tests/edge/test_target_proof.py
@@ -61,7 +61,7 @@
     # new one, where the target turns it away. Only the second sending is proved not to
     # have run; the caller is told 503 ("not run") of work that ran.
     breaking = BreakingTarget()
-    one = plan.Plan(runs.make_route(WORK, 1), plan.Times(1.0, 2.0))
+    one = plan.Plan(runs.make_route(WORK, 1), plan.Deadlines(1.0, 2.0))
     step = plan.Step.TRY_AGAIN
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
     port = listener.extra(anyio.abc.SocketAttribute.local_port)
@@ -76,4 +76,4 @@
         step = one.end_attempt(second.result, 0.1)
         group.cancel_scope.cancel()
     assert breaking.ran == 2
-    assert step is not plan.Step.SAY_NOT_RUN
+    assert step is not plan.Step.ANSWER_NOT_RUN
--- a/tests/forwarding/test_plan.py
+++ b/tests/forwarding/test_plan.py
@@ -24,9 +24,9 @@
         objective=0.5,
         max_attempts=attempts,
         priority=0,
-        parts=(configuration.Part("desk", 1.0),),
+        weighted_services=(configuration.WeightedService("desk", 1.0),),
     )
-    return plan.Plan(route, plan.Times(objective_at=0.5, deadline_at=1.0))
+    return plan.Plan(route, plan.Deadlines(objective_at=0.5, deadline_at=1.0))
 
 
 def attempt(one: plan.Plan, result: plan.Result, now: float = 0.1) -> plan.Step:
@@ -42,7 +42,7 @@
     # A second target could run it again: one order would become two.
     one = make_plan(services.Work.AT_MOST_ONCE)
     step = attempt(one, result)
-    assert step in (Step.SAY_UNKNOWN, Step.RELAY)
+    assert step in (Step.ANSWER_UNKNOWN, Step.RELAY)
 
 
 @pytest.mark.parametrize(
@@ -57,7 +57,7 @@
 def test_not_run_is_said_when_every_target_turned_it_away() -> None:
     one = make_plan(services.Work.AT_MOST_ONCE, attempts=2)
     assert attempt(one, Result.TURNED_AWAY) is Step.TRY_AGAIN
-    assert attempt(one, Result.TURNED_AWAY) is Step.SAY_NOT_RUN
+    assert attempt(one, Result.TURNED_AWAY) is Step.ANSWER_NOT_RUN
 
 
 def test_refusal_of_a_later_target_proves_nothing_of_an_earlier_one() -> None:
@@ -65,7 +65,7 @@
     # first may have run it, so "not run" would be false.
     one = make_plan(services.Work.IDEMPOTENT, attempts=2)
     assert attempt(one, Result.BROKEN) is Step.TRY_AGAIN
-    assert attempt(one, Result.TURNED_AWAY) is Step.SAY_UNKNOWN
+    assert attempt(one, Result.TURNED_AWAY) is Step.ANSWER_UNKNOWN
 
 
 def test_error_of_idempotent_work_is_tried_again_and_kept_as_last_resort() -> None:
@@ -76,7 +76,7 @@
 
 def test_no_attempt_begins_when_the_time_is_over() -> None:
     one = make_plan(services.Work.IDEMPOTENT)
-    assert attempt(one, Result.BROKEN, now=0.99) is Step.SAY_UNKNOWN
+    assert attempt(one, Result.BROKEN, now=0.99) is Step.ANSWER_UNKNOWN
 
 
 @hypothesis.given(
@@ -99,7 +99,7 @@
     if work is services.Work.AT_MOST_ONCE:
         assert runs <= 1
     final = one.give_up() if step is Step.TRY_AGAIN else step
-    if final is Step.SAY_NOT_RUN:
+    if final is Step.ANSWER_NOT_RUN:
         assert runs == 0
 
 
@@ -141,15 +141,15 @@
 def test_deadline_ends_a_request_with_an_attempt_under_way() -> None:
     one = make_plan(services.Work.IDEMPOTENT)
     start(one)
-    assert one.expire() is Step.SAY_UNKNOWN
+    assert one.decide_final() is Step.ANSWER_UNKNOWN
 
 
 def test_deadline_can_only_be_brought_forward() -> None:
     one = make_plan(services.Work.IDEMPOTENT)
-    one.end_by(2.0)
-    assert one.times.deadline_at == 1.0
-    one.end_by(0.4)
-    assert one.times.deadline_at == 0.4
+    one.bring_deadline_forward(2.0)
+    assert one.deadlines.deadline_at == 1.0
+    one.bring_deadline_forward(0.4)
+    assert one.deadlines.deadline_at == 0.4
 
 
 @hypothesis.given(
@@ -184,8 +184,8 @@
             continue
         if under_way and not one.is_answered:
             assert step in (Step.WAIT, Step.TRY_AGAIN)
-        if step is Step.SAY_NOT_RUN:
+        if step is Step.ANSWER_NOT_RUN:
             assert runs == 0
-    if one.expire() is Step.SAY_NOT_RUN:
+    if one.decide_final() is Step.ANSWER_NOT_RUN:
         assert runs == 0
     assert one.sent <= most
--- a/tests/forwarding/test_suspended_plan.py
+++ b/tests/forwarding/test_suspended_plan.py
@@ -25,13 +25,21 @@
     )
     def begin(self, work: services.Work, attempts: int) -> None:
         route = configuration.Route(
-            "r", "h", "/", work, 2.0, 1.0, attempts, 1, (configuration.Part("s", 1),)
+            "r",
+            "h",
+            "/",
+            work,
+            2.0,
+            1.0,
+            attempts,
+            1,
+            (configuration.WeightedService("s", 1),),
         )
         self.work = work
         self.limit = attempts
         self.now = 0.0
         self.true_now = 0.0
-        self.plan = plan.Plan(route, plan.Times(1.0, 2.0))
+        self.plan = plan.Plan(route, plan.Deadlines(1.0, 2.0))
         self.sent: list[str] = []
         self.ran: list[str] = []
         self.turned_away: list[str] = []
@@ -82,15 +90,15 @@
     @stateful.rule(seconds=st.floats(0.1, 5.0))
     def vm_is_suspended(self, seconds: float) -> None:
         self.true_now += seconds
-        self.plan.lose_time(seconds)
+        self.plan.compensate_suspension(seconds)
         self._expire()
 
     def _expire(self) -> None:
-        if self.final is None and self.now >= self.plan.times.deadline_at:
+        if self.final is None and self.now >= self.plan.deadlines.deadline_at:
             if self.at_work is not None:
-                self.plan.break_off()
+                self.plan.abandon_attempt()
                 self.at_work = None
-            self.final = self.plan.expire()
+            self.final = self.plan.decide_final()
 
     def _may_try(self) -> bool:
         is_idle = self.at_work is None and self.final is None
@@ -111,7 +119,7 @@
 
     @stateful.invariant()
     def not_run_is_true(self) -> None:
-        if self.final is Step.SAY_NOT_RUN:
+        if self.final is Step.ANSWER_NOT_RUN:
             assert not self.ran
             assert not self._list_idle()
 
--- a/tests/platform_adapter/test_decoding.py
+++ b/tests/platform_adapter/test_decoding.py
@@ -84,8 +84,8 @@
     assert first.work is services.Work.AT_MOST_ONCE
     assert first.time_limit == 1.2
     assert first.objective == 0.6
-    assert first.parts == (configuration.Part("desk", 1.0),)
-    assert second.parts[1] == configuration.Part("roll", 10)
+    assert first.weighted_services == (configuration.WeightedService("desk", 1.0),)
+    assert second.weighted_services[1] == configuration.WeightedService("roll", 10)
     assert found.limits.idle_timeout == 15.0
 
 
--- a/tests/platform_adapter/test_store.py
+++ b/tests/platform_adapter/test_store.py
@@ -58,7 +58,7 @@
         topics.put(words.TARGETS_TOPIC, "t1", b"")
         put_target(topics, "t2")
         found = await client.read_target_changes(page.position, 0.0)
-        assert found.changes[0] == targets.Gone("t1", 1)
+        assert found.changes[0] == targets.Removal("t1", 1)
         assert found.changes[1].target_id == "t2"
         assert found.position == 3
 
--- a/tests/scripted_run.py
+++ b/tests/scripted_run.py
@@ -157,7 +157,7 @@
         objective=0.6,
         max_attempts=attempts,
         priority=0,
-        parts=(configuration.Part("desk", 1.0),),
+        weighted_services=(configuration.WeightedService("desk", 1.0),),
     )
 
 
