--- a/packages/zinniastand-core/src/zinniastand_core/deployment/__init__.py
+++ b/packages/zinniastand-core/src/zinniastand_core/deployment/__init__.py
@@ -1,1 +1,1 @@
-"""What a deployment consists of: its configuration, its routes and its targets."""
+"""A deployment: its configuration, its routes and its targets."""
--- a/packages/zinniastand-core/src/zinniastand_core/deployment/configuration.py
+++ b/packages/zinniastand-core/src/zinniastand_core/deployment/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force, as typed values without any wire format."""
+"""Typed values of the configuration in force, independent of any wire format."""
 
 from __future__ import annotations
 
@@ -9,42 +9,42 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One service of a route and its share of the route's requests."""
+    """A service of a route and its share of the route's requests."""
 
     service: str
     """Name of the service."""
 
     weight: float
-    """Share, relative to the other parts of the route."""
+    """Share of the requests, relative to the weights of the route's other services."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of one host and path prefix go, and what they may cost."""
+    """Services, time limits and attempts for requests of one host and path prefix."""
 
     name: str
     """Unique within a configuration."""
 
     host: str
-    """Host that callers ask for, in lower case and without a port."""
+    """Host in the requests of callers, in lower case and without a port."""
 
     path_prefix: str
-    """Begins and ends with a slash."""
+    """Prefix of the request paths; begins and ends with a slash."""
 
     work: services.Work
     """Whether the work may run more than once."""
 
     time_limit: float
-    """Seconds after which a caller gets a final answer, whatever has happened."""
+    """Seconds after which a caller gets a final answer, whatever the attempts did."""
 
     objective: float
-    """Seconds within which an answer is in time."""
+    """Seconds within which an answer counts as in time."""
 
     max_attempts: int
-    """Most targets that one request may be sent to."""
+    """Upper limit of targets that one request may be sent to."""
 
     priority: int
-    """Rank among the requests of a service; 0 goes first."""
+    """Rank among the requests of a service; 0 is served first."""
 
     weighted_services: tuple[WeightedService, ...]
     """Services that share the requests; at least one."""
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceSettings:
-    """What operators state of a service."""
+    """Settings of a service that operators choose."""
 
     name: str
     """Unique within a configuration."""
@@ -61,18 +61,18 @@
     """Path of the targets' health endpoint."""
 
     max_connections: int
-    """Connections that a target takes from all callers together."""
+    """Connections that a target accepts from all VMs together."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """What callers may send, and how slowly."""
+    """Limits on the size and slowness of what callers send."""
 
     max_head_bytes: int = 16_384
-    """Largest request head."""
+    """Upper limit of bytes in a request head."""
 
     max_body_bytes: int = 1 << 26
-    """Largest request body."""
+    """Upper limit of bytes in a request body."""
 
     head_timeout: float = 3.0
     """Seconds from a request's first byte to the end of its head."""
@@ -83,26 +83,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """One whole configuration."""
+    """All routes, services and limits of one version."""
 
     version: int
-    """Grows with each change, in uneven steps."""
+    """Number that grows with each change, not always by one."""
 
     routes: tuple[Route, ...]
-    """All routes."""
+    """Routes, in the order of the configuration."""
 
     services: tuple[ServiceSettings, ...]
-    """All services."""
+    """Settings of each service."""
 
     limits: Limits
-    """Limits towards callers."""
+    """Limits that callers must keep."""
 
 
 class ConfigurationState:
-    """The newest configuration that this process has seen; it never goes back.
+    """The newest configuration that this process has seen.
 
-    A cut-off peer or an old page of the store may offer an older version later. Taking
-    it would bring dropped routes back, so only a higher version is ever accepted.
+    A peer that was cut off, or a stale page of the store, may offer an older version
+    later. Accepting it would restore removed routes, so only a higher version is ever
+    accepted.
     """
 
     def __init__(self) -> None:
@@ -115,11 +116,11 @@
 
     @property
     def version(self) -> int:
-        """Version in force, 0 before the first."""
+        """Version of the configuration in force, 0 before the first."""
         return self._current.version if self._current else 0
 
     def offer(self, candidate: Configuration) -> bool:
-        """Take a configuration if it is newer; return whether it was."""
+        """Accept a configuration if its version is higher; return whether it was."""
         if candidate.version <= self.version:
             return False
         self._current = candidate
--- a/packages/zinniastand-core/src/zinniastand_core/deployment/positions.py
+++ b/packages/zinniastand-core/src/zinniastand_core/deployment/positions.py
@@ -1,28 +1,29 @@
-"""Places in the order of all that a store has ever given out.
+"""Positions of entries in the order in which a store has ever issued them.
 
-A store that returns from an older copy gives offsets out again. Its era tells the two
-apart: whatever it says in a later era comes after all that it said before. A place is
-one number, with the era before the offset, so that places compare as they stand.
+A store that is restored from an older copy issues the same offsets again. Its era tells
+these apart: everything from a later era comes after everything from earlier ones. A
+position is one integer with the era in its high bits and the offset in its low bits, so
+that positions compare as plain numbers.
 """
 
 from __future__ import annotations
 
 OFFSET_BITS = 44
-"""Bits of a place that hold the offset: more records than a store ever writes."""
+"""Bits of a position that hold the offset; enough for every record a store writes."""
 
 OFFSETS_PER_ERA = 1 << OFFSET_BITS
 
 
 def make_position(era: int, offset: int) -> int:
-    """Return the place of an offset in an era."""
+    """Return the position of an offset in an era."""
     return era * OFFSETS_PER_ERA + offset
 
 
 def find_era(position: int) -> int:
-    """Return the era of a place; that of an unknown one, which is negative, is 0."""
+    """Return the era of a position; 0 for an unknown one, which is negative."""
     return max(0, position) // OFFSETS_PER_ERA
 
 
 def find_offset(position: int) -> int:
-    """Return the offset of a place in its era."""
+    """Return the offset of a position within its era."""
     return position % OFFSETS_PER_ERA
--- a/packages/zinniastand-core/src/zinniastand_core/deployment/routing.py
+++ b/packages/zinniastand-core/src/zinniastand_core/deployment/routing.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and which of its parts."""
+"""Chooses the route of a request, and one of the route's services."""
 
 from __future__ import annotations
 
@@ -9,74 +9,82 @@
 
 
 class RouteTable:
-    """Routes of one configuration, found by host and longest path prefix.
+    """Finds routes of one configuration by host and longest path prefix.
 
     Parameters
     ----------
     routes : tuple of configuration.Route
-        All routes.
+        Routes of the configuration.
     """
 
     def __init__(self, routes: tuple[configuration.Route, ...]) -> None:
-        self._by_host: dict[str, list[configuration.Route]] = collections.defaultdict(
-            list
+        self._routes_by_host: dict[str, list[configuration.Route]] = (
+            collections.defaultdict(list)
         )
         for route in sorted(routes, key=lambda one: -len(one.path_prefix)):
-            self._by_host[route.host].append(route)
+            self._routes_by_host[route.host].append(route)
 
     def find(self, host: str, path: str) -> configuration.Route | None:
-        """Return the route of a request, if any.
+        """Return the route of a request, or None if no route matches.
 
         Parameters
         ----------
         host : str
-            Value of the ``Host`` header; its case and port do not matter.
+            Value of the ``Host`` header; its case and port are ignored.
         path : str
-            Path of the request; a query after it does not matter.
+            Path of the request; a query after it is ignored.
         """
-        bare = path.partition("?")[0]
-        for route in self._by_host.get(host.partition(":")[0].lower(), ()):
-            if bare.startswith(route.path_prefix):
+        path_only = path.partition("?")[0]
+        for route in self._routes_by_host.get(host.partition(":")[0].lower(), ()):
+            if path_only.startswith(route.path_prefix):
                 return route
         return None
 
 
 class WeightedRoundRobin:
-    """Spreads requests of a split route over its parts by their weights.
+    """Spreads the requests of a route over its services by their weights.
 
-    Draws at random would wander: over 300 requests a part of 10% would be off by a
-    fifth now and then. Each VM instead gives every request to the part that lags
-    furthest behind its share, which keeps each VM within one request of its due. A
-    random start keeps the VMs of a fleet from sending their first requests to the
-    same part.
+    Random draws would deviate too far: over 300 requests, the count of a service with
+    10% would at times be off by a fifth. Instead, each VM sends every request to the
+    service that lags furthest behind its share, which keeps each VM within one request
+    of its due share. A random start keeps the VMs of a fleet from sending their first
+    requests to the same service.
 
     Parameters
     ----------
-    parts : tuple of configuration.Part
-        Parts of the route.
+    weighted_services : tuple of configuration.WeightedService
+        Services of the route.
     rng : random.Random
-        Source of the start.
+        Source of the random start.
     """
 
     def __init__(
-        self, parts: tuple[configuration.WeightedService, ...], rng: random.Random
+        self,
+        weighted_services: tuple[configuration.WeightedService, ...],
+        rng: random.Random,
     ) -> None:
-        total = sum(part.weight for part in parts) or 1.0
-        self._shares = [part.weight / total for part in parts]
-        self._parts = parts
+        total = (
+            sum(weighted_service.weight for weighted_service in weighted_services)
+            or 1.0
+        )
+        self._shares = [
+            weighted_service.weight / total for weighted_service in weighted_services
+        ]
+        self._weighted_services = weighted_services
         offset = rng.random()
-        self._due = [share * offset for share in self._shares]
+        self._credits = [share * offset for share in self._shares]
 
     def choose(self) -> str:
-        """Return the service that takes the next request."""
-        if len(self._parts) == 1:
-            return self._parts[0].service
-        self._due = [
-            due + share for due, share in zip(self._due, self._shares, strict=True)
+        """Return the name of the service for the next request."""
+        if len(self._weighted_services) == 1:
+            return self._weighted_services[0].service
+        self._credits = [
+            credit + share
+            for credit, share in zip(self._credits, self._shares, strict=True)
         ]
-        index = max(range(len(self._due)), key=self._due.__getitem__)
-        self._due[index] -= 1.0
-        return self._parts[index].service
+        index = max(range(len(self._credits)), key=self._credits.__getitem__)
+        self._credits[index] -= 1.0
+        return self._weighted_services[index].service
 
 
 class Router:
@@ -85,32 +93,39 @@
     Parameters
     ----------
     rng : random.Random
-        Source of the starts of split routes.
+        Source of the random starts of routes with several services.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._table = RouteTable(())
-        self._splits: dict[
+        self._round_robins: dict[
             tuple[str, tuple[configuration.WeightedService, ...]], WeightedRoundRobin
         ] = {}
 
     def apply(self, current: configuration.Configuration) -> None:
-        """Route by this configuration from now on."""
+        """Use the routes of a configuration from now on.
+
+        A route that is unchanged keeps its position among its services.
+        """
         self._table = RouteTable(current.routes)
-        kept = {(route.name, route.weighted_services) for route in current.routes}
-        self._splits = {key: one for key, one in self._splits.items() if key in kept}
+        current_keys = {
+            (route.name, route.weighted_services) for route in current.routes
+        }
+        self._round_robins = {
+            key: one for key, one in self._round_robins.items() if key in current_keys
+        }
 
     def find(self, host: str, path: str) -> configuration.Route | None:
-        """Return the route of a request, if any."""
+        """Return the route of a request, or None if no route matches."""
         return self._table.find(host, path)
 
     def choose_service(self, route: configuration.Route) -> str:
-        """Return the service that takes the next request of a route."""
+        """Return the name of the service for the next request of a route."""
         key = (route.name, route.weighted_services)
-        split = self._splits.get(key)
-        if split is None:
-            split = self._splits[key] = WeightedRoundRobin(
+        round_robin = self._round_robins.get(key)
+        if round_robin is None:
+            round_robin = self._round_robins[key] = WeightedRoundRobin(
                 route.weighted_services, self._rng
             )
-        return split.choose()
+        return round_robin.choose()
--- a/packages/zinniastand-core/src/zinniastand_core/deployment/targets.py
+++ b/packages/zinniastand-core/src/zinniastand_core/deployment/targets.py
@@ -1,4 +1,4 @@
-"""Targets that register themselves, and which of them may get work."""
+"""Targets that register themselves, and which of them may get requests."""
 
 from __future__ import annotations
 
@@ -9,131 +9,134 @@
 from . import positions
 
 LEASE_LAPSE_SHARE = 0.34
-"""Share of a service's targets that must vanish together to look like a lapse of the
-store's leases and not like targets that leave; a release or a scale-in takes a few at a
-time."""
+"""Share of a service's targets above which removals at the same moment count as expired
+leases in the store and not as targets that leave; a release or a scale-in removes a few
+at a time."""
 
 LEASE_LAPSE_GRACE_S = 1.2
-"""Seconds for which targets that vanished together stay in use. Below the two seconds
-after which a target that has left may get nothing, by the time that the news takes."""
-
+"""Seconds for which targets that were removed together stay in use. Two seconds after a
+target has left it may get no requests, and the removal needs time to reach all VMs."""
 
 REWRITE_GRACE_S = 1.8
-"""Seconds for which targets stay in use that a store lacks which has returned from an
-older copy: they write with every heartbeat, and a target that has left may get nothing
-after two seconds."""
+"""Seconds for which targets stay in use that are missing from a store restored from an
+older copy. Running ones register again with their next heartbeat, and a target that has
+left may get no requests after two seconds."""
 
 MAX_REMOVED_ENTRIES = 4096
-"""Removed targets whose last entry is kept: a store that returns from a copy may show
-it again."""
+"""Upper limit of removed targets whose last entry is kept, since a store restored from
+a copy may list them again."""
 
 
 class Phase(enum.StrEnum):
-    """What a target says of itself."""
+    """State that a target reports of itself."""
 
     READY = "ready"
-    """Takes work."""
+    """Accepts new requests."""
 
     DRAINING = "draining"
-    """Is leaving: serves what it has, and gets nothing new."""
+    """Finishes the requests that it has and accepts no new ones."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry:
-    """A target as it registered itself."""
+    """Registration of a target, as the target wrote it."""
 
     target_id: str
-    """Unique name of this start of the target."""
+    """Unique name of the target's current run."""
 
     service: str
     """Service that it belongs to."""
 
     host: str
-    """IP number."""
+    """IP address."""
 
     port: int
     """TCP port."""
 
     data_centre: str
-    """Where it runs."""
+    """Data centre in which it runs."""
 
     slots: int
-    """Requests that it works on at the same time."""
+    """Requests that it can work on at the same time."""
 
     phase: Phase
-    """Whether it takes work."""
+    """Whether it accepts new requests."""
 
     born: int
-    """Start of this incarnation, unix milliseconds by the target's own clock; 0 where
-    it is not stated."""
+    """Start time of this incarnation, in Unix milliseconds of the target's own clock;
+    0 if it isn't stated."""
 
     cold_until: float
-    """Until when it is slow after its start, in the reader's clock."""
+    """Time until which it is slow after its start, in seconds of the reader's clock."""
 
     position: int
-    """Place of the entry in the order of all entries ever written."""
+    """Position of the entry among all entries ever written; see `positions`."""
 
     sequence: int = 0
-    """Number of the entry among those of this start of the target."""
+    """Number of the entry among those that this incarnation has written."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Removal:
-    """A target whose entry was removed."""
+    """Removal of a target's entry from the store."""
 
     target_id: str
-    """Its name."""
+    """Name of the target."""
 
     position: int
-    """Place of the removal in the order of all entries ever written."""
+    """Position of the removal among all entries ever written; see `positions`."""
 
 
 Change = Entry | Removal
 
 
 class Registry:
-    """All targets known, and what is known of their leaving.
+    """Known targets, with the removals that are not final yet.
 
-    Changes come from the store and from peers, which read it at different times. Only
-    what stands later in the order of entries counts, so that an old page or a slow
-    peer cannot bring back a target that has left.
+    Changes come from the store and from peers, which read it at different times. A
+    change applies only if its position is higher than that of the latest one for the
+    same target, so that a stale page or a slow peer can't restore a target that has
+    left.
     """
 
     def __init__(self) -> None:
         self._entries: dict[str, Entry] = {}
         self._positions: dict[str, int] = {}
-        self._lapsing: dict[str, float] = {}
+        self._grace_ends: dict[str, float] = {}
         self._removed: dict[str, Entry] = {}
-        self._listed_to = 0
+        self._listing_end = 0
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def list_entries(self) -> list[Entry]:
-        """Return all entries, draining ones included."""
+        """Return all entries, including those of draining targets."""
         return list(self._entries.values())
 
     def list_registered(self) -> list[Entry]:
-        """Return all entries but those of targets that have vanished.
+        """Return all entries except those that are kept only for a grace time.
 
-        Those are in use for a moment, in case they come back. Whoever learns of them
-        from here would not hear that they are gone, and keep them.
+        Their targets have vanished and stay in use briefly in case they register
+        again. Another VM that received such an entry would not receive its removal
+        and would keep it.
         """
         return [
-            one for one in self._entries.values() if one.target_id not in self._lapsing
+            one
+            for one in self._entries.values()
+            if one.target_id not in self._grace_ends
         ]
 
     def find(self, target_id: str) -> Entry | None:
-        """Return the entry of a target, leaving or not."""
+        """Return the entry of a target in any phase, or None if it is unknown."""
         return self._entries.get(target_id)
 
     def find_usable(self, target_id: str) -> Entry | None:
-        """Return the entry of a target, if it may get new work."""
+        """Return the entry of a target if it may get new requests, else None."""
         entry = self._entries.get(target_id)
         return entry if entry and entry.phase is Phase.READY else None
 
     def list_usable(self, service: str, now: float) -> list[Entry]:
-        """Return the targets of a service that may get new work."""
+        """Return the entries of a service's targets that may get new requests."""
         self.drop_vanished(now)
         return [
             entry
@@ -144,63 +147,69 @@
     def apply(
         self, changes: collections.abc.Iterable[Change], now: float
     ) -> list[Change]:
-        """Take in changes; return those that say more than "still there"."""
-        gone: list[Removal] = []
-        news: list[Change] = []
+        """Apply changes; return those that are more than a heartbeat."""
+        removals: list[Removal] = []
+        effective: list[Change] = []
         for change in changes:
             if change.position <= self._positions.get(change.target_id, -1):
                 continue
-            if change.position < self._listed_to:
-                continue  # The last listing knew of it.
+            if change.position < self._listing_end:
+                continue  # The last listing included it.
             self._positions[change.target_id] = change.position
             if isinstance(change, Removal):
-                gone.append(change)
-            elif self._take_entry(change):
-                news.append(change)
-        return news + self._remove(gone, now)
+                removals.append(change)
+            elif self._store_entry(change):
+                effective.append(change)
+        return effective + self._remove(removals, now)
 
     def replace(
         self, entries: collections.abc.Iterable[Entry], position: int, now: float
     ) -> list[Change]:
-        """Take in a whole listing, read at `position`: what it lacks has gone."""
+        """Apply a full listing, read at `position`; missing targets are removed.
+
+        Returns
+        -------
+        list of Change
+            Changes that are more than a heartbeat.
+        """
         listed = list(entries)
-        names = {entry.target_id for entry in listed}
+        listed_ids = {entry.target_id for entry in listed}
         missing = [
-            Removal(name, position) for name in self._entries if name not in names
+            Removal(name, position) for name in self._entries if name not in listed_ids
         ]
-        if positions.find_era(position) > positions.find_era(self._listed_to):
-            # They write again what the store has lost, if they are still there.
-            for gone in missing:
-                self._lapsing.setdefault(gone.target_id, now + REWRITE_GRACE_S)
+        if positions.find_era(position) > positions.find_era(self._listing_end):
+            # Targets that still run write the entries that the store has lost again.
+            for removal in missing:
+                self._grace_ends.setdefault(removal.target_id, now + REWRITE_GRACE_S)
             missing = []
-        # Entries of the listing are older than its end.
-        self._listed_to = 0
-        news = self.apply([*listed, *missing], now)
-        self._listed_to = position
-        return news
+        # Entries of the listing have positions below its end, and still apply.
+        self._listing_end = 0
+        effective = self.apply([*listed, *missing], now)
+        self._listing_end = position
+        return effective
 
     def remove_misplaced(self, target_id: str) -> None:
-        """Drop a target at whose address another one answered."""
+        """Drop a target at whose address another target answered."""
         self._entries.pop(target_id, None)
 
-    def _take_entry(self, entry: Entry) -> bool:
+    def _store_entry(self, entry: Entry) -> bool:
         if self._is_outdated(entry):
             return False
         known = self._entries.get(entry.target_id)
-        # A heartbeat that was held up may arrive after its sender started again.
+        # A delayed heartbeat may arrive after its target has restarted.
         if known is not None and entry.born < known.born:
             return False
-        self._lapsing.pop(entry.target_id, None)
+        self._grace_ends.pop(entry.target_id, None)
         self._removed.pop(entry.target_id, None)
         self._entries[entry.target_id] = entry
-        return known is None or _differs(known, entry)
+        return known is None or _changes_state(known, entry)
 
     def _is_outdated(self, entry: Entry) -> bool:
-        """Return whether an entry of a later era says what was known before it.
+        """Return whether an entry of a later era is older than the known one.
 
-        A store that returns from a copy shows what its targets wrote before the copy
-        was made: one that has left since would be ready again. Within an era the order
-        of the entries decides.
+        A store that is restored from a copy lists what its targets wrote before the
+        copy was made, so that a target that has left since would become ready again.
+        Within an era, the position of entries decides.
         """
         current = self._entries.get(entry.target_id)
         known = current or self._removed.get(entry.target_id)
@@ -208,61 +217,63 @@
             return False
         if positions.find_era(entry.position) <= positions.find_era(known.position):
             return False
-        # One that is in use may write the same again; one that was removed has left.
-        is_again = current is not None and entry.sequence == known.sequence
-        return entry.sequence <= known.sequence and not is_again
+        # A target in use may write the same entry again; a removed one has left.
+        is_repeat = current is not None and entry.sequence == known.sequence
+        return entry.sequence <= known.sequence and not is_repeat
 
-    def _remove(self, gone: list[Removal], now: float) -> list[Change]:
-        """Remove targets, slowly where many vanish at the same moment.
+    def _remove(self, removals: list[Removal], now: float) -> list[Change]:
+        """Remove targets, after a grace time if many vanish at the same moment.
 
-        While the store is away the leases of live targets run out, and all of a
-        service may vanish at once though they serve on. Refusing everything until
-        they have registered again would cost seconds of service; a target that has
-        really left is still dropped before it may get no more work.
+        While the store is unavailable, the leases of running targets expire, and all
+        targets of a service may vanish at once although they still serve. Refusing all
+        requests until they have registered again would cost seconds of service. A
+        target that has really left is still dropped before it may get no more requests.
         """
         removed: list[Change] = []
-        known = [one for one in gone if one.target_id in self._entries]
+        known = [one for one in removals if one.target_id in self._entries]
         for one in known:
             entry = self._entries[one.target_id]
-            self._note_removed(entry)
+            self._keep_removed(entry)
             removed.append(one)
-            if entry.phase is Phase.READY and self._is_lapse(entry.service, known):
-                self._lapsing.setdefault(one.target_id, now + LEASE_LAPSE_GRACE_S)
+            if entry.phase is Phase.READY and self._is_lease_lapse(
+                entry.service, known
+            ):
+                self._grace_ends.setdefault(one.target_id, now + LEASE_LAPSE_GRACE_S)
             else:
                 del self._entries[one.target_id]
         return removed
 
-    def _note_removed(self, entry: Entry) -> None:
-        """Keep the last entry of a target for a while, the newest of them only."""
+    def _keep_removed(self, entry: Entry) -> None:
+        """Keep the last entry of a target, of the MAX_REMOVED_ENTRIES latest only."""
         self._removed[entry.target_id] = entry
         if len(self._removed) > MAX_REMOVED_ENTRIES:
             del self._removed[next(iter(self._removed))]
 
-    def _is_lapse(self, service: str, gone: list[Removal]) -> bool:
+    def _is_lease_lapse(self, service: str, removals: list[Removal]) -> bool:
         total = sum(1 for one in self._entries.values() if one.service == service)
-        vanished = {one.target_id for one in gone} | self._lapsing.keys()
-        lost = sum(
+        vanished = {one.target_id for one in removals} | self._grace_ends.keys()
+        lost_count = sum(
             1
             for name in vanished
             if name in self._entries and self._entries[name].service == service
         )
-        return lost > 1 and lost > LEASE_LAPSE_SHARE * total
+        return lost_count > 1 and lost_count > LEASE_LAPSE_SHARE * total
 
     def drop_vanished(self, now: float) -> bool:
-        """Drop targets that vanished and did not come back; return whether any did."""
-        due = [name for name, at in self._lapsing.items() if at <= now]
-        for name in due:
-            del self._lapsing[name]
+        """Drop vanished targets whose grace time is over; return whether any were."""
+        expired = [name for name, at in self._grace_ends.items() if at <= now]
+        for name in expired:
+            del self._grace_ends[name]
             self._entries.pop(name, None)
-        return bool(due)
+        return bool(expired)
 
 
-def _differs(known: Entry, entry: Entry) -> bool:
-    """Return whether an entry says more than that its target is still there."""
-    same = dataclasses.replace(
+def _changes_state(known: Entry, entry: Entry) -> bool:
+    """Return whether an entry changes more than a heartbeat does."""
+    refreshed = dataclasses.replace(
         known,
         cold_until=entry.cold_until,
         position=entry.position,
         sequence=entry.sequence,
     )
-    return same != entry
+    return refreshed != entry
--- a/packages/zinniastand-core/src/zinniastand_core/forwarding/__init__.py
+++ b/packages/zinniastand-core/src/zinniastand_core/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""The life of one request at the VM that holds it."""
+"""Decisions on the attempts of one request at the VM that received it."""
--- a/packages/zinniastand-core/src/zinniastand_core/forwarding/plan.py
+++ b/packages/zinniastand-core/src/zinniastand_core/forwarding/plan.py
@@ -1,9 +1,9 @@
-"""What becomes of one request after each attempt: another target, or the one answer.
+"""Decides after each attempt of a request: another target, or the final answer.
 
-The plan holds three promises towards callers. Work that may run only once goes to a
-second target only after proof that the first did not run it. "Not run" is said only
-while every attempt so far is known not to have run. Before the deadline, an attempt
-that is under way is given up only for an answer of another target.
+A plan keeps three promises to callers. Work that may run only once goes to a second
+target only after proof that the first did not run it. The caller is told "not run" only
+if every attempt so far is known not to have run. Before the deadline, an attempt in
+flight is given up only for an answer of another target.
 """
 
 from __future__ import annotations
@@ -19,82 +19,83 @@
     """How one attempt at a target ended."""
 
     ANSWERED = "answered"
-    """A whole success, or an error of the request itself: goes to the caller."""
+    """Complete success, or an error of the request itself; goes to the caller."""
 
     ERROR = "error"
-    """A whole answer by which the target says that it failed; it may have run."""
+    """Complete answer in which the target reports its failure; it may have run."""
 
     BROKEN = "broken"
-    """No whole answer to this request; it may have run."""
+    """No complete answer to this request; it may have run."""
 
     TURNED_AWAY = "turned-away"
-    """The target proved that it did not run the request."""
+    """Refused by the target, with proof that it did not run the request."""
 
     MISPLACED = "misplaced"
-    """Another target lives at that address and did not run it."""
+    """Another target answered at that address and did not run the request."""
 
     UNREACHABLE = "unreachable"
-    """No connection was made, so nothing was sent."""
+    """No connection was established, so nothing was sent."""
 
 
 PROVED_NOT_RUN = frozenset({Result.TURNED_AWAY, Result.MISPLACED})
-"""Results of a request that was sent by which the target proves that it has not run."""
+"""Results that prove that a request, though sent, has not run."""
 
 MAX_UNCONNECTED_ATTEMPTS = 6
-"""Attempts that may end without a connection, beyond the route's own limit of targets.
-Each costs up to a connect timeout, so this bounds what a cut-off VM spends."""
+"""Attempts allowed beyond the route's limit of targets, for those that end without a
+connection. Each costs up to a connect timeout, so this limits what a cut-off VM
+spends."""
 
 MIN_TIME_LEFT_S = 0.02
-"""Seconds that must be left for another attempt to make sense: a round trip and the
-quickest work."""
+"""Seconds before the deadline that another attempt needs: a round trip and the quickest
+work."""
 
 
 class Step(enum.StrEnum):
-    """What to do next."""
+    """Next step of a request."""
 
     TRY_AGAIN = "try-again"
-    """Ask for another target."""
+    """Request a slot of another target."""
 
     WAIT = "wait"
-    """Wait for an attempt that is still under way."""
+    """Wait for an attempt that is still in flight."""
 
     RELAY = "relay"
-    """Give the caller the last whole answer."""
+    """Relay the last complete answer to the caller."""
 
     ANSWER_NOT_RUN = "say-not-run"
-    """Tell the caller that the work has not run, and when to come back."""
+    """Answer that the work has not run, and when to try again."""
 
     ANSWER_UNKNOWN = "say-unknown"
-    """Tell the caller that nothing is known of the work."""
+    """Answer that it is unknown whether the work has run."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deadlines:
-    """When things end for one request, in the VM's steady clock."""
+    """Time limits of one request, in seconds of the VM's steady clock."""
 
     objective_at: float
-    """Until when an answer is in time."""
+    """Time until which an answer counts as in time."""
 
     deadline_at: float
-    """When the caller gets a final answer, whatever has happened."""
+    """Time at which the caller gets a final answer, whatever the attempts did."""
 
 
 class Plan:
-    """The plan of one request.
+    """State of one request's attempts, and the decisions that follow from it.
 
     Parameters
     ----------
     route : configuration.Route
-        Its route, as it stood when the request was read.
+        Route in force when the request was read.
     times : Times
-        When things end for it.
+        Time limits of the request.
     """
 
     def __init__(self, route: configuration.Route, times: Deadlines) -> None:
         self._route = route
         self.deadlines = times
         self._attempts = 0
-        self._under_way = 0
+        self._in_flight = 0
         self._sent = 0
         self._committed = 0
         self._proved_not_run = 0
@@ -104,45 +105,45 @@
 
     @property
     def attempts(self) -> int:
-        """Attempts so far."""
+        """Number of attempts started."""
         return self._attempts
 
     @property
     def sent(self) -> int:
-        """Targets that the request was sent to so far."""
+        """Number of targets that the request was sent to."""
         return self._sent
 
     @property
     def may_have_run(self) -> bool:
-        """Whether some target may have run the request."""
+        """Whether any target may have run the request."""
         return self._sent > self._proved_not_run
 
     @property
     def is_answered(self) -> bool:
-        """Whether there is an answer that ends the request."""
+        """Whether an answer has arrived that ends the request."""
         return self._is_answered
 
     @property
     def excluded(self) -> tuple[str, ...]:
-        """Targets that it must not go to again."""
+        """Targets that the request must not go to again."""
         return tuple(self._excluded)
 
     @property
     def may_retry_next(self) -> bool:
-        """Whether the next attempt may be followed by another if it fails."""
+        """Whether another attempt may follow the next one if that fails."""
         return self.is_idempotent and self._committed + 1 < self._route.max_attempts
 
     @property
     def may_send_backup(self) -> bool:
-        """Whether the latest attempt may be followed by another."""
+        """Whether a backup attempt may be sent beside the latest one."""
         return self.is_idempotent and self._committed < self._route.max_attempts
 
     @property
     def committed(self) -> int:
-        """Targets that the request was sent to, or will be by an attempt under way.
+        """Number of targets that the request was sent to, or will be by one in flight.
 
-        One that takes long to connect will be sent all the same. Counted only then, it
-        would let the request go to more targets than its route allows.
+        An attempt that is slow to connect is sent later. If it counted only then, the
+        request could go to more targets than its route allows.
         """
         return self._committed
 
@@ -152,67 +153,70 @@
         return self._route.work is services.Work.IDEMPOTENT
 
     def bring_deadline_forward(self, at: float) -> None:
-        """Bring the deadline forward, if it is later."""
+        """Set the deadline to `at` if it is later than that."""
         deadline_at = min(at, self.deadlines.deadline_at)
         self.deadlines = dataclasses.replace(self.deadlines, deadline_at=deadline_at)
 
     def compensate_suspension(self, seconds: float) -> None:
-        """Take in that the clock has not counted some time."""
+        """Move the deadlines back by the seconds of a suspension.
+
+        The steady clock stood still meanwhile, so they are that much closer.
+        """
         self.deadlines = Deadlines(
             self.deadlines.objective_at - seconds, self.deadlines.deadline_at - seconds
         )
 
     def start_attempt(self, target_id: str) -> None:
-        """Take in that the request goes to a target."""
+        """Record that an attempt at a target starts."""
         self._attempts += 1
-        self._under_way += 1
+        self._in_flight += 1
         self._committed += 1
         self._excluded.append(target_id)
 
     def mark_sent(self) -> None:
-        """Take in that bytes of it are handed to a connection.
+        """Record that bytes of the request are written to a connection.
 
-        From here on it counts as run until the target proves the contrary.
+        From then on the request counts as run until the target proves that it wasn't.
         """
         self._sent += 1
 
     def end_attempt(self, result: Result, now: float) -> Step:
-        """Take in how an attempt ended; return what to do next."""
-        self._under_way -= 1
+        """Record how an attempt ended; return the next step."""
+        self._in_flight -= 1
         if result is Result.ANSWERED:
             self._is_answered = True
         if result is Result.UNREACHABLE:
             self._committed -= 1
         if result in PROVED_NOT_RUN:
-            # Only this attempt is proved not to have run; another one of idempotent
-            # work may have.
+            # The proof holds for this attempt only; another attempt of idempotent
+            # work may have run.
             self._proved_not_run += 1
         if result is Result.ERROR:
             self._has_error = True
         return self.decide_next(now)
 
     def abandon_attempt(self) -> None:
-        """Take in that an attempt was broken off before it ended."""
-        self._under_way -= 1
+        """Record that an attempt was cancelled before it ended."""
+        self._in_flight -= 1
 
     def decide_next(self, now: float) -> Step:
-        """Return what to do next."""
+        """Return the next step by what is known at `now`."""
         if not self._is_answered and self._may_try_again(now):
             return Step.TRY_AGAIN
         return self.give_up()
 
     def give_up(self) -> Step:
-        """Return what to do when no further target will be tried.
+        """Return the next step if no further target will be tried.
 
-        An attempt that is under way may still be answered. Ending the request without
-        it would leave its caller with an error while a target is at work.
+        An attempt in flight may still be answered. Ending the request before that would
+        give its caller an error while a target is working on it.
         """
-        if self._under_way and not self._is_answered:
+        if self._in_flight and not self._is_answered:
             return Step.WAIT
         return self.decide_final()
 
     def decide_final(self) -> Step:
-        """Return the final answer when nobody waits any longer."""
+        """Return the final answer, without waiting for attempts in flight."""
         if self._is_answered or self._has_error:
             return Step.RELAY
         return Step.ANSWER_UNKNOWN if self.may_have_run else Step.ANSWER_NOT_RUN
--- a/packages/zinniastand-core/src/zinniastand_core/quarantine/__init__.py
+++ b/packages/zinniastand-core/src/zinniastand_core/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Which requests crash the targets that run them, and are kept from all targets."""
+"""Quarantine of requests that crash the targets that run them."""
--- a/packages/zinniastand-core/src/zinniastand_core/quarantine/suspect.py
+++ b/packages/zinniastand-core/src/zinniastand_core/quarantine/suspect.py
@@ -1,13 +1,13 @@
-"""What is known of one request that was at targets when they crashed.
+"""Record of one request that targets held when they crashed.
 
 A request that crashes its targets does so wherever it runs, and is never answered. One
 that only shared a target with it, or ran while targets crashed for another reason, is
-answered elsewhere. Several facts tell them apart: crashes in turn, where each attempt
-began after the crash before it, and the last time at which the same request was
-answered. Targets of one rack that fail in the same moment count as one crash.
+answered elsewhere. Two facts tell them apart: consecutive crashes, where each attempt
+began after the crash before it, and the latest time at which the same request was
+answered. Targets of one rack that fail at the same moment count as one crash.
 
 All VMs hold such records and merge them. Records may arrive late, twice and in any
-order: what is known stays, and what is not is added.
+order; merging adds what is missing and repeats change nothing.
 """
 
 from __future__ import annotations
@@ -16,96 +16,101 @@
 import math
 
 CRASHES_TO_QUARANTINE = 3
-"""Crashes in turn from which a request is quarantined, and crashes at any time from
-which it goes to one target at a time."""
+"""Consecutive crashes from which a request is quarantined, and crashes, overlapping or
+not, from which it goes to one target at a time."""
 
 ANSWER_TRUST_DURATION_S = 2.0
-"""Seconds after an answer for which crashes are not held against the same request: less
-than the time within which all VMs must know one that begins to crash its targets."""
+"""Seconds after an answer; crashes of attempts that began before their end are not
+counted against the same request. Must stay below the time within which all VMs must
+know a request that begins to crash its targets."""
 
 INITIAL_HOLD_S = 60.0
-"""Seconds for which a request is quarantined at first. Targets may have crashed for a
-reason that is mended by then."""
+"""Seconds of a request's first quarantine. Targets may have crashed for another reason,
+which is mended by then."""
 
 MAX_HOLD_S = 3600.0
-"""Most seconds for which a request is quarantined at a time."""
+"""Upper limit in seconds of one quarantine."""
 
 TRIAL_DURATION_S = 10.0
-"""Seconds for which a trial keeps others of the same request back: longer than most
+"""Seconds for which a trial holds other attempts of the same request; longer than most
 requests take."""
 
 SHORT_TRIAL_DURATION_S = 2.0
-"""The same while crashes overlap and do not prove much: the trial may have failed for
-another reason, and callers of a sound request should not wait for long."""
+"""Seconds of a trial while too few crashes are consecutive. Overlapping ones prove
+little: the trial may have failed for another reason, and callers of a harmless request
+should not wait for long."""
 
 MAX_CRASHES = 12
-"""Crashes that are kept: the longest hold needs nine in turn."""
+"""Upper limit of crashes kept; the longest hold needs nine consecutive ones."""
 
 MAX_OVERLAP_S = 0.05
-"""Seconds by which attempts in turn may seem to overlap: times travel between VMs as
-ages, which the way lengthens."""
+"""Seconds by which consecutive attempts may seem to overlap. Times are sent between VMs
+as ages, so that network delay makes them look later."""
 
 MAX_OVERLAP_SHARE = 0.5
-"""The same as a share of the attempt. Short work that breaks together in one moment
-would otherwise seem to have begun after it."""
-
+"""The same limit as a share of the attempt's duration. Without it, short attempts that
+break off at the same moment would look as if each began after the other's crash."""
 
 TIME_TOLERANCE_S = 0.25
-"""Seconds by which two times of the same event may differ: each VM that passes it on
-adds the way. Without this, records would seem new for ever."""
+"""Seconds by which two times of the same event may differ. Each VM that forwards a
+record adds its network delay; without a tolerance, VMs would forward it for ever."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Crash:
-    """A target crashed while it held the request; times of a steady clock."""
+    """A crash of a target while it held the request; times are of the steady clock."""
 
     ended_at: float
-    """When the attempt broke off."""
+    """Time at which the attempt broke off."""
 
     duration: float
-    """Seconds from its sending until then."""
+    """Seconds from sending the attempt until it broke off."""
 
     target: str
-    """Which start of which target."""
+    """Target and its incarnation, as one text."""
 
     @property
     def started_at(self) -> float:
-        """When the attempt was sent."""
+        """Time at which the attempt was sent."""
         return self.ended_at - self.duration
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Suspect:
-    """The record of one request."""
+    """Crashes, latest answer and latest trial of one request."""
 
     crashes: tuple[Crash, ...] = ()
-    """Crashes, in the order of their times, one for each target."""
+    """Crashes in the order of their times, at most one for each target incarnation."""
 
     answered_at: float = -math.inf
-    """When a target last answered it."""
+    """Time at which a target last answered the request; -inf for never."""
 
     tried_at: float = -math.inf
-    """When its last trial after a quarantine began."""
+    """Time at which its latest trial began; -inf for never."""
 
     def merge(self, other: Suspect) -> Suspect:
-        """Return what both records know together."""
-        # The way makes times later, so that the earliest is the most exact.
-        both = sorted((*self.crashes, *other.crashes), reverse=True)
-        by_target = {one.target: one for one in both}
-        answered_at = _choose_later(self.answered_at, other.answered_at)
-        counted = [
+        """Return the record with the facts of both; the order does not matter."""
+        # Network delay makes times later, so that the earliest is the most exact.
+        latest_first = sorted((*self.crashes, *other.crashes), reverse=True)
+        by_target = {one.target: one for one in latest_first}
+        answered_at = _choose_later_time(self.answered_at, other.answered_at)
+        counted_crashes = [
             one
             for one in sorted(by_target.values())
             if one.started_at > answered_at + ANSWER_TRUST_DURATION_S
         ]
         return Suspect(
-            tuple(counted[-MAX_CRASHES:]),
+            tuple(counted_crashes[-MAX_CRASHES:]),
             answered_at,
-            _choose_later(self.tried_at, other.tried_at),
+            _choose_later_time(self.tried_at, other.tried_at),
         )
 
     def count_consecutive(self) -> int:
-        """Return how many crashes followed each other, without overlapping."""
+        """Return the number of crashes whose attempts followed each other.
+
+        An attempt that began before the previous counted crash, beyond the tolerated
+        overlap, isn't counted.
+        """
         count, last = 0, -math.inf
         for one in self.crashes:
             overlap = min(MAX_OVERLAP_S, MAX_OVERLAP_SHARE * one.duration)
@@ -116,31 +121,35 @@
 
     @property
     def needs_trial(self) -> bool:
-        """Whether the request may go to one target at a time only."""
+        """Whether the request may go to only one target at a time."""
         return len(self.crashes) >= CRASHES_TO_QUARANTINE
 
     def find_hold_end(self) -> float:
-        """Return until when the request is kept from all targets; -inf for not at all.
+        """Return when the request may go to a target again; -inf for no hold.
 
-        Each further crash doubles the time, as the trials after it tell ever less.
+        Each consecutive crash beyond the limit doubles the hold, since each further
+        trial reveals less.
         """
         if not self.needs_trial:
             return -math.inf
-        beyond = self.count_consecutive() - CRASHES_TO_QUARANTINE
+        extra_crashes = self.count_consecutive() - CRASHES_TO_QUARANTINE
         latest = self.crashes[-1].ended_at
         is_on_trial = self.tried_at > latest
-        if beyond < 0:
+        if extra_crashes < 0:
             return self.tried_at + SHORT_TRIAL_DURATION_S if is_on_trial else -math.inf
-        hold_until = latest + min(MAX_HOLD_S, INITIAL_HOLD_S * 2.0**beyond)
+        hold_until = latest + min(MAX_HOLD_S, INITIAL_HOLD_S * 2.0**extra_crashes)
         trial_until = self.tried_at + TRIAL_DURATION_S if is_on_trial else hold_until
         return max(hold_until, trial_until)
 
     def is_quarantined(self, now: float) -> bool:
-        """Return whether the request is kept from all targets."""
+        """Return whether the request may go to no target now."""
         return now < self.find_hold_end()
 
     def adds_to(self, known: Suspect) -> bool:
-        """Return whether it says more than another record, times apart."""
+        """Return whether this record holds facts that `known` lacks.
+
+        The times of crashes are not compared, only their targets.
+        """
         targets = {one.target for one in self.crashes}
         return (
             targets != {one.target for one in known.crashes}
@@ -149,7 +158,7 @@
         )
 
     def age(self, seconds: float) -> Suspect:
-        """Return the record with all times that much earlier."""
+        """Return the record with all times earlier by some seconds."""
         crashes = tuple(
             Crash(one.ended_at - seconds, one.duration, one.target)
             for one in self.crashes
@@ -157,5 +166,5 @@
         return Suspect(crashes, self.answered_at - seconds, self.tried_at - seconds)
 
 
-def _choose_later(known: float, heard: float) -> float:
-    return heard if heard > known + TIME_TOLERANCE_S else known
+def _choose_later_time(known: float, received: float) -> float:
+    return received if received > known + TIME_TOLERANCE_S else known
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/crash_check.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/crash_check.py
@@ -1,4 +1,4 @@
-"""Tells a target that crashed from one that broke off an answer and lives on."""
+"""Checks whether a target that broke off an answer has crashed or still runs."""
 
 from __future__ import annotations
 
@@ -10,54 +10,62 @@
 from zinniastand_core.deployment import targets
 
 CONNECT_TIMEOUT_S = 0.25
-"""Seconds for a connection. A crashed process refuses it at once, which a busy VM
-notices some hundredths of a second later; silence says nothing, since the link may be
-cut."""
+"""Seconds to wait for a connection. The host of a crashed process refuses it at once,
+which a busy VM sees some hundredths of a second later. No reply proves nothing, since
+the network may be cut."""
 
 BREAK_TOLERANCE_S = 0.05
-"""Seconds by which a check may have begun before an answer broke off: whatever a target
-held when it crashed breaks in the same moment."""
+"""Seconds by which a check may have started before an answer broke off and still count
+for it, since all connections of a crashing target break at the same moment."""
 
 RESULT_RETENTION_S = 0.5
-"""Seconds for which the result of a check is kept."""
+"""Seconds for which the result of a check is kept, from the start of the check."""
 
 
 class CrashCheck:
-    """Finds out whether targets take connections."""
+    """Checks whether targets refuse connections, and shares results among callers."""
 
     def __init__(self) -> None:
-        self._is_down: dict[str, tuple[bool, float]] = {}
-        self._under_way: dict[str, anyio.Event] = {}
+        self._results: dict[str, tuple[bool, float]] = {}
+        self._checks_in_flight: dict[str, anyio.Event] = {}
 
     async def is_down(self, target: targets.Entry, broke_at: float) -> bool:
-        """Return whether a target refuses connections since an answer broke off."""
+        """Return whether a target has refused connections since an answer broke off.
+
+        Parameters
+        ----------
+        target : targets.Entry
+            Target that broke off the answer.
+        broke_at : float
+            Time of that by the event loop's clock, in seconds.
+        """
         name = target.target_id
-        while name in self._under_way:
-            await self._under_way[name].wait()
-        known = self._is_down.get(name)
+        while name in self._checks_in_flight:
+            await self._checks_in_flight[name].wait()
+        known = self._results.get(name)
         if known is not None and known[1] >= broke_at - BREAK_TOLERANCE_S:
             return known[0]
-        began = anyio.current_time()
-        done = self._under_way[name] = anyio.Event()
+        started_at = anyio.current_time()
+        done = self._checks_in_flight[name] = anyio.Event()
         try:
-            is_down = await _refuses(target)
+            is_down = await _refuses_connections(target)
         finally:
-            del self._under_way[name]
+            del self._checks_in_flight[name]
             done.set()
-        self._keep(name, is_down, began)
+        self._store_result(name, is_down, started_at)
         return is_down
 
-    def _keep(self, name: str, is_down: bool, began: float) -> None:
+    def _store_result(self, name: str, is_down: bool, started_at: float) -> None:
         now = anyio.current_time()
-        self._is_down = {
+        self._results = {
             known: result
-            for known, result in self._is_down.items()
+            for known, result in self._results.items()
             if now < result[1] + RESULT_RETENTION_S
         }
-        self._is_down[name] = (is_down, began)
+        self._results[name] = (is_down, started_at)
 
 
-async def _refuses(target: targets.Entry) -> bool:
+async def _refuses_connections(target: targets.Entry) -> bool:
     try:
         with anyio.fail_after(CONNECT_TIMEOUT_S):
             stream = await anyio.connect_tcp(target.host, target.port)
@@ -70,10 +78,10 @@
 
 
 def _is_refusal(error: OSError) -> bool:
-    """Return whether a failure to connect says that nobody listens there."""
-    found: BaseException | None = error
-    while found is not None:
-        if getattr(found, "errno", None) == errno.ECONNREFUSED:
+    """Return whether a connect error means that no process listens on the port."""
+    cause: BaseException | None = error
+    while cause is not None:
+        if getattr(cause, "errno", None) == errno.ECONNREFUSED:
             return True
-        found = found.__cause__
+        cause = cause.__cause__
     return False
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fingerprints.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fingerprints.py
@@ -1,7 +1,7 @@
-"""Names what a request asks for, so that the same request is known when it returns.
+"""Fingerprints of requests, which stay the same when a caller repeats one.
 
-The id that a caller gives a request is new with each attempt, and any VM may get the
-next one. What stays is whom it asks, for what, and as whom.
+The ID that a caller gives a request changes with each attempt, and any VM may receive
+the next one. The method, host, path, credentials and body stay the same.
 """
 
 from __future__ import annotations
@@ -11,20 +11,23 @@
 from . import http_exchange, vocabulary
 
 DIGEST_BYTES = 8
-"""Bytes of a fingerprint: among a million requests two are alike by chance with a
+"""Bytes of a fingerprint. Among a million requests, two have the same by chance with a
 probability of one in ten million."""
 
 SEPARATOR = b"\x00"
-"""Stands between two parts; no method, path or header holds it."""
+"""Byte after each hashed element; no method, path or header contains it."""
 
 
 def make_fingerprint(
     request: http_exchange.Request, host: str, words: vocabulary.Vocabulary
 ) -> str:
-    """Return the fingerprint of a request, in hexadecimal digits."""
+    """Return the fingerprint of a request, in hexadecimal digits.
+
+    Credential headers are included, so that the requests of other callers differ.
+    """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
-    for part in (request.method, host.encode("latin-1", "replace"), request.path):
-        digest.update(part + SEPARATOR)
+    for element in (request.method, host.encode("latin-1", "replace"), request.path):
+        digest.update(element + SEPARATOR)
     for name, value in request.headers:
         if name in words.credentials:
             digest.update(name + SEPARATOR + value + SEPARATOR)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_codec.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_codec.py
@@ -1,4 +1,4 @@
-"""Records of suspected requests as plain values for datagrams."""
+"""Converts records of suspected requests to and from plain values for datagrams."""
 
 from __future__ import annotations
 
@@ -8,14 +8,19 @@
 from zinniastand_core.quarantine import suspect
 
 FINGERPRINT_LENGTH = 16
-MOST_NAME = 128
-"""Characters of a target's name."""
+"""Hexadecimal digits of a fingerprint."""
+
+MAX_TARGET_NAME_LENGTH = 128
+"""Upper limit of characters in a target's name."""
 
 Item = tuple[str, suspect.Suspect]
 
 
 def pack(items: collections.abc.Iterable[Item], now: float) -> list[object]:
-    """Return records as plain values, with times as ages."""
+    """Return records as plain values, with times as ages in seconds.
+
+    Ages are sent since the steady clocks of VMs differ.
+    """
     return [
         [
             fingerprint,
@@ -31,12 +36,12 @@
 
 
 def unpack(rows: list, now: float) -> tuple[Item, ...]:
-    """Return the records in plain values.
+    """Return the records that plain values hold, with ages turned into times.
 
     Raises
     ------
     ValueError
-        If they hold none, or times that cannot be.
+        If a value isn't a record, or an age is negative or infinite.
     """
     return tuple(_unpack(row, now) for row in rows)
 
@@ -44,7 +49,7 @@
 def _unpack(row: list, now: float) -> Item:
     fingerprint, answered, tried, crashes = row
     if not isinstance(fingerprint, str) or len(fingerprint) != FINGERPRINT_LENGTH:
-        raise ValueError("no fingerprint")
+        raise ValueError("suspect record: expected a fingerprint of 16 characters")
     int(fingerprint, 16)
     found = [_unpack_crash(one, now) for one in crashes[: suspect.MAX_CRASHES]]
     answered_at, tried_at = _unpack_time(answered, now), _unpack_time(tried, now)
@@ -54,10 +59,10 @@
 
 def _unpack_crash(row: list, now: float) -> suspect.Crash:
     target, age, took = row
-    if not isinstance(target, str) or len(target) > MOST_NAME:
-        raise ValueError("no target")
+    if not isinstance(target, str) or len(target) > MAX_TARGET_NAME_LENGTH:
+        raise ValueError("suspect record: expected a target name of <= 128 characters")
     if not (0.0 <= age < math.inf and 0.0 <= took < math.inf):
-        raise ValueError("a crash in no time")
+        raise ValueError(f"crash: expected age and duration >= 0, got {age} and {took}")
     return suspect.Crash(now - age, took, target)
 
 
@@ -73,5 +78,5 @@
     if age is None:
         return -math.inf
     if not 0.0 <= age < math.inf:
-        raise ValueError("a time that is still to come")
+        raise ValueError(f"suspect record: expected a finite age >= 0, got {age}")
     return now - age
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_exchange.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_exchange.py
@@ -1,9 +1,10 @@
-"""Tells the fleet which requests are suspected of crashing their targets.
+"""Exchanges records of requests that are suspected of crashing their targets.
 
-A request that crashes its targets returns at any VM, and each sees a crash or two. A VM
-that sees a crash tells a few others, which count. From the second crash on everybody is
-told: whoever learns something new passes it on at once, and tells what it knows to
-some others from time to time, so that VMs that start, wake or were cut off hear it.
+A request that crashes its targets may be repeated at any VM, so that each VM sees only
+a crash or two. A VM that sees a crash sends it to a few others, which count. From the
+second crash on the record is sent to all by gossip: a VM that learns something new
+forwards it at once to a few others, and each VM sends its records to a few others at
+regular intervals, so that VMs that start, resume or were cut off receive them.
 """
 
 from __future__ import annotations
@@ -18,45 +19,45 @@
 from . import datagrams, log_lines, members, peer_link, ports
 
 ANNOUNCE_INTERVAL_S = 0.6
-"""Seconds between two tellings. A VM that has heard nothing hears of it from four
-others meanwhile, on average."""
+"""Seconds between regular announcements. In this time, a VM that has received nothing
+gets an announcement from four others on average."""
 
 FANOUT = 4
-"""VMs that are told at a time. News that each receiver passes on once reach nearly all
-of a fleet so; regular tellings reach the rest."""
+"""VMs that an update is sent to at a time. Forwarded once by each receiver, it reaches
+nearly all of a fleet; regular announcements reach the rest."""
 
-COUNTERS = 3
-"""VMs that count the crashes of one request while only one is known."""
+COUNTING_VMS = 3
+"""VMs that count the crashes of a request while only one crash is known."""
 
 COUNTING_TASKS = 64
-"""Tasks into which requests are divided for counting."""
+"""Tasks among which requests are divided for counting."""
 
-TELL_OWN_FOR = 2.5
-"""Seconds for which a VM tells the crashes that it has seen to those that count: their
-number may change, and datagrams may be lost."""
+OWN_CRASH_REPEAT_DURATION_S = 2.5
+"""Seconds for which a VM repeats a crash that it has seen to the counting VMs, since
+these may change and datagrams may be lost."""
 
-MOST_TOLD = 48
-"""Requests in one datagram, so that it stays well below the largest one."""
+MAX_RECORDS_PER_DATAGRAM = 48
+"""Upper limit of records in a datagram, which keeps it well below the maximum size."""
 
-MOST_OWN = 256
-"""Crashes seen here that are told again."""
+MAX_OWN_CRASHES = 256
+"""Upper limit of requests whose own crashes are repeated."""
 
 
 class SuspectExchange:
-    """Shares what one VM knows of such requests with all others.
+    """Shares one VM's records of suspected requests with all others.
 
     Parameters
     ----------
     known : quarantine.Quarantine
-        What this VM knows.
+        Records of this VM.
     fleet : members.Members
-        The VMs.
+        VMs of the fleet.
     link : peer_link.PeerLink
-        Datagrams to them.
+        Sends datagrams to them.
     log : log_lines.LogLines
-        Requests that are quarantined and cleared.
+        Log of quarantines, trials and clearings.
     rng : random.Random
-        Draws whom to tell.
+        Source of the random choice of receivers.
     """
 
     def __init__(
@@ -67,73 +68,86 @@
         log: log_lines.LogLines,
         rng: random.Random,
     ) -> None:
-        self._known = known
+        self._quarantine = known
         self._fleet = fleet
         self._link = link
         self._log = log
         self._rng = rng
-        self._own: dict[str, float] = {}
+        self._own_crashes_until: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Tell what is known from time to time, until cancelled."""
+        """Announce the records at regular intervals, until cancelled."""
         while True:
             await anyio.sleep(ANNOUNCE_INTERVAL_S)
             now = anyio.current_time()
-            self._known.drop_expired(now)
-            self._tell_counters(now)
-            self._tell_some(self._known.list_shared())
+            self._quarantine.drop_expired(now)
+            self._repeat_own_crashes(now)
+            self._gossip(self._quarantine.list_shared())
 
     def find_hold_end(self, fingerprint: str, now: float) -> float | None:
-        """Return until when a request is kept from targets; None where it is not."""
-        return self._known.find_hold_end(fingerprint, now)
+        """Return when the quarantine of a request ends, or None if it is not in one."""
+        return self._quarantine.find_hold_end(fingerprint, now)
 
     def begin_attempt(self, fingerprint: str, now: float) -> None:
-        """Take in that a request is about to be sent."""
-        if self._known.begin_trial(fingerprint, now):
+        """Record that an attempt of a request starts, which may be a trial."""
+        if self._quarantine.begin_trial(fingerprint, now):
             self._log.write("quarantine_trial", fingerprint=fingerprint)
-            self._tell_some([fingerprint])
+            self._gossip([fingerprint])
 
     def record_crash(
         self, fingerprint: str, target: targets.Entry, started_at: float
     ) -> None:
-        """Take in that a target crashed while it held a request."""
+        """Record that a target crashed while it held a request.
+
+        Parameters
+        ----------
+        fingerprint : str
+            Fingerprint of the request.
+        target : targets.Entry
+            Target that crashed.
+        started_at : float
+            Time at which the attempt was sent, by the event loop's clock in seconds.
+        """
         now = anyio.current_time()
         name = f"{target.target_id}:{target.born}"
         crash = suspect.Crash(now, now - started_at, name)
-        self._take(fingerprint, suspect.Suspect((crash,)), now)
-        if len(self._own) < MOST_OWN or fingerprint in self._own:
-            self._own[fingerprint] = now + TELL_OWN_FOR
-        self._tell_counters_of(fingerprint, now)
+        self._merge(fingerprint, suspect.Suspect((crash,)), now)
+        if (
+            len(self._own_crashes_until) < MAX_OWN_CRASHES
+            or fingerprint in self._own_crashes_until
+        ):
+            self._own_crashes_until[fingerprint] = now + OWN_CRASH_REPEAT_DURATION_S
+        self._send_to_counting_vms(fingerprint, now)
 
     def record_answer(self, fingerprint: str) -> None:
-        """Take in that a target answered a request."""
-        if self._known.record_answer(fingerprint, anyio.current_time()):
+        """Record that a target answered a request, and announce it if it clears one."""
+        if self._quarantine.record_answer(fingerprint, anyio.current_time()):
             self._log.write("quarantine_cleared", fingerprint=fingerprint)
-            self._tell_some([fingerprint])
+            self._gossip([fingerprint])
 
     def apply(self, message: datagrams.Suspects) -> None:
-        """Take in what another VM knows."""
+        """Merge the records that another VM has sent."""
         now = anyio.current_time()
-        for fingerprint, heard in message.items:
-            self._take(fingerprint, heard, now)
+        for fingerprint, received in message.items:
+            self._merge(fingerprint, received, now)
 
     def announce_to(self, member: ports.Member) -> None:
-        """Tell a VM that knows nothing yet."""
-        self._send(self._known.list_shared(), [member])
+        """Send the shared records to a VM that has just started."""
+        self._send(self._quarantine.list_shared(), [member])
 
     def compensate_suspension(self, seconds: float) -> None:
-        """Take in that the clock has not counted some time."""
-        self._known.compensate_suspension(seconds)
+        """Move all times back by the seconds of a suspension."""
+        self._quarantine.compensate_suspension(seconds)
 
     def count_quarantined(self) -> int:
-        """Return how many requests are quarantined."""
-        return self._known.count_quarantined(anyio.current_time())
+        """Return the number of requests that are quarantined now."""
+        return self._quarantine.count_quarantined(anyio.current_time())
 
-    def _take(self, fingerprint: str, heard: suspect.Suspect, now: float) -> None:
-        was_held = self._known.find_hold_end(fingerprint, now) is not None
-        if not self._known.merge(fingerprint, heard):
+    def _merge(self, fingerprint: str, received: suspect.Suspect, now: float) -> None:
+        was_held = self._quarantine.find_hold_end(fingerprint, now) is not None
+        if not self._quarantine.merge(fingerprint, received):
             return
-        found = self._known.find(fingerprint)
+        found = self._quarantine.find(fingerprint)
         if found is None:
             return
         if found.is_quarantined(now) and not was_held:
@@ -144,38 +158,42 @@
                 seconds=round(found.find_hold_end() - now, 1),
             )
         if quarantine.is_shared(found):
-            self._tell_some([fingerprint])
-
-    def _tell_counters(self, now: float) -> None:
-        """Tell again what was seen here lately to those who count it now."""
-        self._own = {name: until for name, until in self._own.items() if until > now}
-        for fingerprint in self._own:
-            self._tell_counters_of(fingerprint, now)
-
-    def _tell_counters_of(self, fingerprint: str, now: float) -> None:
-        found = self._known.find(fingerprint)
+            self._gossip([fingerprint])
+
+    def _repeat_own_crashes(self, now: float) -> None:
+        """Repeat the crashes seen here recently to the VMs that count them now."""
+        self._own_crashes_until = {
+            name: until
+            for name, until in self._own_crashes_until.items()
+            if until > now
+        }
+        for fingerprint in self._own_crashes_until:
+            self._send_to_counting_vms(fingerprint, now)
+
+    def _send_to_counting_vms(self, fingerprint: str, now: float) -> None:
+        found = self._quarantine.find(fingerprint)
         if found is None or quarantine.is_shared(found):
             return
         number = int(fingerprint[:8], 16) % COUNTING_TASKS
         ranked = self._fleet.rank_heard(f"count crashes {number}", now)
-        counting = [self._fleet.find(vm) for vm in ranked[:COUNTERS]]
+        counting = [self._fleet.find(vm) for vm in ranked[:COUNTING_VMS]]
         own = self._fleet.own.vm
         others = [one for one in counting if one is not None and one.vm != own]
         self._send([fingerprint], others)
 
-    def _tell_some(self, fingerprints: list[str]) -> None:
+    def _gossip(self, fingerprints: list[str]) -> None:
         others = self._fleet.list_others()
-        told = self._rng.sample(others, min(FANOUT, len(others)))
-        self._send(fingerprints, told)
+        receivers = self._rng.sample(others, min(FANOUT, len(others)))
+        self._send(fingerprints, receivers)
 
-    def _send(self, fingerprints: list[str], told: list[ports.Member]) -> None:
-        if not fingerprints or not told:
+    def _send(self, fingerprints: list[str], receivers: list[ports.Member]) -> None:
+        if not fingerprints or not receivers:
             return
-        if len(fingerprints) > MOST_TOLD:
-            fingerprints = self._rng.sample(fingerprints, MOST_TOLD)
+        if len(fingerprints) > MAX_RECORDS_PER_DATAGRAM:
+            fingerprints = self._rng.sample(fingerprints, MAX_RECORDS_PER_DATAGRAM)
         items = tuple(
             (name, found)
             for name in fingerprints
-            if (found := self._known.find(name)) is not None
+            if (found := self._quarantine.find(name)) is not None
         )
-        self._link.send_many(datagrams.Suspects(items), told)
+        self._link.send_many(datagrams.Suspects(items), receivers)
--- a/soak/plants.py
+++ b/soak/plants.py
@@ -137,7 +137,7 @@
         (
             Change(
                 f"{CORE}/deployment/targets.py",
-                "return entry.sequence <= known.sequence and not is_again",
+                "return entry.sequence <= known.sequence and not is_repeat",
                 "return False",
             ),
         ),
