--- a/bench/least_busy.py
+++ b/bench/least_busy.py
@@ -16,7 +16,7 @@
         self._strike = strike
         self._rng = rng
 
-    def ask(self, ask: messages.Ask, now: float) -> list[messages.Decision]:
+    def ask(self, ask: messages.SlotRequest, now: float) -> list[messages.Decision]:
         """Send at once, to one that has not failed lately if there is any."""
         usable = [name for name in self._busy if name not in ask.excluded]
         spared = [name for name in usable if self._struck.get(name, 0.0) <= now]
--- a/bench/load_model.py
+++ b/bench/load_model.py
@@ -54,7 +54,7 @@
 class Policy(typing.Protocol):
     """Decides where requests go."""
 
-    def ask(self, ask: messages.Ask, now: float) -> list[messages.Decision]:
+    def ask(self, ask: messages.SlotRequest, now: float) -> list[messages.Decision]:
         """Take in a request."""
         ...
 
@@ -227,7 +227,7 @@
         ticket = f"{request.number}/{request.attempt}/{request.returns}"
         self._open[ticket] = request
         kind = request.kind
-        ask = messages.Ask(
+        ask = messages.SlotRequest(
             ticket,
             SHARD,
             kind.name,
--- a/bench/shard_model.py
+++ b/bench/shard_model.py
@@ -45,7 +45,7 @@
         self._choosers = [shards.Chooser("a", self._rng) for _ in range(VMS)]
         self._shard_of: dict[str, shards.Shard] = {}
 
-    def ask(self, ask: messages.Ask, now: float) -> list[messages.Decision]:
+    def ask(self, ask: messages.SlotRequest, now: float) -> list[messages.Decision]:
         """Ask in one shard, and in another where the first refuses."""
         chooser = self._rng.choice(self._choosers)
         refused: list[shards.Shard] = []
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
@@ -60,7 +60,7 @@
 class _Grant:
     """A slot in use."""
 
-    ask: messages.Ask
+    ask: messages.SlotRequest
     target_id: str
     started_at: float
     expected: float
@@ -124,7 +124,7 @@
         self.pool.update(entries, now)
         return self._serve_queue(now)
 
-    def ask(self, ask: messages.Ask, now: float) -> list[messages.Decision]:
+    def ask(self, ask: messages.SlotRequest, now: float) -> list[messages.Decision]:
         """Take in a request; an ask that came before gets its first answer again."""
         if ask.is_first:
             # Also one that is refused: it is a request for the service all the same.
@@ -168,11 +168,11 @@
             self._learn(state, granted, report, now)
         return self._serve_queue(now)
 
-    def adopt(self, held: messages.Held, now: float) -> None:
+    def adopt(self, held: messages.HeldSlot, now: float) -> None:
         """Take over a slot that another dispatcher gave."""
         state = self.pool.find(held.target_id)
-        if state is not None and held.ask.ticket not in self._grants:
-            self._start(held.ask, state, now, is_retry=False)
+        if state is not None and held.slot_request.ticket not in self._grants:
+            self._start(held.slot_request, state, now, is_retry=False)
 
     def wake(self, now: float) -> list[messages.Decision]:
         """Act on the time: notice slow targets, take lost slots back, end waits."""
@@ -249,7 +249,7 @@
 
     def _start(
         self,
-        ask: messages.Ask,
+        ask: messages.SlotRequest,
         state: pool.TargetState,
         now: float,
         is_retry: bool,
@@ -321,7 +321,7 @@
         self._kinds.add(kind, took / max(1.0, slowness))
 
     def _refuse(
-        self, ask: messages.Ask, reason: messages.RefusalReason, now: float
+        self, ask: messages.SlotRequest, reason: messages.RefusalReason, now: float
     ) -> messages.Refuse:
         """Refuse, and spread the returns over the time that the queue needs."""
         self._level.add(is_served=False, now=now)
@@ -342,7 +342,7 @@
         if one.ask.attempt > 1:
             self._retries.release()
 
-    def _find_rank(self, ask: messages.Ask, now: float) -> int:
+    def _find_rank(self, ask: messages.SlotRequest, now: float) -> int:
         """Return the rank of a request in the queue.
 
         Load pattern: high load, a third of the targets failing. Idempotent work finds
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/messages.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/messages.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ask:
+class SlotRequest:
     """A request wants a target."""
 
     ticket: str
@@ -43,7 +43,7 @@
     excluded: tuple[str, ...] = ()
     """Targets that this request or this VM must not use."""
 
-    open_to: tuple[str, ...] = ()
+    connected_targets: tuple[str, ...] = ()
     """Targets to which the VM has an idle connection that may carry the work."""
 
     is_first: bool = True
@@ -61,10 +61,10 @@
     target_id: str
     """The target."""
 
-    doubt: float
+    failure_probability: float
     """Believed probability that the target fails the request, for the log."""
 
-    expected: float
+    expected_duration: float
     """Seconds that the work is expected to take there."""
 
     pressure: float = shards.USUAL_PRESSURE
@@ -177,10 +177,10 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Held:
+class HeldSlot:
     """A grant that its VM still uses, told to a dispatcher that takes over."""
 
-    ask: Ask
+    slot_request: SlotRequest
     """The ask."""
 
     target_id: str
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/pool.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/pool.py
@@ -321,7 +321,7 @@
         return not self._states
 
     def find_best(
-        self, ask: messages.Ask, ease: float, now: float, unserved: float = 0.0
+        self, ask: messages.SlotRequest, ease: float, now: float, unserved: float = 0.0
     ) -> Offer | None:
         """Return the cheapest target with a free slot, if there is one.
 
@@ -388,7 +388,7 @@
         self._capacity = proved or doubtful
 
     def _price(
-        self, state: TargetState, ask: messages.Ask, ease: float, now: float
+        self, state: TargetState, ask: messages.SlotRequest, ease: float, now: float
     ) -> Offer:
         doubt = state.find_doubt(now)
         expected = self._kinds.find_mean(ask.kind) * state.find_slowness(now)
@@ -397,7 +397,7 @@
         price += LOAD_PRICE * load * load * self._policy.load_price
         if state.entry.data_centre != ask.data_centre:
             price += DISTANCE_PRICE
-        if state.entry.target_id not in ask.open_to:
+        if state.entry.target_id not in ask.connected_targets:
             price += CONNECTION_PRICE * self._policy.connection_price
         if not ask.may_retry or ease <= 0.0:
             return Offer(state.entry.target_id, price + doubt, doubt)
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/waiting.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/waiting.py
@@ -52,7 +52,7 @@
     ticket: str
     """Names the ask."""
 
-    ask: messages.Ask = dataclasses.field(compare=False)
+    ask: messages.SlotRequest = dataclasses.field(compare=False)
     """The ask."""
 
 
@@ -183,7 +183,7 @@
         work = sum(self._kinds.find_mean(one.ask.kind) for one in ahead)
         return (work + self._kinds.find_mean(waiting.ask.kind)) / capacity
 
-    def _may_wait(self, ask: messages.Ask, wait: float, now: float) -> bool:
+    def _may_wait(self, ask: messages.SlotRequest, wait: float, now: float) -> bool:
         """Return whether a request may wait that long for its turn."""
         mean = self._kinds.find_mean(ask.kind)
         left = ask.objective_at - now
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/attempt_ends.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/attempt_ends.py
@@ -23,7 +23,7 @@
 class Place:
     """A slot of a target that this request holds."""
 
-    ask: messages.Ask
+    ask: messages.SlotRequest
     """What was asked."""
 
     grant: messages.Grant
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
@@ -159,7 +159,7 @@
     vm: str
     """The VM."""
 
-    ask: messages.Ask
+    ask: messages.SlotRequest
     """What it asks."""
 
 
@@ -170,7 +170,7 @@
     vm: str
     """The VM."""
 
-    held: messages.Held
+    held: messages.HeldSlot
     """The slot."""
 
 
@@ -288,7 +288,7 @@
             return ["a", message.vm, *_pack_ask(message.ask, now)]
         case Adopted():
             held = message.held
-            return ["k", message.vm, held.target_id, *_pack_ask(held.ask, now)]
+            return ["k", message.vm, held.target_id, *_pack_ask(held.slot_request, now)]
         case Suspects():
             return ["s", suspect_codec.pack(message.items, now)]
         case Retries():
@@ -347,7 +347,7 @@
         case "e":
             return _unpack_report(rest)
         case "k":
-            held = messages.Held(_unpack_ask(rest[2:], now), rest[1])
+            held = messages.HeldSlot(_unpack_ask(rest[2:], now), rest[1])
             return Adopted(rest[0], held)
         case _:
             raise UnreadableError(f"unknown kind {kind!r:.20}")
@@ -372,7 +372,7 @@
     return [shard.service, shard.data_centre, shard.index, shard.count]
 
 
-def _pack_ask(ask: messages.Ask, now: float) -> list[object]:
+def _pack_ask(ask: messages.SlotRequest, now: float) -> list[object]:
     return [
         *_pack_shard(ask.shard),
         ask.ticket,
@@ -384,15 +384,15 @@
         ask.attempt,
         ask.data_centre,
         list(ask.excluded),
-        list(ask.open_to),
+        list(ask.connected_targets),
         ask.is_first,
     ]
 
 
-def _unpack_ask(fields: list, now: float) -> messages.Ask:
+def _unpack_ask(fields: list, now: float) -> messages.SlotRequest:
     ticket, kind, may_retry, priority, objective, deadline = fields[4:10]
     attempt, data_centre, excluded, open_to, is_first = fields[10:]
-    return messages.Ask(
+    return messages.SlotRequest(
         ticket,
         shards.Shard(*fields[:4]),
         kind,
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/desk.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/desk.py
@@ -110,7 +110,7 @@
         """Return whether any target of a shard may get work, as far as known."""
         return bool(self._list_targets(shard, now))
 
-    def ask(self, vm: str, ask: messages.Ask, now: float) -> None:
+    def ask(self, vm: str, ask: messages.SlotRequest, now: float) -> None:
         """Take in an ask of a VM; decisions go out through `deliver`."""
         self._askers[ask.ticket] = (vm, now + KEEP_ASKER)
         self._used_at[ask.shard] = now
@@ -129,10 +129,10 @@
         self._send(self._open(report.shard, now).report(report, now))
         self.retries.announce_untold(report.shard.service)
 
-    def adopt(self, vm: str, held: messages.Held, now: float) -> None:
+    def adopt(self, vm: str, held: messages.HeldSlot, now: float) -> None:
         """Take over a slot that another dispatcher gave to a VM."""
-        self._askers[held.ask.ticket] = (vm, now + KEEP_ASKER)
-        self._open(held.ask.shard, now).adopt(held, now)
+        self._askers[held.slot_request.ticket] = (vm, now + KEEP_ASKER)
+        self._open(held.slot_request.shard, now).adopt(held, now)
 
     def update_targets(self, now: float) -> None:
         """Use the targets that the registry knows now."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
@@ -101,7 +101,7 @@
         self._log = log
         self._desk: desk.Desk | None = None
         self._pending: dict[str, _Pending] = {}
-        self._held: dict[str, messages.Held] = {}
+        self._held: dict[str, messages.HeldSlot] = {}
         self._granters: dict[str, list[_Granter]] = {}
         self._dispatcher_of: dict[shards.Shard, str] = {}
 
@@ -109,7 +109,7 @@
         """Decide by these dispatchers where no other VM answers."""
         self._desk = own
 
-    async def acquire(self, ask: messages.Ask) -> Answer:
+    async def acquire(self, ask: messages.SlotRequest) -> Answer:
         """Return a target, or why there is none.
 
         The ask names a service as a whole; it is placed in one of its shards.
@@ -132,7 +132,7 @@
             refused.append(shard)
         return answer
 
-    async def _acquire_in(self, ask: messages.Ask) -> Answer:
+    async def _acquire_in(self, ask: messages.SlotRequest) -> Answer:
         pending = self._pending[ask.ticket] = _Pending()
         silent: set[str] = set()
         vm = self._choose_dispatcher(ask.shard, silent)
@@ -150,7 +150,7 @@
             if answer is None:
                 self._withdraw(vm, ask)
 
-    def _move_on(self, vm: str, ask: messages.Ask, silent: set[str]) -> str:
+    def _move_on(self, vm: str, ask: messages.SlotRequest, silent: set[str]) -> str:
         """Leave a dispatcher without an answer; return the one to ask next."""
         self._withdraw(vm, ask)
         now = anyio.current_time()
@@ -199,7 +199,7 @@
         return self._desk.list_shards(service)
 
     async def _ask(
-        self, vm: str, ask: messages.Ask, pending: _Pending, silent: set[str]
+        self, vm: str, ask: messages.SlotRequest, pending: _Pending, silent: set[str]
     ) -> Answer | None:
         """Return one VM's answer, or None where it gives none or is superseded."""
         self._hand_over(ask.shard, vm)
@@ -222,7 +222,9 @@
             misses = 0 if pending.is_heard else misses + 1
         return None
 
-    def _judge(self, pending: _Pending, vm: str, ask: messages.Ask) -> Answer | None:
+    def _judge(
+        self, pending: _Pending, vm: str, ask: messages.SlotRequest
+    ) -> Answer | None:
         """Return a VM's answer, or None where it knows less than this one.
 
         Load pattern: many VMs start at once. One that ranks first for a shard is asked
@@ -244,7 +246,7 @@
             while pending.answer is None:
                 await pending.changed.wait()
 
-    def _send_ask(self, vm: str, ask: messages.Ask, now: float) -> None:
+    def _send_ask(self, vm: str, ask: messages.SlotRequest, now: float) -> None:
         own = self._fleet.own.vm
         if vm == own and self._desk is not None:
             self._desk.ask(own, ask, now)
@@ -262,22 +264,22 @@
             return
         self._dispatcher_of[shard] = vm
         for ticket, held in list(self._held.items()):
-            if held.ask.shard.service != shard.service:
+            if held.slot_request.shard.service != shard.service:
                 continue
             if self._desk is not None and self._desk.covers(shard, held.target_id):
-                ask = dataclasses.replace(held.ask, shard=shard)
+                ask = dataclasses.replace(held.slot_request, shard=shard)
                 moved = self._held[ticket] = dataclasses.replace(held, ask=ask)
                 self._granters.setdefault(ticket, []).append(_Granter(vm, shard))
                 self._tell(vm, datagrams.Adopted(self._fleet.own.vm, moved))
 
-    def _take(self, ask: messages.Ask, vm: str, answer: Answer) -> Answer:
+    def _take(self, ask: messages.SlotRequest, vm: str, answer: Answer) -> Answer:
         if isinstance(answer, messages.Grant):
             self._granters[ask.ticket] = [_Granter(vm, ask.shard)]
-            self._held[ask.ticket] = messages.Held(ask, answer.target_id)
+            self._held[ask.ticket] = messages.HeldSlot(ask, answer.target_id)
             return dataclasses.replace(answer, dispatcher=vm)
         return answer
 
-    def _withdraw(self, vm: str, ask: messages.Ask) -> None:
+    def _withdraw(self, vm: str, ask: messages.SlotRequest) -> None:
         """Give back what an ask may get after nobody waits for it any more."""
         report = messages.Report(
             ask.ticket,
@@ -302,5 +304,5 @@
                 self._desk.adopt(own, message.held, now)
 
 
-def _refuse_late(ask: messages.Ask) -> messages.Refuse:
+def _refuse_late(ask: messages.SlotRequest) -> messages.Refuse:
     return messages.Refuse(ask.ticket, messages.RefusalReason.TOO_LATE, ask.deadline_at)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/ports.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/ports.py
@@ -119,7 +119,9 @@
 class SlotSource(typing.Protocol):
     """Where requests get slots of targets."""
 
-    async def acquire(self, ask: messages.Ask) -> messages.Grant | messages.Refuse:
+    async def acquire(
+        self, ask: messages.SlotRequest
+    ) -> messages.Grant | messages.Refuse:
         """Return a slot of a target, or why there is none."""
         ...
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
@@ -193,11 +193,14 @@
     def _find_overdue(self, grant: messages.Grant, now: float) -> float:
         """Return from when on another target is tried too; infinite for never."""
         left = self._plan.times.deadline_at - now
-        factor = OVERDUE_FACTOR + (OVERDUE_IN_DOUBT - OVERDUE_FACTOR) * grant.doubt
-        overdue = max(LEAST_OVERDUE, factor * grant.expected)
+        factor = (
+            OVERDUE_FACTOR
+            + (OVERDUE_IN_DOUBT - OVERDUE_FACTOR) * grant.failure_probability
+        )
+        overdue = max(LEAST_OVERDUE, factor * grant.expected_duration)
         if not self._plan.may_back_up:
             return math.inf
-        if left - overdue <= OVERDUE_LEFT * grant.expected:
+        if left - overdue <= OVERDUE_LEFT * grant.expected_duration:
             return math.inf
         return now + overdue
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_messages.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_messages.py
@@ -23,10 +23,10 @@
     route: configuration.Route,
     service: str,
     now: float,
-) -> messages.Ask:
+) -> messages.SlotRequest:
     """Return the ask for a target of a service."""
     unreachable = parts.unreachable.list_current(now)
-    return messages.Ask(
+    return messages.SlotRequest(
         ticket=parts.make_ticket(),
         shard=shards.Shard(service),
         kind=route.name,
@@ -37,7 +37,7 @@
         attempt=request_plan.committed + 1,
         data_centre=parts.data_centre,
         excluded=tuple(sorted({*request_plan.excluded, *unreachable})),
-        open_to=tuple(_list_open(parts, route, service, now)),
+        connected_targets=tuple(_list_open(parts, route, service, now)),
         is_first=request_plan.attempts == 0,
     )
 
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -43,8 +43,8 @@
     return one
 
 
-def make_ask(ticket: str, now: float = 0.0, **changes: object) -> messages.Ask:
-    ask = messages.Ask(
+def make_ask(ticket: str, now: float = 0.0, **changes: object) -> messages.SlotRequest:
+    ask = messages.SlotRequest(
         ticket=ticket,
         shard=shards.Shard("desk"),
         kind="write",
@@ -332,7 +332,7 @@
     # The VM that dispatched was killed. Its successor would give every slot a second
     # time, and targets would turn the work away.
     one = make_dispatcher("a")
-    one.adopt(messages.Held(make_ask("old"), "a"), 0.0)
+    one.adopt(messages.HeldSlot(make_ask("old"), "a"), 0.0)
     assert one.ask(make_ask("1"), 0.0) == [messages.Wait("1")]
     decisions = report(one, "old", "a", Outcome.GOOD, 0.2)
     assert grant_of(decisions, "1").target_id == "a"
@@ -358,4 +358,4 @@
         )
         one.report(told, 0.0)
     grant = grant_of(one.ask(make_ask("x"), 0.0), "x")
-    assert grant.expected == pytest.approx(work_times.FIRST_GUESS)
+    assert grant.expected_duration == pytest.approx(work_times.FIRST_GUESS)
--- a/tests/dispatch/test_rate_limit.py
+++ b/tests/dispatch/test_rate_limit.py
@@ -107,7 +107,7 @@
         now = number * STEP
         decisions = one.wake(now)
         if number % max(1, round(1 / (rate * STEP))) == 0:
-            ask = messages.Ask(
+            ask = messages.SlotRequest(
                 f"k{number}", SHARD, "w", False, 1, now + 0.6, now + 1.2, 1, "a"
             )
             decisions += one.ask(ask, now)
--- a/tests/dispatch/test_retries_sent.py
+++ b/tests/dispatch/test_retries_sent.py
@@ -20,7 +20,9 @@
 ENTRY = targets.Entry(
     "a", "desk", "127.0.0.1", 80, "a", 1, targets.Phase.READY, 1, 0.0, 1
 )
-RETRY = messages.Ask("r", SHARD, "write", False, 1, 15.0, 30.0, 2, "a", is_first=False)
+RETRY = messages.SlotRequest(
+    "r", SHARD, "write", False, 1, 15.0, 30.0, 2, "a", is_first=False
+)
 
 
 def make_dispatcher(
@@ -83,7 +85,7 @@
 def test_retry_that_another_dispatcher_gave_is_not_given_back_here() -> None:
     # Guards against retries that are given back by each VM that counts the slot.
     one, window = make_dispatcher(retries=1.0)
-    one.adopt(messages.Held(RETRY, "a"), 0.0)
+    one.adopt(messages.HeldSlot(RETRY, "a"), 0.0)
     report(one, "r", messages.Outcome.UNREACHABLE, 0.1)
     assert window.find_left(0.1) == pytest.approx(1.0)
 
--- a/tests/edge/test_datagrams.py
+++ b/tests/edge/test_datagrams.py
@@ -15,7 +15,9 @@
 from zinniastand_proxy.edge import datagrams, ports
 
 SHARD = shards.Shard("desk", "a", 1, 4)
-ASK = messages.Ask("vm:1:2", SHARD, "r", True, 1, 0.5, 1.5, 2, "a", ("t1", "t2"))
+ASK = messages.SlotRequest(
+    "vm:1:2", SHARD, "r", True, 1, 0.5, 1.5, 2, "a", ("t1", "t2")
+)
 ENTRY = targets.Entry(
     "t1", "desk", "10.0.0.1", 80, "a", 3, targets.Phase.DRAINING, 7, 4.0, 12
 )
@@ -33,7 +35,7 @@
         "vm-1",
     ),
     datagrams.Asked("vm-1", ASK),
-    datagrams.Adopted("vm-1", messages.Held(ASK, "t1")),
+    datagrams.Adopted("vm-1", messages.HeldSlot(ASK, "t1")),
     datagrams.Suspects(
         (
             (
--- a/tests/edge/test_desk.py
+++ b/tests/edge/test_desk.py
@@ -22,7 +22,7 @@
 
 pytestmark = pytest.mark.anyio
 
-ASK = messages.Ask(
+ASK = messages.SlotRequest(
     "t", shards.Shard("desk"), "r", True, 1, 0.0, 0.0, 2, "a", is_first=False
 )
 
--- a/tests/edge/test_earned_retries.py
+++ b/tests/edge/test_earned_retries.py
@@ -19,9 +19,11 @@
 
     def __init__(self, names: list[str]) -> None:
         super().__init__(names)
-        self.asked: list[messages.Ask] = []
+        self.asked: list[messages.SlotRequest] = []
 
-    async def acquire(self, ask: messages.Ask) -> messages.Grant | messages.Refuse:
+    async def acquire(
+        self, ask: messages.SlotRequest
+    ) -> messages.Grant | messages.Refuse:
         """Return the next target."""
         self.asked.append(ask)
         return await super().acquire(ask)
--- a/tests/edge/test_placement.py
+++ b/tests/edge/test_placement.py
@@ -86,8 +86,8 @@
     def now(self) -> float:
         return anyio.current_time()
 
-    def make_ask(self, ticket: str = "t:1") -> messages.Ask:
-        return messages.Ask(
+    def make_ask(self, ticket: str = "t:1") -> messages.SlotRequest:
+        return messages.SlotRequest(
             ticket,
             shards.Shard(self.service),
             "r",
@@ -189,7 +189,7 @@
     one.fleet.suspect(one.first, one.now)
     await one.placement.acquire(one.make_ask("t:2"))
     adopted = [
-        (vm, message.held.ask.ticket)
+        (vm, message.held.slot_request.ticket)
         for vm, message in one.link.sent_messages
         if isinstance(message, datagrams.Adopted)
     ]
@@ -322,9 +322,10 @@
     for n in range(40):
         await one.placement.acquire(one.make_ask(f"n:{n}"))
     moved = [
-        message.held.ask.shard
+        message.held.slot_request.shard
         for _, message in one.link.sent_messages
-        if isinstance(message, datagrams.Adopted) and message.held.ask.ticket == "t:1"
+        if isinstance(message, datagrams.Adopted)
+        and message.held.slot_request.ticket == "t:1"
     ]
     entry = one.registry.find("t1")
     assert entry is not None
--- a/tests/edge/test_run_races.py
+++ b/tests/edge/test_run_races.py
@@ -52,7 +52,9 @@
 class InstantSlots(runs.ScriptedSlots):
     """Grants without a wait, as a VM's own dispatcher does."""
 
-    async def acquire(self, ask: messages.Ask) -> messages.Grant | messages.Refuse:
+    async def acquire(
+        self, ask: messages.SlotRequest
+    ) -> messages.Grant | messages.Refuse:
         """Return the next target."""
         if not self.names:
             reason = messages.RefusalReason.OVERLOADED
--- a/tests/scripted_run.py
+++ b/tests/scripted_run.py
@@ -75,7 +75,9 @@
         self.names = list(names)
         self.outcomes: list[messages.Outcome] = []
 
-    async def acquire(self, ask: messages.Ask) -> messages.Grant | messages.Refuse:
+    async def acquire(
+        self, ask: messages.SlotRequest
+    ) -> messages.Grant | messages.Refuse:
         """Return the next target."""
         await anyio.sleep(0.001)
         if not self.names:
