--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
@@ -231,7 +231,7 @@
         if granted.is_retry:
             self._retries.spend(now)
         if state.limit is not None:
-            state.limit.take(self._read_share(), now)
+            state.limit.record_request(self._read_share(), now)
         return messages.Grant(
             ask.ticket,
             offer.target_id,
@@ -301,9 +301,9 @@
                 state.lift_limit(granted.started_at)
         elif state.limit is None:
             share = self._read_share()
-            state.limit = rate_limit.begin(rate, now, share, self._rng, now)
+            state.limit = rate_limit.start_rate_limit(rate, now, share, self._rng, now)
         else:
-            state.limit.use(rate, now)
+            state.limit.set_rate(rate, now)
 
     def _learn_time(
         self, state: pool.TargetState, kind: str, took: float, now: float
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/pool.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/pool.py
@@ -158,7 +158,7 @@
 
     def is_free(self, now: float) -> bool:
         """Return whether it has a slot for one more request."""
-        if self.limit is not None and not self.limit.has_room(now):
+        if self.limit is not None and not self.limit.allows_request(now):
             return False
         return len(self.tickets) < self.entry.slots and now >= self._paused_until
 
@@ -168,7 +168,7 @@
         Answers come from many VMs and may be heard in another order. So a limit lifts
         only by a request that was sent after it was last named.
         """
-        if self.limit is None or sent_at >= self.limit.named_at:
+        if self.limit is None or sent_at >= self.limit.announced_at:
             self.limit = None
             self._unlimited_at = max(self._unlimited_at, sent_at)
 
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/rate_limit.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/rate_limit.py
@@ -37,11 +37,11 @@
         When an answer has last named it.
     """
 
-    def __init__(self, rate: float, due_at: float, named_at: float) -> None:
+    def __init__(self, rate: float, due_at: float, announced_at: float) -> None:
         self._rate = max(LEAST_RATE, rate)
         self._due_at = due_at
         self._others_until: dict[str, float] = {}
-        self.named_at = named_at
+        self.announced_at = announced_at
 
     @property
     def rate(self) -> float:
@@ -53,16 +53,16 @@
         """When the next request is due."""
         return self._due_at
 
-    def use(self, rate: float, now: float) -> None:
+    def set_rate(self, rate: float, now: float) -> None:
         """Take in that the target names this rate now."""
         self._rate = max(LEAST_RATE, rate)
-        self.named_at = now
+        self.announced_at = now
 
-    def has_room(self, now: float) -> bool:
+    def allows_request(self, now: float) -> bool:
         """Return whether a request may go to the target."""
         return now >= self._due_at - BURST
 
-    def take(self, share: float, now: float) -> None:
+    def record_request(self, share: float, now: float) -> None:
         """Count a request; `share` is this dispatcher's part of the rate."""
         self._others_until = {
             vm: until for vm, until in self._others_until.items() if until > now
@@ -70,20 +70,20 @@
         own = share * self._rate / (1 + len(self._others_until))
         self._due_at = max(self._due_at, now) + 1 / max(LEAST_RATE * share, own)
 
-    def use_whole(self, now: float) -> None:
+    def claim_full_rate(self, now: float) -> None:
         """Take in that this dispatcher may use the whole rate from now on.
 
         The next request may be due only after the long turn of a small part.
         """
         self._due_at = min(self._due_at, now + BURST + 1 / self._rate)
 
-    def note_other(self, vm: str, now: float) -> None:
+    def record_other_dispatcher(self, vm: str, now: float) -> None:
         """Take in that another VM dispatches for the target as well."""
         self._others_until[vm] = now + OTHERS_FOR
 
 
-def begin(
-    rate: float, now: float, share: float, rng: random.Random, named_at: float
+def start_rate_limit(
+    rate: float, now: float, share: float, rng: random.Random, announced_at: float
 ) -> RateLimit:
     """Return the limit of a target from now on.
 
@@ -91,4 +91,4 @@
     part of a rate would otherwise all send at the same moment.
     """
     turn = 1 / (max(LEAST_RATE, rate) * share)
-    return RateLimit(rate, now + BURST + rng.random() * turn, named_at)
+    return RateLimit(rate, now + BURST + rng.random() * turn, announced_at)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/desk.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/desk.py
@@ -221,7 +221,7 @@
             if state is not None:
                 self._give_limit(state, shard, now)
                 if state.limit is not None and known.in_flight:
-                    state.limit.note_other(vm, now)
+                    state.limit.record_other_dispatcher(vm, now)
 
     def _give_limit(
         self, state: pool.TargetState, shard: shards.Shard, now: float
@@ -235,7 +235,7 @@
             return
         share = self._find_share(shard)
         if share < 1.0:
-            state.limit = rate_limit.begin(
+            state.limit = rate_limit.start_rate_limit(
                 limit.rate, now, share, self._rng, limit.named_at
             )
         else:
@@ -306,7 +306,7 @@
     """Let a dispatcher that decides for others as well use what its targets take."""
     for state in known.pool.list_states():
         if state.limit is not None:
-            state.limit.use_whole(now)
+            state.limit.claim_full_rate(now)
 
 
 def _make_opinion(state: pool.TargetState, now: float) -> datagrams.Opinion:
@@ -322,5 +322,5 @@
         opinion,
         rate_limit=state.limit.rate,
         due_in=round(max(0.0, state.limit.due_at - now), 2),
-        named_ago=round(max(0.0, now - state.limit.named_at), 2),
+        named_ago=round(max(0.0, now - state.limit.announced_at), 2),
     )
--- a/tests/dispatch/test_rate_limit.py
+++ b/tests/dispatch/test_rate_limit.py
@@ -39,8 +39,8 @@
     for number in range(int(begin / STEP), int(end / STEP)):
         now = number * STEP
         for limit in limits:
-            if limit.has_room(now):
-                limit.take(share, now)
+            if limit.allows_request(now):
+                limit.record_request(share, now)
                 times.append(now)
     return times
 
@@ -67,14 +67,16 @@
     times: list[float] = []
     for second in range(20):
         for limit, other in itertools.permutations(limits, 2):
-            limit.note_other(f"vm-{limits.index(other)}", float(second))
+            limit.record_other_dispatcher(f"vm-{limits.index(other)}", float(second))
         times += take_all(limits, second, second + 1)
     assert find_busiest(times) <= find_most(rate)
 
 
 def test_vms_that_decide_alone_share_a_rate() -> None:
     rng = random.Random(2)
-    limits = [rate_limit.begin(3.8, 0.0, 1 / 36, rng, 0.0) for _ in range(36)]
+    limits = [
+        rate_limit.start_rate_limit(3.8, 0.0, 1 / 36, rng, 0.0) for _ in range(36)
+    ]
     times = take_all(limits, 0.0, 60.0, share=1 / 36)
     assert find_busiest(times) <= find_most(3.8)
     assert len(times) >= 0.9 * 3.8 * 60.0
