--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/calls.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/calls.py
@@ -21,7 +21,7 @@
     host: str
     """Whom the caller asked."""
 
-    read_at: float
+    first_byte_at: float
     """When its first byte was read, in the VM's steady clock."""
 
     caller: Caller
@@ -32,7 +32,7 @@
     """The side that waits for one answer; it may leave before."""
 
     def __init__(self) -> None:
-        self.has_left = False
+        self.has_disconnected = False
         self._scope: anyio.CancelScope | None = None
         self._may_cancel: typing.Callable[[], bool] | None = None
 
@@ -43,9 +43,9 @@
         self._scope = scope
         self._may_cancel = may_cancel
 
-    def leave(self) -> None:
+    def mark_disconnected(self) -> None:
         """Take in that the caller has gone."""
-        self.has_left = True
+        self.has_disconnected = True
         if self._scope is not None and self._may_cancel is not None:
             if self._may_cancel():
                 self._scope.cancel()
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/exchanges.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/exchanges.py
@@ -57,7 +57,7 @@
     def leave(self) -> None:
         """Take in that its caller has gone."""
         if self.parsed is not None:
-            self.parsed.incoming.caller.leave()
+            self.parsed.incoming.caller.mark_disconnected()
 
     @property
     def may_go_on(self) -> bool:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
@@ -86,11 +86,11 @@
         self._fingerprint = fingerprints.make_fingerprint(
             incoming.request, incoming.host, parts.words
         )
-        limit = incoming.read_at + min(
+        limit = incoming.first_byte_at + min(
             route.time_limit,
             run_messages.read_time_left(incoming, parts.words, route.time_limit),
         )
-        objective = min(limit, incoming.read_at + route.objective)
+        objective = min(limit, incoming.first_byte_at + route.objective)
         self._plan = plan.Plan(route, plan.Times(objective, limit))
         self._scope = anyio.CancelScope(deadline=limit)
         self._is_ending = False
@@ -104,7 +104,7 @@
         with self._scope:
             self._incoming.caller.watch(self._scope, self._may_cancel)
             return self._finish(await self._try_targets())
-        has_left = self._incoming.caller.has_left
+        has_left = self._incoming.caller.has_disconnected
         self._why = CALLER_LEFT if has_left else self._name_deadline()
         return self._finish(self._plan.expire())
 
@@ -137,7 +137,7 @@
 
     async def _try_once(self) -> plan.Step:
         self._parts.check_time()
-        if self._incoming.caller.has_left and self._may_cancel():
+        if self._incoming.caller.has_disconnected and self._may_cancel():
             return self._plan.give_up()
         if self._is_held():
             return self._plan.give_up()
@@ -317,7 +317,7 @@
     def _finish(self, step: plan.Step) -> calls.Reply:
         now = anyio.current_time()
         reply = self._make_reply(step, now)
-        took = now - self._incoming.read_at
+        took = now - self._incoming.first_byte_at
         self._parts.notes.note_answer(
             request_notes.Answer(
                 self._request_id,
@@ -327,7 +327,7 @@
                 self._plan.attempts,
                 self._service,
                 self._route.name,
-                self._plan.times.objective_at - self._incoming.read_at,
+                self._plan.times.objective_at - self._incoming.first_byte_at,
             )
         )
         return reply
--- a/soak/plants.py
+++ b/soak/plants.py
@@ -98,8 +98,8 @@
         (
             Change(
                 f"{EDGE}/request_run.py",
-                "limit = incoming.read_at + min(",
-                "limit = incoming.read_at + 0.3 * min(",
+                "limit = incoming.first_byte_at + min(",
+                "limit = incoming.first_byte_at + 0.3 * min(",
             ),
         ),
     ),
--- a/soak/targets.py
+++ b/soak/targets.py
@@ -157,7 +157,7 @@
         with anyio.CancelScope() as scope:
             incoming.caller.watch(scope, lambda: True)
             await anyio.sleep(self._find_time())
-        is_cut = incoming.caller.has_left
+        is_cut = incoming.caller.has_disconnected
         self._book.ended.append(ledger.Ended(ran, is_cut, anyio.current_time()))
         return self._answer(request_id, status)
 
--- a/tests/edge/test_http_server.py
+++ b/tests/edge/test_http_server.py
@@ -171,7 +171,7 @@
             await stream.send(make_request())
             await anyio.sleep(0.1)
         await anyio.sleep(0.1)
-        assert running.echo.seen[0].caller.has_left
+        assert running.echo.seen[0].caller.has_disconnected
 
 
 async def test_fault_in_one_request_is_answered_and_spares_the_others() -> None:
@@ -225,7 +225,7 @@
         await stream.send(make_request(b"x"))
         await stream.send_eof()
         assert (await read_all(stream)).endswith(b"x")
-        assert running.echo.seen[0].caller.has_left
+        assert running.echo.seen[0].caller.has_disconnected
 
 
 async def test_close_after_an_answer_is_no_reset_for_a_caller_that_sends_on() -> None:
--- a/tests/edge/test_request_series.py
+++ b/tests/edge/test_request_series.py
@@ -43,7 +43,7 @@
                 await anyio.sleep(float(path.rpartition(b"/")[2]) / 1000)
         finally:
             self.at_work -= 1
-        if incoming.caller.has_left:
+        if incoming.caller.has_disconnected:
             self.left.append(path)
         return calls.Reply(200, [], path)
 
--- a/tests/edge/test_stop_corners.py
+++ b/tests/edge/test_stop_corners.py
@@ -309,7 +309,7 @@
                 scripted_run.run_once, slots, exchange, names, 2, once, caller
             )
             await anyio.sleep(0.1)
-            caller.leave()
+            caller.mark_disconnected()
 
     scripted_run.run_virtually(main)
     assert slots.names == ["t2"]
--- a/tests/edge_site.py
+++ b/tests/edge_site.py
@@ -74,7 +74,7 @@
         with anyio.CancelScope() as scope:
             incoming.caller.watch(scope, lambda: True)
             await anyio.sleep(self.delay)
-        if incoming.caller.has_left:
+        if incoming.caller.has_disconnected:
             self.cancelled.append(request_id)
         answered = [(words.HEADERS.request_id, request_id.encode())]
         if self.limit is not None:
