--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -23,6 +23,7 @@
     edge_settings,
     fleet_talk,
     forwarder,
+    header_names,
     http_server,
     knowledge_exchange,
     knowledge_keeper,
@@ -38,7 +39,6 @@
     suspect_exchange,
     suspension,
     target_client,
-    vocabulary,
 )
 
 WAKE_PAUSE = 0.05
@@ -70,7 +70,7 @@
         Its settings.
     store : ports.Store
         The platform's store.
-    words : vocabulary.Vocabulary
+    words : header_names.HeaderNames
         Headers of the platform.
     log : log_lines.LogLines
         Where decisions are noted.
@@ -84,7 +84,7 @@
         self,
         settings: edge_settings.Settings,
         store: ports.Store,
-        words: vocabulary.Vocabulary,
+        words: header_names.HeaderNames,
         log: log_lines.LogLines,
         rng: random.Random,
         settings_file: edge_settings.SettingsFile | None = None,
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fingerprints.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fingerprints.py
@@ -8,7 +8,7 @@
 
 import hashlib
 
-from . import http_exchange, vocabulary
+from . import header_names, http_exchange
 
 DIGEST_BYTES = 8
 """Bytes of a fingerprint: among a million requests two are alike by chance with a
@@ -19,7 +19,7 @@
 
 
 def make_fingerprint(
-    request: http_exchange.Request, host: str, words: vocabulary.Vocabulary
+    request: http_exchange.Request, host: str, words: header_names.HeaderNames
 ) -> str:
     """Return the fingerprint of a request, in hexadecimal digits."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/forwarder.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/forwarder.py
@@ -16,6 +16,7 @@
 from . import (
     calls,
     crash_check,
+    header_names,
     log_lines,
     ports,
     replies,
@@ -24,7 +25,6 @@
     run_messages,
     run_parts,
     unreachable_targets,
-    vocabulary,
 )
 
 MOST_LEFT_FREE = 1.0
@@ -65,7 +65,7 @@
     suspects: ports.SuspectRecord
     """Requests that crash their targets."""
 
-    words: vocabulary.Vocabulary
+    words: header_names.HeaderNames
     """Headers of the platform."""
 
     log: log_lines.LogLines
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/vocabulary.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/header_names.py
@@ -6,7 +6,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Vocabulary:
+class HeaderNames:
     """Header names, in lower case."""
 
     request_id: bytes
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_messages.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_messages.py
@@ -8,7 +8,7 @@
 from zinniastand_core.dispatch import messages, shards
 from zinniastand_core.forwarding import plan
 
-from . import calls, http_exchange, run_parts, vocabulary
+from . import calls, header_names, http_exchange, run_parts
 
 MOST_OPEN = 16
 """Targets with an idle connection that an ask names at most; a name takes a dozen
@@ -57,7 +57,7 @@
 
 def make_request(
     original: http_exchange.Request,
-    words: vocabulary.Vocabulary,
+    words: header_names.HeaderNames,
     target: targets.Entry,
     left: float,
 ) -> http_exchange.Request:
@@ -71,7 +71,7 @@
 
 
 def read_time_left(
-    incoming: calls.Incoming, words: vocabulary.Vocabulary, default: float
+    incoming: calls.Incoming, words: header_names.HeaderNames, default: float
 ) -> float:
     """Return the seconds that the caller waits; `default` where it does not say."""
     value = http_exchange.find_header(incoming.request.headers, words.time_left)
@@ -80,7 +80,7 @@
     return int(value) / MILLISECONDS
 
 
-def read_request_id(incoming: calls.Incoming, words: vocabulary.Vocabulary) -> str:
+def read_request_id(incoming: calls.Incoming, words: header_names.HeaderNames) -> str:
     """Return the name that the caller gave the request, empty where it gave none."""
     value = http_exchange.find_header(incoming.request.headers, words.request_id)
     return (value or b"").decode("latin-1")
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_parts.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_parts.py
@@ -7,7 +7,7 @@
 
 from zinniastand_core.deployment import targets
 
-from . import ports, request_notes, unreachable_targets, vocabulary
+from . import header_names, ports, request_notes, unreachable_targets
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     notes: request_notes.RequestNotes
     """Decisions."""
 
-    words: vocabulary.Vocabulary
+    words: header_names.HeaderNames
     """Headers of the platform."""
 
     make_ticket: collections.abc.Callable[[], str]
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_client.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_client.py
@@ -17,7 +17,7 @@
 from zinniastand_core.deployment import targets
 from zinniastand_core.forwarding import plan
 
-from . import http_exchange, vocabulary
+from . import header_names, http_exchange
 
 CONNECT_TIMEOUT = 0.15
 """Seconds for a new connection. One takes about a millisecond; a lost first packet is
@@ -136,7 +136,7 @@
 
     Parameters
     ----------
-    words : vocabulary.Vocabulary
+    words : header_names.HeaderNames
         Headers of the platform.
 
     Attributes
@@ -152,7 +152,7 @@
         to the present request, which nothing proves.
     """
 
-    def __init__(self, words: vocabulary.Vocabulary) -> None:
+    def __init__(self, words: header_names.HeaderNames) -> None:
         self._words = words
         self._idle: dict[str, collections.deque[_Connection]] = {}
         self.opened = 0
