--- a/bench/retry_fleet.py
+++ b/bench/retry_fleet.py
@@ -116,7 +116,7 @@
         """Return that no target crashes."""
         return False
 
-    def list_open(self, work: services.Work, now: float) -> list[str]:
+    def list_connected_targets(self, work: services.Work, now: float) -> list[str]:
         """Return none: every attempt opens a connection."""
         return []
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -332,10 +332,19 @@
             ("zinniastand_requests_in_flight", self._callers.in_flight),
             ("zinniastand_datagrams_sent_total", self._link.sent),
             ("zinniastand_datagram_bytes_sent_total", self._link.sent_bytes),
-            ("zinniastand_target_connections_opened_total", self._client.opened),
-            ("zinniastand_target_answers_foreign_total", self._client.foreign),
-            ("zinniastand_target_answers_unnamed_total", self._client.unnamed),
-            ("zinniastand_target_limits_unreadable_total", self._client.odd_limits),
+            (
+                "zinniastand_target_connections_opened_total",
+                self._client.opened_connections,
+            ),
+            ("zinniastand_target_answers_foreign_total", self._client.foreign_answers),
+            (
+                "zinniastand_target_answers_unnamed_total",
+                self._client.unidentified_answers,
+            ),
+            (
+                "zinniastand_target_limits_unreadable_total",
+                self._client.malformed_limits,
+            ),
             ("zinniastand_configuration_version", self._configured.version),
             ("zinniastand_requests_quarantined", self._suspects.count_quarantined()),
             ("zinniastand_store_era", self._store.era),
@@ -362,7 +371,7 @@
         self._log.write("suspended", seconds=round(seconds, 3))
         self._forwarder.lose_time(seconds)
         self._keeper.lose_time(seconds)
-        self._client.distrust_idle()
+        self._client.expire_idle()
         self._suspects.lose_time(seconds)
         self._desk.forget()
         self._fleet.start_anew(anyio.current_time())
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/ports.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/ports.py
@@ -166,6 +166,6 @@
         """
         ...
 
-    def list_open(self, work: services.Work, now: float) -> list[str]:
+    def list_connected_targets(self, work: services.Work, now: float) -> list[str]:
         """Return the targets to which an idle connection may carry work."""
         ...
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_messages.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_messages.py
@@ -48,7 +48,7 @@
     """Return targets of the service that an idle connection leads to."""
     found = [
         target_id
-        for target_id in parts.exchange.list_open(route.work, now)
+        for target_id in parts.exchange.list_connected_targets(route.work, now)
         if (entry := parts.registry.find(target_id)) is not None
         and entry.service == service
     ]
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_client.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_client.py
@@ -155,10 +155,10 @@
     def __init__(self, words: header_names.HeaderNames) -> None:
         self._words = words
         self._idle: dict[str, collections.deque[_Connection]] = {}
-        self.opened = 0
-        self.foreign = 0
-        self.unnamed = 0
-        self.odd_limits = 0
+        self.opened_connections = 0
+        self.foreign_answers = 0
+        self.unidentified_answers = 0
+        self.malformed_limits = 0
 
     async def attempt(
         self,
@@ -210,7 +210,7 @@
             return Attempt(plan.Result.BROKEN, None, detail, is_resent=True)
         return dataclasses.replace(attempt, is_resent=True)
 
-    def list_open(self, work: services.Work, now: float) -> list[str]:
+    def list_connected_targets(self, work: services.Work, now: float) -> list[str]:
         """Return the targets to which an idle connection may carry work."""
         return [
             target_id
@@ -218,7 +218,7 @@
             if idle and idle[-1].may_carry(work, now)
         ]
 
-    def distrust_idle(self) -> None:
+    def expire_idle(self) -> None:
         """Let nothing use the idle connections any more: this VM was away."""
         for idle in self._idle.values():
             for index, connection in enumerate(idle):
@@ -253,7 +253,7 @@
                 self._judge(answer), rate_limit=self._read_limit(answer)
             )
             if not connection.is_new and answer.find(self._words.request_id) is None:
-                self.unnamed += 1
+                self.unidentified_answers += 1
             is_kept = (
                 attempt.result is not plan.Result.BROKEN
                 and answer.is_reusable
@@ -273,7 +273,7 @@
                 is_cut=error.is_cut,
             )
         finally:
-            self.foreign += exchange.foreign
+            self.foreign_answers += exchange.foreign
             if not is_kept:
                 await _close(connection)
 
@@ -309,7 +309,7 @@
         if value is None:
             return math.inf
         if RATE.fullmatch(value.strip()) is None:
-            self.odd_limits += 1
+            self.malformed_limits += 1
             return None
         return float(value)
 
@@ -360,7 +360,7 @@
         return connection
 
     async def _open(self, target: targets.Entry) -> _Connection | None:
-        self.opened += 1
+        self.opened_connections += 1
         try:
             with anyio.fail_after(CONNECT_TIMEOUT):
                 stream = await anyio.connect_tcp(target.host, target.port)
--- a/tests/edge/test_suspension.py
+++ b/tests/edge/test_suspension.py
@@ -132,10 +132,10 @@
         await edge_site.call(vm, method="GET", body=b"")
         client = vm.daemon._client
         now = anyio.current_time()
-        assert client.list_open(services.Work.IDEMPOTENT, now) == ["t1"]
+        assert client.list_connected_targets(services.Work.IDEMPOTENT, now) == ["t1"]
         lost.seconds = 2.0
         await anyio.sleep(0.1)
         now = anyio.current_time()
-        assert client.list_open(services.Work.IDEMPOTENT, now) == []
+        assert client.list_connected_targets(services.Work.IDEMPOTENT, now) == []
         assert (await edge_site.call(vm, request_id="id-2")).status_code == 200
-        assert client.opened == 2
+        assert client.opened_connections == 2
--- a/tests/edge/test_target_client.py
+++ b/tests/edge/test_target_client.py
@@ -134,7 +134,7 @@
         client = target_client.TargetClient(words.HEADERS)
         found = [(await attempt(target, client)).result for _ in range(3)]
     assert found == [plan.Result.ERROR, plan.Result.ERROR, plan.Result.ANSWERED]
-    assert client.unnamed == 1
+    assert client.unidentified_answers == 1
 
 
 async def test_answer_without_length_counts_when_its_connection_ends_in_order() -> None:
@@ -194,7 +194,7 @@
         found = await attempt(target, client)
     assert found.result is plan.Result.ANSWERED
     assert not was_left
-    assert client.foreign == 1
+    assert client.foreign_answers == 1
 
 
 async def test_waiting_behind_a_late_answer_ends_with_its_request() -> None:
@@ -252,7 +252,7 @@
         for _ in range(2):
             found = await attempt(target, client)
             assert found.result is plan.Result.ANSWERED
-        assert client.opened == 2
+        assert client.opened_connections == 2
 
 
 @pytest.mark.parametrize("methods", [(b"GET", b"HEAD"), (b"HEAD", b"GET")])
@@ -280,7 +280,7 @@
             found = await attempt(target, client, method=method)
             assert found.result is plan.Result.ANSWERED
     assert last == methods[-1]
-    assert client.opened == 2
+    assert client.opened_connections == 2
 
 
 async def test_nothing_is_read_past_answers_without_end() -> None:
@@ -301,7 +301,7 @@
         for _ in range(2):
             found = await attempt(target, client)
             assert found.result is plan.Result.ANSWERED
-        assert client.opened == 2
+        assert client.opened_connections == 2
 
 
 async def test_bytes_on_an_idle_connection_are_never_taken_for_an_answer() -> None:
@@ -317,7 +317,7 @@
         await attempt(target, client)
         await anyio.sleep(0.15)
         await attempt(target, client)
-        assert client.opened == 2
+        assert client.opened_connections == 2
 
 
 async def test_connection_is_used_again_while_it_is_proved() -> None:
@@ -325,7 +325,7 @@
         client = target_client.TargetClient(words.HEADERS)
         for _ in range(3):
             assert (await attempt(target, client)).result is plan.Result.ANSWERED
-        assert client.opened == 1
+        assert client.opened_connections == 1
 
 
 async def test_work_that_may_run_once_takes_no_connection_that_was_idle() -> None:
@@ -336,7 +336,7 @@
         await attempt(target, client)
         await anyio.sleep(target_client.PROVED_FOR + 0.05)
         await attempt(target, client)
-        assert client.opened == 2
+        assert client.opened_connections == 2
 
 
 async def test_idempotent_work_survives_an_idle_connection_that_is_gone() -> None:
@@ -436,7 +436,7 @@
         for _ in range(2):
             found = await attempt(target, client, body=body)
             assert found.result is plan.Result.ANSWERED
-        assert client.opened == 2
+        assert client.opened_connections == 2
 
 
 async def test_cut_answer_to_a_long_request_is_no_answer() -> None:
@@ -504,12 +504,12 @@
     async with run_target(answer_with(GOOD)) as target:
         await attempt(target, client, services.Work.AT_MOST_ONCE)
         now = anyio.current_time()
-        assert client.list_open(services.Work.AT_MOST_ONCE, now) == ["t1"]
+        assert client.list_connected_targets(services.Work.AT_MOST_ONCE, now) == ["t1"]
         later = now + 0.1
-        assert client.list_open(services.Work.AT_MOST_ONCE, later) == []
-        assert client.list_open(services.Work.IDEMPOTENT, later) == ["t1"]
+        assert client.list_connected_targets(services.Work.AT_MOST_ONCE, later) == []
+        assert client.list_connected_targets(services.Work.IDEMPOTENT, later) == ["t1"]
         end = now + target_client.IDLE_FOR
-        assert client.list_open(services.Work.IDEMPOTENT, end) == []
+        assert client.list_connected_targets(services.Work.IDEMPOTENT, end) == []
 
 
 async def test_idle_connection_is_kept_for_as_long_as_its_target_says() -> None:
@@ -518,8 +518,10 @@
     async with run_target(answer_with(stated)) as target:
         await attempt(target, client, services.Work.IDEMPOTENT)
         now = anyio.current_time()
-        assert client.list_open(services.Work.IDEMPOTENT, now + 7.5) == ["t1"]
-        assert client.list_open(services.Work.IDEMPOTENT, now + 8.1) == []
+        assert client.list_connected_targets(services.Work.IDEMPOTENT, now + 7.5) == [
+            "t1"
+        ]
+        assert client.list_connected_targets(services.Work.IDEMPOTENT, now + 8.1) == []
 
 
 async def test_work_that_may_run_once_leaves_idle_connections_to_other_work(
@@ -531,7 +533,7 @@
     async with run_target(answer_with(GOOD, GOOD)) as target:
         await attempt(target, client, services.Work.IDEMPOTENT)
         await attempt(target, client, services.Work.AT_MOST_ONCE)
-        assert client.opened == 2
+        assert client.opened_connections == 2
         await attempt(target, client, services.Work.IDEMPOTENT)
         await attempt(target, client, services.Work.IDEMPOTENT)
-        assert client.opened == 2
+        assert client.opened_connections == 2
--- a/tests/scripted_run.py
+++ b/tests/scripted_run.py
@@ -95,7 +95,7 @@
         self.scripts = scripts
         self.broken_off: list[str] = []
 
-    def list_open(self, work: services.Work, now: float) -> list[str]:
+    def list_connected_targets(self, work: services.Work, now: float) -> list[str]:
         """Return none: every attempt opens a connection."""
         return []
 
