--- a/bench/retry_fleet.py
+++ b/bench/retry_fleet.py
@@ -188,7 +188,7 @@
             for name, place in names.items():
                 self._start(name, place, retry_vms.FIRST_INCARNATION)
             self._introduce()
-            await anyio.sleep(members.SETTLE_TIME + 1.0)
+            await anyio.sleep(members.SETTLE_TIME_S + 1.0)
             self._begin = self._wire.begin = anyio.current_time()
             for kill in self.load.kills:
                 group.start_soon(self._kill, kill, names)
@@ -209,7 +209,7 @@
         for vm in running:
             for other in running:
                 vm.members.add(other.member)
-                vm.members.note_heard(other.member.vm, now)
+                vm.members.record_contact(other.member.vm, now)
 
     async def _kill(self, kill: retry_loads.Kill, places: dict[str, str]) -> None:
         await anyio.sleep(kill.at)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -365,7 +365,7 @@
         self._client.distrust_idle()
         self._suspects.lose_time(seconds)
         self._desk.forget()
-        self._fleet.start_anew(anyio.current_time())
+        self._fleet.restart_settling(anyio.current_time())
 
     def _use_targets(self) -> None:
         self._desk.update_targets(anyio.current_time())
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_talk.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_talk.py
@@ -111,14 +111,14 @@
             case datagrams.Hello():
                 self._take_hello(message, now)
             case datagrams.Leaving():
-                self._fleet.note_leaving(message.vm, message.incarnation, now)
+                self._fleet.record_leaving(message.vm, message.incarnation, now)
             case datagrams.Resigned():
-                self._fleet.note_resigned(
+                self._fleet.record_resignation(
                     message.vm, message.incarnation, message.task, message.until, now
                 )
             case datagrams.News():
                 if self._fleet.is_direct(message.vm, message.is_relayed):
-                    self._fleet.note_heard(message.vm, now)
+                    self._fleet.record_contact(message.vm, now)
                 self._hearers.keeper.take_news(message)
             case datagrams.Published():
                 self._hearers.keeper.take_published(message)
@@ -127,7 +127,7 @@
             case datagrams.Opinions():
                 self._hearers.desk.take_opinions(message, now)
             case datagrams.Asked():
-                self._fleet.note_heard(message.vm, now)
+                self._fleet.record_contact(message.vm, now)
                 self._hearers.desk.ask(message.vm, message.ask, now)
             case datagrams.Adopted():
                 self._hearers.desk.adopt(message.vm, message.held, now)
@@ -145,14 +145,14 @@
             self._log.write("vm_joined", peer=hello.member.vm)
             if self._is_helper(now):
                 self._hearers.suspects.tell(hello.member)
-        self._fleet.note_heard(hello.member.vm, now)
+        self._fleet.record_contact(hello.member.vm, now)
         self._hearers.keeper.take_position(hello.member.vm, hello.position)
         if hello.wants_answer:
             self._link.send(self._make_reply(), hello.member)
 
     def _is_helper(self, now: float) -> bool:
         """Return whether this VM is one of those that tell new ones what they lack."""
-        ranked = self._fleet.rank_heard(HELPING_TASK, now)
+        ranked = self._fleet.rank_reachable(HELPING_TASK, now)
         return self._fleet.own.vm in ranked[:HELPERS]
 
     def _make_reply(self) -> datagrams.Hello | datagrams.Leaving:
@@ -178,7 +178,7 @@
         now = anyio.current_time()
         own = self._fleet.own.vm
         for shard in self._hearers.desk.list_busy():
-            heard = self._fleet.rank_heard(shard.task, now, shard.data_centre)
+            heard = self._fleet.rank_reachable(shard.task, now, shard.data_centre)
             ranked = [vm for vm in heard if vm != own]
             told = ranked[: MOST_TOLD if to_all else SUCCESSORS]
             successors = [self._fleet.find(vm) for vm in told]
@@ -200,7 +200,9 @@
         names = {
             vm
             for shard in desk.list_shards(service)
-            for vm in fleet.rank_heard(shard.task, now, shard.data_centre)[:COUNTING]
+            for vm in fleet.rank_reachable(shard.task, now, shard.data_centre)[
+                :COUNTING
+            ]
         }
         names.discard(fleet.own.vm)
         hearers = [fleet.find(vm) for vm in sorted(names)]
@@ -212,7 +214,7 @@
         while True:
             await anyio.sleep(GREET_PAUSE)
             now = anyio.current_time()
-            self._fleet.forget_gone(now)
+            self._fleet.remove_departed(now)
             if not self.is_leaving:
                 hello = datagrams.Hello(self._fleet.own, wants_answer=True)
                 self._link.send_many(hello, self._fleet.list_suspects(now))
@@ -220,6 +222,6 @@
     def tell_leaving(self) -> None:
         """Tell all others that this VM leaves, and leave its tasks to them."""
         own = self._fleet.own
-        self._fleet.note_leaving(own.vm, own.incarnation, anyio.current_time())
+        self._fleet.record_leaving(own.vm, own.incarnation, anyio.current_time())
         leaving = datagrams.Leaving(own.vm, own.incarnation)
         self._link.send_many(leaving, self._fleet.list_others())
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/members.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/members.py
@@ -11,29 +11,29 @@
 
 from . import ports
 
-SETTLE_TIME = 2.0
+SETTLE_TIME_S = 2.0
 """Seconds that a VM must have been known before it takes tasks over: by then it has
 heard what the VM before it knew, and a crash loop moves no task to and fro."""
 
-START_SPREAD = 1.0
+START_WINDOW_S = 1.0
 """Seconds after the start of this VM in which it counts as new together with those that
 it hears. Where all VMs start at once, each hears the others some tenths of a second
 after its own start. Settled earlier than they, each would take every task for itself:
 all would read the store and dispatch for themselves."""
 
-SUSPECT_FOR = 30.0
+SUSPECT_DURATION_S = 30.0
 """Seconds for which a VM that gave no answer takes no tasks unless it is heard from. It
 is asked every second meanwhile, so a live one comes back at once."""
 
-MOST_RESIGNED = 4
+MAX_RESIGNED = 4
 """VMs that may have resigned from a task at the same time. More of them mean that
 nobody can do it, and that telling so is of no use. From all tasks, as slow VMs do, a
 quarter of a large fleet may."""
 
-LONGEST_RESIGNED = 10.0
+MAX_RESIGNATION_S = 10.0
 """Seconds for which a VM may resign at most, whatever it says."""
 
-LEAVING_FOR = 60.0
+LEAVING_RETENTION_S = 60.0
 """Seconds for which the address of a leaving VM is kept: longer than any stop lasts."""
 
 
@@ -82,15 +82,15 @@
             return member.incarnation != known.incarnation
         return member.incarnation > known.incarnation
 
-    def note_heard(self, vm: str, now: float) -> None:
+    def record_contact(self, vm: str, now: float) -> None:
         """Take in that a VM was heard from."""
         if vm in self._known:
-            if vm not in self._heard_since and now <= self._started + START_SPREAD:
+            if vm not in self._heard_since and now <= self._started + START_WINDOW_S:
                 self._heard_since[self.own.vm] = now
             self._heard_since.setdefault(vm, now)
             self._suspect_until.pop(vm, None)
 
-    def start_anew(self, now: float) -> None:
+    def restart_settling(self, now: float) -> None:
         """Take in that this VM was away: it knows no better than one that starts."""
         self._heard_since[self.own.vm] = now
 
@@ -99,10 +99,10 @@
         if vm == self.own.vm or vm not in self._known:
             return False
         is_news = self._suspect_until.get(vm, 0.0) <= now
-        self._suspect_until[vm] = now + SUSPECT_FOR
+        self._suspect_until[vm] = now + SUSPECT_DURATION_S
         return is_news
 
-    def note_leaving(self, vm: str, incarnation: int, now: float) -> None:
+    def record_leaving(self, vm: str, incarnation: int, now: float) -> None:
         """Take in that a VM, or this one, is leaving: it does nothing for all any more.
 
         Its address is kept. It serves its callers for some seconds, and dispatchers
@@ -110,9 +110,9 @@
         """
         known = self._known.get(vm)
         if known is not None and known.incarnation == incarnation:
-            self._leaving_until[vm] = now + LEAVING_FOR
+            self._leaving_until[vm] = now + LEAVING_RETENTION_S
 
-    def note_resigned(
+    def record_resignation(
         self, vm: str, incarnation: int, task: str, until: float, now: float
     ) -> bool:
         """Take in that a VM cannot do a task for a while; return whether that counts.
@@ -126,14 +126,14 @@
             key: at for key, at in self._resigned_until.items() if at > now
         }
         others = [one for one, of in self._resigned_until if of == task and one != vm]
-        most = MOST_RESIGNED if task else max(MOST_RESIGNED, self.count() // 4)
+        most = MAX_RESIGNED if task else max(MAX_RESIGNED, self.count() // 4)
         if len(others) >= most:
             return False
-        until = min(until, now + LONGEST_RESIGNED)
+        until = min(until, now + MAX_RESIGNATION_S)
         self._resigned_until[vm, task] = until
         return True
 
-    def forget_gone(self, now: float) -> None:
+    def remove_departed(self, now: float) -> None:
         """Forget VMs that left long ago and have not come back."""
         for vm, until in list(self._leaving_until.items()):
             if until <= now and vm != self.own.vm:
@@ -170,7 +170,7 @@
             )
         ]
 
-    def rank_heard(self, task: str, now: float, data_centre: str = "") -> list[str]:
+    def rank_reachable(self, task: str, now: float, data_centre: str = "") -> list[str]:
         """Return all VMs heard from, those that rank highest for a task first.
 
         With a data centre, only the VMs there, and all others where none is there.
@@ -222,7 +222,7 @@
                 continue
             if len(heard) < count:
                 heard.append(vm)
-            if now - self._heard_since[vm] >= SETTLE_TIME:
+            if now - self._heard_since[vm] >= SETTLE_TIME_S:
                 settled.append(vm)
                 if len(settled) == count:
                     break
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/resignation.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/resignation.py
@@ -55,7 +55,9 @@
             return
         until = now + RESIGN_FOR
         own = self._fleet.own
-        if not self._fleet.note_resigned(own.vm, own.incarnation, task, until, now):
+        if not self._fleet.record_resignation(
+            own.vm, own.incarnation, task, until, now
+        ):
             return
         self._until[task] = until
         self._log.write("resigned", task=task or "all", why=why)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/start_turn.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/start_turn.py
@@ -57,5 +57,7 @@
 
     def _find_rank(self, now: float) -> int:
         own = self._fleet.own
-        order = self._fleet.rank_heard(reading_turn.READER_TASK, now, own.data_centre)
+        order = self._fleet.rank_reachable(
+            reading_turn.READER_TASK, now, own.data_centre
+        )
         return order.index(own.vm) if own.vm in order else 0
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_exchange.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_exchange.py
@@ -157,7 +157,7 @@
         if found is None or quarantine.is_shared(found):
             return
         number = int(fingerprint[:8], 16) % COUNTING_TASKS
-        ranked = self._fleet.rank_heard(f"count crashes {number}", now)
+        ranked = self._fleet.rank_reachable(f"count crashes {number}", now)
         counting = [self._fleet.find(vm) for vm in ranked[:COUNTERS]]
         own = self._fleet.own.vm
         others = [one for one in counting if one is not None and one.vm != own]
--- a/tests/edge/test_placement.py
+++ b/tests/edge/test_placement.py
@@ -58,11 +58,11 @@
     """One VM among two others that it has heard from."""
 
     def __init__(self) -> None:
-        now = anyio.current_time() - members.SETTLE_TIME
+        now = anyio.current_time() - members.SETTLE_TIME_S
         self.fleet = members.Members(ports.Member("own", "a", "127.0.0.1", 1, 1), now)
         for name in ("vm-1", "vm-2"):
             self.fleet.add(ports.Member(name, "a", "127.0.0.1", 1, 1))
-            self.fleet.note_heard(name, now)
+            self.fleet.record_contact(name, now)
         self.link = FakeLink()
         registry = self.registry = targets.Registry()
         registry.apply([ENTRY], now)
--- a/tests/edge/test_reading_turn.py
+++ b/tests/edge/test_reading_turn.py
@@ -4,14 +4,14 @@
 
 from zinniastand_proxy.edge import members, ports, reading_turn
 
-SETTLED = members.SETTLE_TIME + 0.1
+SETTLED = members.SETTLE_TIME_S + 0.1
 
 
 def make_turn(own: str, others: tuple[str, ...]) -> reading_turn.ReadingTurn:
     fleet = members.Members(ports.Member(own, "a", "10.0.0.1", 7660, 1), 0.0)
     for name in others:
         fleet.add(ports.Member(name, "a", "10.0.0.1", 7660, 1))
-        fleet.note_heard(name, 0.0)
+        fleet.record_contact(name, 0.0)
     return reading_turn.ReadingTurn(fleet)
 
 
--- a/tests/edge/test_resignation.py
+++ b/tests/edge/test_resignation.py
@@ -24,7 +24,7 @@
 pytestmark = pytest.mark.anyio
 
 NAMES = tuple(f"vm-{n}" for n in range(6))
-SETTLED = members.SETTLE_TIME + 0.1
+SETTLED = members.SETTLE_TIME_S + 0.1
 
 
 def make_fleet() -> members.Members:
@@ -34,12 +34,12 @@
     fleet = members.Members(make_member("own"), 0.0)
     for name in NAMES:
         fleet.add(make_member(name))
-        fleet.note_heard(name, 0.0)
+        fleet.record_contact(name, 0.0)
     return fleet
 
 
 def resign(fleet: members.Members, vm: str, task: str, until: float) -> bool:
-    return fleet.note_resigned(vm, 1, task, until, SETTLED)
+    return fleet.record_resignation(vm, 1, task, until, SETTLED)
 
 
 def test_vm_that_resigned_stays_out_though_it_is_heard() -> None:
@@ -47,7 +47,7 @@
     fleet = make_fleet()
     first = fleet.rank("desk", SETTLED, 1)[0]
     assert resign(fleet, first, "desk", SETTLED + 3)
-    fleet.note_heard(first, SETTLED + 1)
+    fleet.record_contact(first, SETTLED + 1)
     assert fleet.rank("desk", SETTLED + 1, 1) != [first]
     assert first in fleet.rank("other", SETTLED + 1, len(NAMES) + 1)
     assert fleet.rank("desk", SETTLED + 3, 1) == [first]
@@ -64,16 +64,16 @@
     # Guards against a fleet without anybody for a task, and a word that lasts forever.
     fleet = make_fleet()
     done = [resign(fleet, name, "desk", SETTLED + 1e9) for name in NAMES]
-    assert done.count(True) == members.MOST_RESIGNED
+    assert done.count(True) == members.MAX_RESIGNED
     left = fleet.rank("desk", SETTLED, len(NAMES) + 1)
-    assert len(left) == len(NAMES) + 1 - members.MOST_RESIGNED
-    late = SETTLED + members.LONGEST_RESIGNED
+    assert len(left) == len(NAMES) + 1 - members.MAX_RESIGNED
+    late = SETTLED + members.MAX_RESIGNATION_S
     assert len(fleet.rank("desk", late, len(NAMES) + 1)) == len(NAMES) + 1
 
 
 def test_late_word_of_a_former_start_does_not_count() -> None:
     fleet = make_fleet()
-    assert not fleet.note_resigned("vm-1", 0, "desk", SETTLED + 3, SETTLED)
+    assert not fleet.record_resignation("vm-1", 0, "desk", SETTLED + 3, SETTLED)
 
 
 def test_only_lasting_lateness_of_a_vm_with_tasks_counts() -> None:
--- a/tests/edge/test_start.py
+++ b/tests/edge/test_start.py
@@ -33,7 +33,7 @@
     fleet = members.Members(make_member(own), 0.0)
     for name in others:
         fleet.add(make_member(name))
-        fleet.note_heard(name, 0.0)
+        fleet.record_contact(name, 0.0)
     start = start_turn.StartTurn(fleet, 0.0)
     start.join(0.0, is_alone=not others)
     return start
--- a/tests/edge/test_stop_corners.py
+++ b/tests/edge/test_stop_corners.py
@@ -173,11 +173,11 @@
     # and greets: the greeting looks older than the VM that left, and is ignored.
     fleet = make_fleet()
     fleet.add(make_member(5_000))
-    fleet.note_heard("vm-1", 1.0)
-    fleet.note_leaving("vm-1", 5_000, 10.0)
+    fleet.record_contact("vm-1", 1.0)
+    fleet.record_leaving("vm-1", 5_000, 10.0)
     fleet.add(make_member(4_000))
-    fleet.note_heard("vm-1", 15.0)
-    assert "vm-1" in fleet.rank_heard("task", 20.0)
+    fleet.record_contact("vm-1", 15.0)
+    assert "vm-1" in fleet.rank_reachable("task", 20.0)
 
 
 def test_late_word_of_leaving_does_not_concern_the_vm_that_started_since() -> None:
@@ -186,14 +186,14 @@
     # a minute it was forgotten while it lived.
     fleet = make_fleet()
     fleet.add(make_member(1_000))
-    fleet.note_heard("vm-1", 1.0)
+    fleet.record_contact("vm-1", 1.0)
     fleet.add(make_member(2_000))
-    fleet.note_leaving("vm-1", 1_000, 10.0)
+    fleet.record_leaving("vm-1", 1_000, 10.0)
     fleet.add(make_member(2_000))
-    fleet.note_heard("vm-1", 11.0)
-    fleet.forget_gone(10.0 + members.LEAVING_FOR)
+    fleet.record_contact("vm-1", 11.0)
+    fleet.remove_departed(10.0 + members.LEAVING_RETENTION_S)
     assert fleet.find("vm-1") is not None
-    assert "vm-1" in fleet.rank_heard("task", 80.0)
+    assert "vm-1" in fleet.rank_reachable("task", 80.0)
 
 
 async def test_vm_that_starts_while_another_leaves_leaves_its_tasks_to_others() -> None:
@@ -214,7 +214,7 @@
         await anyio.sleep(0.1)
         fresh = await site.start_vm("vm-3")
         await edge_site.wait_ready(fresh)
-        heard_by = anyio.current_time() + 2 * members.SETTLE_TIME + 0.5
+        heard_by = anyio.current_time() + 2 * members.SETTLE_TIME_S + 0.5
         while anyio.current_time() < heard_by:
             await edge_site.call(leaving)
             await anyio.sleep(0.1)
--- a/tests/edge/test_stopping.py
+++ b/tests/edge/test_stopping.py
@@ -161,12 +161,12 @@
     async with edge_site.run_site() as site:
         taken: list[str] = []
 
-        def note_leaving(_: members.Members, vm: str, *rest: object) -> None:
+        def record_leaving(_: members.Members, vm: str, *rest: object) -> None:
             taken.append(vm)
             fail()
 
         def break_it(vm: edge_site.Vm) -> None:
-            monkeypatch.setattr(members.Members, "note_leaving", note_leaving)
+            monkeypatch.setattr(members.Members, "record_leaving", record_leaving)
             address = vm.settings.peers
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
                 for name in ("vm-8", "vm-9"):
--- a/tests/edge/test_suspect_exchange.py
+++ b/tests/edge/test_suspect_exchange.py
@@ -84,7 +84,7 @@
         fleet = members.Members(member, 0.0)
         for other in everybody:
             fleet.add(other)
-            fleet.note_heard(other.vm, 0.0)
+            fleet.record_contact(other.vm, 0.0)
         link = typing.cast(peer_link.PeerLink, Link(member.vm, network))
         network.vms[member.vm] = suspect_exchange.SuspectExchange(
             quarantine.Quarantine(), fleet, link, log, random.Random(member.vm)
