--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
@@ -202,7 +202,7 @@
         if version > self._knowledge.configured.version:
             self._told.setdefault(vm, (version, anyio.current_time()))
 
-    def take_published(self, published: datagrams.Published) -> None:
+    def take_published(self, published: datagrams.ConfigurationUpdate) -> None:
         """Take in a configuration that the reader pushes.
 
         Raises
@@ -282,7 +282,9 @@
         data = configuration_codec.pack(configuration_codec.encode(current))
         if len(data) <= MOST_PUSHED:
             vm = self._fleet.own.vm
-            self._spreader.tell(datagrams.Published(vm, current.version, data), now)
+            self._spreader.tell(
+                datagrams.ConfigurationUpdate(vm, current.version, data), now
+            )
 
     def _tell_version(self, to_all_near: bool) -> None:
         """Tell some others of a new version, in case neither push nor news come.
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class News:
+class TargetUpdate:
     """What the reader of the store has read lately."""
 
     vm: str
@@ -80,12 +80,12 @@
     changes: tuple[targets.Change, ...]
     """Changes of targets from there on."""
 
-    is_relayed: bool = False
+    is_for_relay: bool = False
     """Whether the receiver shall pass it on to the VMs of its data centre."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Published:
+class ConfigurationUpdate:
     """A new configuration, from the VM that reads the store for all."""
 
     vm: str
@@ -97,7 +97,7 @@
     data: bytes
     """The configuration; packed by `configuration_codec`."""
 
-    is_relayed: bool = False
+    is_for_relay: bool = False
     """Whether the receiver shall pass it on to the VMs of its data centre."""
 
 
@@ -113,14 +113,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Opinion:
+class TargetEstimate:
     """What a dispatcher thinks of one target."""
 
     target_id: str
     """The target."""
 
-    failing: float
-    """Probability that it is failing."""
+    failure_probability: float
+    """Probability that it is failure_probability."""
 
     slowness: float
     """Times that it takes longer than usual."""
@@ -128,21 +128,21 @@
     rate_limit: float | None = None
     """Requests a second that it takes from all VMs; None where it names no limit."""
 
-    due_in: float = 0.0
+    next_request_in: float = 0.0
     """Seconds until the next request is due at that rate."""
 
-    named_ago: float = 0.0
+    rate_limit_age: float = 0.0
     """Seconds since an answer has named it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Opinions:
+class TargetEstimates:
     """What a dispatcher thinks of its targets, for the VM that would follow it."""
 
     shard: shards.Shard
     """The shard."""
 
-    items: tuple[Opinion, ...]
+    items: tuple[TargetEstimate, ...]
     """One for each target that there is something to say of."""
 
     times: tuple[tuple[str, float], ...]
@@ -153,7 +153,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asked:
+class SlotRequested:
     """A VM asks for a target."""
 
     vm: str
@@ -164,7 +164,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Adopted:
+class SlotHeld:
     """A VM tells a new dispatcher of a slot that it holds already."""
 
     vm: str
@@ -175,7 +175,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Suspects:
+class SuspectRequests:
     """What a VM knows of requests that were at targets when they crashed."""
 
     items: tuple[tuple[str, suspect.Suspect], ...]
@@ -183,7 +183,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Retries:
+class RetryCounts:
     """What a VM knows of the requests and retries of a service."""
 
     service: str
@@ -192,11 +192,11 @@
     counts: tuple[retry_window.Count, ...]
     """What it has counted, and what others have, each with the name of the counter."""
 
-    is_sure: bool = False
+    is_complete: bool = False
     """Whether this, with what it told just before, is all that was given out lately."""
 
 
-MOST_NAMES = 256
+MAX_NAMES = 256
 """Names of targets in one list of an ask; a VM leaves out fewer."""
 
 REPORT_FIELDS = (
@@ -214,14 +214,14 @@
     Hello
     | Leaving
     | Resigned
-    | News
-    | Published
+    | TargetUpdate
+    | ConfigurationUpdate
     | VersionNotice
-    | Opinions
-    | Asked
-    | Adopted
-    | Suspects
-    | Retries
+    | TargetEstimates
+    | SlotRequested
+    | SlotHeld
+    | SuspectRequests
+    | RetryCounts
     | messages.Grant
     | messages.Refuse
     | messages.Wait
@@ -272,28 +272,28 @@
         case Resigned():
             left = message.until - now
             return ["q", message.vm, message.incarnation, message.task, left]
-        case News():
+        case TargetUpdate():
             changes = [pack_change(one, now) for one in message.changes]
             head = [message.vm, message.version, message.position, message.since]
-            return ["n", *head, changes, message.is_relayed]
-        case Published():
+            return ["n", *head, changes, message.is_for_relay]
+        case ConfigurationUpdate():
             return ["c", *dataclasses.astuple(message)]
         case VersionNotice():
             return ["v", message.vm, message.version]
-        case Opinions():
+        case TargetEstimates():
             items = [_pack_opinion(one) for one in message.items]
             times = [list(one) for one in message.times]
             return ["o", *_pack_shard(message.shard), items, times, message.vm]
-        case Asked():
+        case SlotRequested():
             return ["a", message.vm, *_pack_ask(message.ask, now)]
-        case Adopted():
+        case SlotHeld():
             held = message.held
             return ["k", message.vm, held.target_id, *_pack_ask(held.ask, now)]
-        case Suspects():
+        case SuspectRequests():
             return ["s", suspect_codec.pack(message.items, now)]
-        case Retries():
+        case RetryCounts():
             counts = retry_codec.pack(message.counts)
-            return ["t", message.service, counts, message.is_sure]
+            return ["t", message.service, counts, message.is_complete]
         case messages.Grant():
             return ["g", *dataclasses.astuple(message)]
         case messages.Refuse():
@@ -319,22 +319,22 @@
         case "n":
             changes = tuple(unpack_change(one, now) for one in rest[4])
             vm, version, position, since = rest[:4]
-            return News(vm, version, position, since, changes, bool(rest[5]))
+            return TargetUpdate(vm, version, position, since, changes, bool(rest[5]))
         case "c":
-            return Published(*rest)
+            return ConfigurationUpdate(*rest)
         case "v":
             return VersionNotice(rest[0], rest[1])
         case "o":
-            items = tuple(Opinion(*one) for one in rest[4])
+            items = tuple(TargetEstimate(*one) for one in rest[4])
             times = tuple((name, seconds) for name, seconds in rest[5])
-            return Opinions(shards.Shard(*rest[:4]), items, times, *rest[6:])
+            return TargetEstimates(shards.Shard(*rest[:4]), items, times, *rest[6:])
         case "a":
-            return Asked(rest[0], _unpack_ask(rest[1:], now))
+            return SlotRequested(rest[0], _unpack_ask(rest[1:], now))
         case "s":
-            return Suspects(suspect_codec.unpack(rest[0], now))
+            return SuspectRequests(suspect_codec.unpack(rest[0], now))
         case "t":
             counts = retry_codec.unpack(rest[1])
-            return Retries(str(rest[0]), counts, rest[2] is True)
+            return RetryCounts(str(rest[0]), counts, rest[2] is True)
         case "g":
             return messages.Grant(*rest)
         case "r":
@@ -348,16 +348,21 @@
             return _unpack_report(rest)
         case "k":
             held = messages.Held(_unpack_ask(rest[2:], now), rest[1])
-            return Adopted(rest[0], held)
+            return SlotHeld(rest[0], held)
         case _:
             raise UnreadableError(f"unknown kind {kind!r:.20}")
 
 
-def _pack_opinion(opinion: Opinion) -> list[object]:
-    fields = [opinion.target_id, opinion.failing, opinion.slowness]
+def _pack_opinion(opinion: TargetEstimate) -> list[object]:
+    fields = [opinion.target_id, opinion.failure_probability, opinion.slowness]
     if opinion.rate_limit is None:
         return fields
-    return [*fields, opinion.rate_limit, opinion.due_in, opinion.named_ago]
+    return [
+        *fields,
+        opinion.rate_limit,
+        opinion.next_request_in,
+        opinion.rate_limit_age,
+    ]
 
 
 def _unpack_report(fields: list) -> messages.Report:
@@ -414,7 +419,7 @@
     A list that is odd or too long is refused: a dispatcher would look through it for
     each of its targets.
     """
-    if not isinstance(value, list) or len(value) > MOST_NAMES:
+    if not isinstance(value, list) or len(value) > MAX_NAMES:
         raise UnreadableError("no list of names")
     if not all(isinstance(name, str) for name in value):
         raise UnreadableError("a name that is no text")
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/desk.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/desk.py
@@ -84,7 +84,7 @@
         self._askers: dict[str, tuple[str, float]] = {}
         self._alone_at: dict[shards.Shard, float] = {}
         self._limits = named_limits.NamedLimits(registry)
-        self._heard: dict[str, tuple[datagrams.Opinion, float]] = {}
+        self._heard: dict[str, tuple[datagrams.TargetEstimate, float]] = {}
         self._divisions: dict[str, tuple[shards.Shard, ...]] = {}
 
     def list_services(self) -> list[str]:
@@ -169,16 +169,16 @@
             if is_idle and self._used_at.get(shard, now) < now - KEEP_IDLE:
                 del self._dispatchers[shard]
 
-    def summarize(self, shard: shards.Shard, now: float) -> datagrams.Opinions:
+    def summarize(self, shard: shards.Shard, now: float) -> datagrams.TargetEstimates:
         """Return what the dispatcher of a shard thinks of its targets."""
         known = self._dispatchers.get(shard)
         states = known.pool.list_states() if known is not None else []
         items = tuple(_make_opinion(state, now) for state in states)
         times = self._times.get(shard.service)
         means = tuple(times.means.items()) if times is not None else ()
-        return datagrams.Opinions(shard, items, means, self._fleet.own.vm)
+        return datagrams.TargetEstimates(shard, items, means, self._fleet.own.vm)
 
-    def take_opinions(self, opinions: datagrams.Opinions, now: float) -> None:
+    def take_opinions(self, opinions: datagrams.TargetEstimates, now: float) -> None:
         """Take in what another dispatcher thinks.
 
         One that is at work here knows better by what it sees itself.
@@ -196,7 +196,7 @@
         if known is not None:
             self._tell_heard(known, shard, now)
 
-    def take_retries(self, told: datagrams.Retries, now: float) -> None:
+    def take_retries(self, told: datagrams.RetryCounts, now: float) -> None:
         """Take in what another VM has counted of a service that is known."""
         if told.service in self._divisions:
             self.retries.take(told, now)
@@ -205,7 +205,9 @@
         """Take in which limit an answer to this VM has named, infinite for none."""
         self._limits.note(target_id, rate, now, now)
 
-    def _take_limit(self, opinion: datagrams.Opinion, vm: str, now: float) -> None:
+    def _take_limit(
+        self, opinion: datagrams.TargetEstimate, vm: str, now: float
+    ) -> None:
         """Take in the limit that another dispatcher knows of.
 
         One that dispatches here as well shares it. Only an answer lifts a limit here:
@@ -213,8 +215,8 @@
         """
         if opinion.rate_limit is None:
             return
-        due_at = now + opinion.due_in
-        named_at = now - opinion.named_ago
+        due_at = now + opinion.next_request_in
+        named_at = now - opinion.rate_limit_age
         self._limits.note(opinion.target_id, opinion.rate_limit, due_at, named_at)
         for shard, known in self._dispatchers.items():
             state = known.pool.find(opinion.target_id)
@@ -275,7 +277,9 @@
             self._give_limit(state, shard, now)
             heard = self._heard.get(state.entry.target_id)
             if heard is not None:
-                state.set_opinion(heard[0].failing, heard[0].slowness, heard[1])
+                state.set_opinion(
+                    heard[0].failure_probability, heard[0].slowness, heard[1]
+                )
 
     def _is_alone(self, service: str) -> bool:
         """Return whether no other VM asks here for targets of a service."""
@@ -309,9 +313,9 @@
             state.limit.use_whole(now)
 
 
-def _make_opinion(state: pool.TargetState, now: float) -> datagrams.Opinion:
+def _make_opinion(state: pool.TargetState, now: float) -> datagrams.TargetEstimate:
     """Return what a dispatcher thinks of a target."""
-    opinion = datagrams.Opinion(
+    opinion = datagrams.TargetEstimate(
         state.entry.target_id,
         round(state.belief.find_failing(now), 3),
         round(state.slowness.find(now), 2),
@@ -321,6 +325,6 @@
     return dataclasses.replace(
         opinion,
         rate_limit=state.limit.rate,
-        due_in=round(max(0.0, state.limit.due_at - now), 2),
-        named_ago=round(max(0.0, now - state.limit.named_at), 2),
+        next_request_in=round(max(0.0, state.limit.due_at - now), 2),
+        rate_limit_age=round(max(0.0, now - state.limit.named_at), 2),
     )
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_talk.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_talk.py
@@ -116,24 +116,24 @@
                 self._fleet.record_resignation(
                     message.vm, message.incarnation, message.task, message.until, now
                 )
-            case datagrams.News():
-                if self._fleet.is_direct(message.vm, message.is_relayed):
+            case datagrams.TargetUpdate():
+                if self._fleet.is_direct(message.vm, message.is_for_relay):
                     self._fleet.record_contact(message.vm, now)
                 self._hearers.keeper.take_news(message)
-            case datagrams.Published():
+            case datagrams.ConfigurationUpdate():
                 self._hearers.keeper.take_published(message)
             case datagrams.VersionNotice():
                 self._hearers.keeper.take_version(message.vm, message.version)
-            case datagrams.Opinions():
+            case datagrams.TargetEstimates():
                 self._hearers.desk.take_opinions(message, now)
-            case datagrams.Asked():
+            case datagrams.SlotRequested():
                 self._fleet.record_contact(message.vm, now)
                 self._hearers.desk.ask(message.vm, message.ask, now)
-            case datagrams.Adopted():
+            case datagrams.SlotHeld():
                 self._hearers.desk.adopt(message.vm, message.held, now)
-            case datagrams.Retries():
+            case datagrams.RetryCounts():
                 self._hearers.desk.take_retries(message, now)
-            case datagrams.Suspects():
+            case datagrams.SuspectRequests():
                 self._hearers.suspects.take(message)
             case messages.Report():
                 self._hearers.desk.report(message, now)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
@@ -186,7 +186,7 @@
         self._configuration.lose_time(seconds)
         self._reader.read_anew()
 
-    def take_news(self, news: datagrams.News) -> None:
+    def take_news(self, news: datagrams.TargetUpdate) -> None:
         """Take in what another VM has read."""
         now = anyio.current_time()
         self._spreader.pass_on(news)
@@ -198,7 +198,7 @@
         if position >= 0:
             self._starter.note_holder(vm)
 
-    def take_published(self, published: datagrams.Published) -> None:
+    def take_published(self, published: datagrams.ConfigurationUpdate) -> None:
         """Take in a configuration that another VM has read.
 
         Raises
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/members.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/members.py
@@ -197,7 +197,7 @@
         """Return the other VMs of a data centre, suspects included."""
         return [one for one in self.list_others() if one.data_centre == data_centre]
 
-    def is_direct(self, vm: str, is_relayed: bool) -> bool:
+    def is_direct(self, vm: str, is_for_relay: bool) -> bool:
         """Return whether news of a VM came from it, and not through a relay.
 
         A VM of another data centre tells only relays. News that one of them passed on
@@ -207,7 +207,7 @@
         """
         member = self._known.get(vm)
         is_near = member is not None and member.data_centre == self.own.data_centre
-        return is_relayed or is_near
+        return is_for_relay or is_near
 
     @property
     def data_centres(self) -> set[str]:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/news_teller.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/news_teller.py
@@ -92,7 +92,7 @@
         """Tell what was read lately, in this data centre and to relays elsewhere."""
         now = self._told_at = anyio.current_time()
         since, changes = self._record.list_since(now - REPEAT_FOR)
-        news = datagrams.News(
+        news = datagrams.TargetUpdate(
             self._vm,
             self._configured.version,
             self._record.position,
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
@@ -251,7 +251,7 @@
             return
         member = self._fleet.find(vm)
         if member is not None:
-            self._link.send(datagrams.Asked(own, ask), member)
+            self._link.send(datagrams.SlotRequested(own, ask), member)
 
     def _hand_over(self, shard: shards.Shard, vm: str) -> None:
         """Tell a VM that dispatches from now on which slots are in use here.
@@ -268,7 +268,7 @@
                 ask = dataclasses.replace(held.ask, shard=shard)
                 moved = self._held[ticket] = dataclasses.replace(held, ask=ask)
                 self._granters.setdefault(ticket, []).append(_Granter(vm, shard))
-                self._tell(vm, datagrams.Adopted(self._fleet.own.vm, moved))
+                self._tell(vm, datagrams.SlotHeld(self._fleet.own.vm, moved))
 
     def _take(self, ask: messages.Ask, vm: str, answer: Answer) -> Answer:
         if isinstance(answer, messages.Grant):
@@ -289,7 +289,7 @@
         )
         self._tell(vm, report)
 
-    def _tell(self, vm: str, message: messages.Report | datagrams.Adopted) -> None:
+    def _tell(self, vm: str, message: messages.Report | datagrams.SlotHeld) -> None:
         own = self._fleet.own.vm
         member = self._fleet.find(vm)
         if vm != own and member is not None:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
@@ -158,30 +158,32 @@
         if untold and untold >= MOST_UNTOLD * self._budget.slack:
             self._announce(service)
 
-    def tell(self, service: str, now: float, is_whole: bool) -> list[datagrams.Retries]:
+    def tell(
+        self, service: str, now: float, is_whole: bool
+    ) -> list[datagrams.RetryCounts]:
         """Return what was counted here lately of a service, or all that is known.
 
         Where many VMs decide alone, it does not fit one datagram.
         """
         is_sure = is_whole and self._is_sure(service, now)
-        told: list[datagrams.Retries] = []
+        told: list[datagrams.RetryCounts] = []
         counts: list[retry_window.Count] = []
         for count in self.open(service, now).tell(now, is_whole):
             counts.append(count)
             if sum(len(parts) for _, parts in counts) >= MOST_PARTS:
-                told.append(datagrams.Retries(service, tuple(counts)))
+                told.append(datagrams.RetryCounts(service, tuple(counts)))
                 counts = []
         if counts or (is_sure and told):
-            told.append(datagrams.Retries(service, tuple(counts), is_sure))
+            told.append(datagrams.RetryCounts(service, tuple(counts), is_sure))
         return told
 
-    def take(self, told: datagrams.Retries, now: float) -> None:
+    def take(self, told: datagrams.RetryCounts, now: float) -> None:
         """Take in what another VM knows."""
         window = self.open(told.service, now)
         for count in told.counts:
             window.take(count, now)
         self.note_active(told.service, now)
-        if told.is_sure:
+        if told.is_complete:
             self._told.add(told.service)
 
     def find_counted(self, service: str, now: float) -> Counted:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/spreading.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/spreading.py
@@ -16,7 +16,7 @@
 RELAY_TASK = "relay news"
 """Name of the task of passing on."""
 
-Spread = datagrams.News | datagrams.Published
+Spread = datagrams.TargetUpdate | datagrams.ConfigurationUpdate
 """Messages that are spread."""
 
 
@@ -40,13 +40,13 @@
         """Tell the own data centre and some relays of each other, in turn."""
         self._turns += 1
         self._link.send_many(message, self._fleet.list_in(self._own_place))
-        relayed = dataclasses.replace(message, is_relayed=True)
+        relayed = dataclasses.replace(message, is_for_relay=True)
         self._link.send_many(relayed, self._choose_relays(now, relays))
 
     def pass_on(self, message: Spread) -> None:
         """Tell what came from another data centre in this one, if it is relayed."""
-        if message.is_relayed:
-            passed = dataclasses.replace(message, is_relayed=False)
+        if message.is_for_relay:
+            passed = dataclasses.replace(message, is_for_relay=False)
             self._link.send_many(passed, self._fleet.list_in(self._own_place))
 
     def _choose_relays(self, now: float, count: int) -> list[ports.Member]:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_exchange.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_exchange.py
@@ -111,7 +111,7 @@
             self._log.write("quarantine_cleared", fingerprint=fingerprint)
             self._tell_some([fingerprint])
 
-    def take(self, message: datagrams.Suspects) -> None:
+    def take(self, message: datagrams.SuspectRequests) -> None:
         """Take in what another VM knows."""
         now = anyio.current_time()
         for fingerprint, heard in message.items:
@@ -178,4 +178,4 @@
             for name in fingerprints
             if (found := self._known.find(name)) is not None
         )
-        self._link.send_many(datagrams.Suspects(items), told)
+        self._link.send_many(datagrams.SuspectRequests(items), told)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_record.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_record.py
@@ -71,7 +71,7 @@
         """Whether all targets were read at least once."""
         return self.position >= 0
 
-    def take_news(self, news: datagrams.News, now: float) -> None:
+    def take_news(self, news: datagrams.TargetUpdate, now: float) -> None:
         """Take in what another VM has read."""
         if not self.is_complete or news.since > self.position:
             return  # Something between is missing: read it from the store.
--- a/tests/edge/test_datagrams.py
+++ b/tests/edge/test_datagrams.py
@@ -23,18 +23,20 @@
 MESSAGES = [
     datagrams.Hello(MEMBER, True),
     datagrams.Leaving("vm-1", 1),
-    datagrams.News("vm-1", 4, 20, 10, (ENTRY, targets.Gone("t2", 13))),
+    datagrams.TargetUpdate("vm-1", 4, 20, 10, (ENTRY, targets.Gone("t2", 13))),
     datagrams.VersionNotice("vm-1", 5),
-    datagrams.Opinions(SHARD, (datagrams.Opinion("t1", 0.2, 1.5),), (("r", 0.2),)),
-    datagrams.Opinions(
+    datagrams.TargetEstimates(
+        SHARD, (datagrams.TargetEstimate("t1", 0.2, 1.5),), (("r", 0.2),)
+    ),
+    datagrams.TargetEstimates(
         SHARD,
-        (datagrams.Opinion("t1", 0.2, 1.5, 3.8, 0.25, 1.5),),
+        (datagrams.TargetEstimate("t1", 0.2, 1.5, 3.8, 0.25, 1.5),),
         (("r", 0.2),),
         "vm-1",
     ),
-    datagrams.Asked("vm-1", ASK),
-    datagrams.Adopted("vm-1", messages.Held(ASK, "t1")),
-    datagrams.Suspects(
+    datagrams.SlotRequested("vm-1", ASK),
+    datagrams.SlotHeld("vm-1", messages.Held(ASK, "t1")),
+    datagrams.SuspectRequests(
         (
             (
                 "00112233aabbccdd",
@@ -43,7 +45,9 @@
             ("ffff2233aabbccdd", suspect.Suspect(answered_at=-2.0)),
         )
     ),
-    datagrams.Retries("desk", (("vm-1:7:0", (retry_window.Part(40, 0.3, 12, 2),)),)),
+    datagrams.RetryCounts(
+        "desk", (("vm-1:7:0", (retry_window.Part(40, 0.3, 12, 2),)),)
+    ),
     messages.Grant("vm:1:2", "t1", 0.1, 0.2),
     messages.Refuse("vm:1:2", messages.RefusalReason.OVERLOADED, 2.0),
     messages.Wait("vm:1:2"),
@@ -60,9 +64,9 @@
 def test_times_travel_as_what_is_left_of_them() -> None:
     # Steady clocks of two VMs have nothing in common: read as they are, a deadline of
     # one would lie years away for the other.
-    data = datagrams.encode(datagrams.Asked("vm-1", ASK), 1.0)
+    data = datagrams.encode(datagrams.SlotRequested("vm-1", ASK), 1.0)
     found = datagrams.decode(data, 1001.0)
-    assert isinstance(found, datagrams.Asked)
+    assert isinstance(found, datagrams.SlotRequested)
     assert found.ask.deadline_at == 1001.5
     assert found.ask.objective_at == 1000.5
 
--- a/tests/edge/test_desk.py
+++ b/tests/edge/test_desk.py
@@ -83,8 +83,8 @@
     # A target in need got all that its slots take from each new dispatcher.
     made, decisions = make_desk(vms=20)
     now = anyio.current_time()
-    opinion = datagrams.Opinion("t1", 0.1, 1.0, 1.0, 0.8)
-    told = datagrams.Opinions(shards.Shard("desk"), (opinion,), (), "vm-3")
+    opinion = datagrams.TargetEstimate("t1", 0.1, 1.0, 1.0, 0.8)
+    told = datagrams.TargetEstimates(shards.Shard("desk"), (opinion,), (), "vm-3")
     made.take_opinions(told, now)
     assert count_retries(made, decisions, "vm-1") == 0
 
@@ -99,8 +99,8 @@
     good = messages.Outcome.GOOD
     whole = shards.Shard("desk")
     made.report(messages.Report("k1", whole, "t1", good, 0.1, "vm-1", math.inf), now)
-    opinion = datagrams.Opinion("t1", 0.1, 1.0, 1.0, 0.8, named_ago=2.0)
-    made.take_opinions(datagrams.Opinions(whole, (opinion,), (), "vm-3"), now)
+    opinion = datagrams.TargetEstimate("t1", 0.1, 1.0, 1.0, 0.8, rate_limit_age=2.0)
+    made.take_opinions(datagrams.TargetEstimates(whole, (opinion,), (), "vm-3"), now)
     made.ask("vm-1", dataclasses.replace(first, ticket="k2"), now)
     assert sum(isinstance(one, messages.Grant) for one in decisions) == 2
 
@@ -175,12 +175,14 @@
     # work that may run only once to those that were failing a moment ago.
     made, _ = make_desk(vms=3)
     now = anyio.current_time()
-    opinion = datagrams.Opinion("t1", 0.9, 3.0)
-    made.take_opinions(datagrams.Opinions(shards.Shard("desk"), (opinion,), ()), now)
+    opinion = datagrams.TargetEstimate("t1", 0.9, 3.0)
+    made.take_opinions(
+        datagrams.TargetEstimates(shards.Shard("desk"), (opinion,), ()), now
+    )
     ask = dataclasses.replace(ASK, objective_at=now + 1, deadline_at=now + 2)
     made.ask("vm-1", ask, now)
     [told] = made.summarize(shards.Shard("desk"), now).items
-    assert told.failing > 0.8
+    assert told.failure_probability > 0.8
     assert told.slowness > 2.5
 
 
@@ -191,7 +193,7 @@
     made.update_targets(now)
     parts = (retry_window.Part(7, 1.0, 100, 50),)
     counts = (("vm-9:1:0", parts),)
-    made.take_retries(datagrams.Retries("desk", counts, is_sure=True), now)
+    made.take_retries(datagrams.RetryCounts("desk", counts, is_complete=True), now)
     assert count_retries(made, decisions, "vm-1") == 2
     counted = made.retries.find_counted("desk", now)
     assert (counted.requests, counted.spent) == (0, 2)
@@ -204,7 +206,7 @@
     made.update_targets(now)
     parts = (retry_window.Part(7, 1.0, 100, 50),)
     for service in ("desk", "other"):
-        made.take_retries(datagrams.Retries(service, (("vm-9:1:0", parts),)), now)
+        made.take_retries(datagrams.RetryCounts(service, (("vm-9:1:0", parts),)), now)
     assert made.retries.tell("desk", now, is_whole=True)
     assert not made.retries.tell("other", now, is_whole=True)
 
@@ -240,7 +242,7 @@
     parts = tuple(retry_window.Part(n, 10.0 - n / 10, 9, 9) for n in range(100))
     names = [f"a-vm-of-a-long-name-{n}:1791131941936:0" for n in range(291)]
     for name in names:
-        made.take_retries(datagrams.Retries("desk", ((name, parts),)), now)
+        made.take_retries(datagrams.RetryCounts("desk", ((name, parts),)), now)
     told = made.retries.tell("desk", now, is_whole=True)
     sizes = [len(datagrams.encode(one, now)) for one in told]
     assert max(sizes) <= peer_link.MOST_BYTES
@@ -275,7 +277,7 @@
     # Guards against retries that others gave out since this VM heard of them last.
     now = anyio.current_time()
     parts = (retry_window.Part(7, 1.0, 1000, 0),)
-    told = datagrams.Retries("desk", (("vm-9:1:0", parts),), is_sure=True)
+    told = datagrams.RetryCounts("desk", (("vm-9:1:0", parts),), is_complete=True)
     granted: list[int] = []
     for ago in (1.0, 5.0):
         made, decisions = make_desk(vms=20)
--- a/tests/edge/test_members.py
+++ b/tests/edge/test_members.py
@@ -149,6 +149,6 @@
     # reader first after each piece of news, and wait for it in vain.
     fleet = make_fleet("near")
     fleet.add(ports.Member("far", "z", "10.0.0.2", 7660, 1))
-    assert not fleet.is_direct("far", is_relayed=False)
-    assert fleet.is_direct("far", is_relayed=True)
-    assert fleet.is_direct("near", is_relayed=False)
+    assert not fleet.is_direct("far", is_for_relay=False)
+    assert fleet.is_direct("far", is_for_relay=True)
+    assert fleet.is_direct("near", is_for_relay=False)
--- a/tests/edge/test_placement.py
+++ b/tests/edge/test_placement.py
@@ -50,7 +50,9 @@
 
     def list_asked(self) -> list[str]:
         return [
-            vm for vm, one in self.sent_messages if isinstance(one, datagrams.Asked)
+            vm
+            for vm, one in self.sent_messages
+            if isinstance(one, datagrams.SlotRequested)
         ]
 
 
@@ -101,7 +103,7 @@
 
     def answer_with_grant(self, *vms: str) -> None:
         def answer(vm: str, message: datagrams.Message) -> None:
-            if vm in vms and isinstance(message, datagrams.Asked):
+            if vm in vms and isinstance(message, datagrams.SlotRequested):
                 grant = messages.Grant(message.ask.ticket, "t1", 0.1, 0.2)
                 self.placement.take_decision(grant)
 
@@ -191,7 +193,7 @@
     adopted = [
         (vm, message.held.ask.ticket)
         for vm, message in one.link.sent_messages
-        if isinstance(message, datagrams.Adopted)
+        if isinstance(message, datagrams.SlotHeld)
     ]
     assert adopted == [(one.second, "t:1")]
 
@@ -200,7 +202,7 @@
     one = Fixture()
 
     def answer(vm: str, message: datagrams.Message) -> None:
-        if isinstance(message, datagrams.Asked):
+        if isinstance(message, datagrams.SlotRequested):
             one.placement.take_decision(messages.Wait(message.ask.ticket))
 
     one.link.answer = answer
@@ -216,7 +218,7 @@
     site = Fixture()
 
     def answer(vm: str, message: datagrams.Message) -> None:
-        if isinstance(message, datagrams.Asked):
+        if isinstance(message, datagrams.SlotRequested):
             site.placement.take_decision(messages.Wait(message.ask.ticket))
 
     site.link.answer = answer
@@ -255,7 +257,7 @@
     return [
         message.ask.shard
         for _, message in one.link.sent_messages
-        if isinstance(message, datagrams.Asked)
+        if isinstance(message, datagrams.SlotRequested)
     ]
 
 
@@ -273,7 +275,7 @@
     refusing: list[shards.Shard] = []
 
     def answer(vm: str, message: datagrams.Message) -> None:
-        if not isinstance(message, datagrams.Asked):
+        if not isinstance(message, datagrams.SlotRequested):
             return
         ticket, shard = message.ask.ticket, message.ask.shard
         if not refusing:
@@ -298,7 +300,7 @@
     divide(one, 100)
 
     def answer(vm: str, message: datagrams.Message) -> None:
-        if isinstance(message, datagrams.Asked):
+        if isinstance(message, datagrams.SlotRequested):
             reason = messages.RefusalReason.OVERLOADED
             refuse = messages.Refuse(message.ask.ticket, reason, one.now + 1, 3.0)
             one.placement.take_decision(refuse)
@@ -324,7 +326,7 @@
     moved = [
         message.held.ask.shard
         for _, message in one.link.sent_messages
-        if isinstance(message, datagrams.Adopted) and message.held.ask.ticket == "t:1"
+        if isinstance(message, datagrams.SlotHeld) and message.held.ask.ticket == "t:1"
     ]
     entry = one.registry.find("t1")
     assert entry is not None
@@ -350,7 +352,7 @@
         one.registry.apply([entry], one.now)
 
     def answer(vm: str, message: datagrams.Message) -> None:
-        if not isinstance(message, datagrams.Asked):
+        if not isinstance(message, datagrams.SlotRequested):
             return
         ticket = message.ask.ticket
         decision: messages.Decision = messages.Grant(ticket, "t1", 0.1, 0.2)
--- a/tests/edge/test_suspect_exchange.py
+++ b/tests/edge/test_suspect_exchange.py
@@ -44,7 +44,7 @@
     def send_many(
         self,
         sender: str,
-        message: datagrams.Suspects,
+        message: datagrams.SuspectRequests,
         receivers: collections.abc.Sequence[ports.Member],
     ) -> None:
         data = datagrams.encode(message, anyio.current_time())
@@ -57,7 +57,7 @@
     async def _deliver(self, data: bytes, vm: str) -> None:
         await anyio.sleep(self._rng.uniform(0.001, 0.02))
         message = datagrams.decode(data, anyio.current_time())
-        assert isinstance(message, datagrams.Suspects)
+        assert isinstance(message, datagrams.SuspectRequests)
         self.vms[vm].take(message)
 
 
@@ -70,7 +70,7 @@
 
     def send_many(
         self,
-        message: datagrams.Suspects,
+        message: datagrams.SuspectRequests,
         receivers: collections.abc.Sequence[ports.Member],
     ) -> None:
         self.network.send_many(self.vm, message, receivers)
--- a/tests/edge/test_target_record.py
+++ b/tests/edge/test_target_record.py
@@ -28,9 +28,9 @@
         self.changes += 1
 
 
-def make_news(since: int, position: int, *names: str) -> datagrams.News:
+def make_news(since: int, position: int, *names: str) -> datagrams.TargetUpdate:
     changes = tuple(make_entry(name, position - 1) for name in names)
-    return datagrams.News("vm-2", 1, position, since, changes)
+    return datagrams.TargetUpdate("vm-2", 1, position, since, changes)
 
 
 def test_news_count_only_after_a_whole_read() -> None:
