--- a/bench/retry_vms.py
+++ b/bench/retry_vms.py
@@ -175,14 +175,14 @@
         self.desk.update_targets(now)
         self.placement = placement.Placement(self.members, link, log, rng)
         self.placement.use_desk(self.desk)
-        hearers = fleet_talk.Hearers(
+        hearers = fleet_talk.Receivers(
             self.desk,
             typing.cast(knowledge_keeper.KnowledgeKeeper, _NothingNew()),
             self.placement,
             typing.cast(suspect_exchange.SuspectExchange, _Unsuspected()),
         )
-        self.talk = fleet_talk.FleetTalk(self.members, link, hearers, log, _fail)
-        self.desk.retries.use_announcer(self.talk.tell_retries)
+        self.talk = fleet_talk.FleetMessenger(self.members, link, hearers, log, _fail)
+        self.desk.retries.use_announcer(self.talk.send_retry_counts)
         self._link = link
         self.parts = self._make_parts(fleet)
 
@@ -231,7 +231,7 @@
         with self._scope:
             async with anyio.create_task_group() as group:
                 group.start_soon(self.talk.greet)
-                group.start_soon(self.talk.tell_opinions_regularly)
+                group.start_soon(self.talk.send_estimates_periodically)
                 while True:
                     await anyio.sleep(WAKE_PAUSE)
                     self.desk.wake(anyio.current_time())
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -217,7 +217,7 @@
             ("serve knowledge", self._serve_knowledge),
             ("keep knowledge", self._keeper.run),
             ("wake desk", self._wake_desk),
-            ("tell opinions", self._talk.tell_opinions_regularly),
+            ("tell opinions", self._talk.send_estimates_periodically),
             ("greet", self._talk.greet),
             ("tell suspects", self._suspects.run),
             ("close idle", self._close_idle),
@@ -245,13 +245,13 @@
             self._rng,
             self._resignation,
         )
-        hearers = fleet_talk.Hearers(
+        hearers = fleet_talk.Receivers(
             self._desk, self._keeper, self._placement, self._suspects
         )
-        self._talk = fleet_talk.FleetTalk(
+        self._talk = fleet_talk.FleetMessenger(
             self._fleet, self._link, hearers, self._log, self._note_fault
         )
-        self._desk.retries.use_announcer(self._talk.tell_retries)
+        self._desk.retries.use_announcer(self._talk.send_retry_counts)
         self._client = target_client.TargetClient(self._words)
         self._suspension = suspension.SuspensionWatch(self._take_suspension)
         tools = forwarder.Tools(
@@ -377,13 +377,13 @@
         elif member is not None:
             self._link.send(decision, member)
 
-    def tell_opinions(self) -> None:
+    def send_estimates(self) -> None:
         """Tell the others what this VM thinks of targets."""
-        self._talk.tell_opinions(to_all=True)
+        self._talk.send_estimates(to_all=True)
 
-    def tell_leaving(self) -> None:
+    def announce_leaving(self) -> None:
         """Tell the others that this VM leaves."""
-        self._talk.tell_leaving()
+        self._talk.announce_leaving()
 
     async def _wake_desk(self) -> None:
         while True:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_talk.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_talk.py
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Hearers:
+class Receivers:
     """Who takes in what other VMs say."""
 
     desk: desk.Desk
@@ -66,7 +66,7 @@
     """Requests that crash their targets."""
 
 
-class FleetTalk:
+class FleetMessenger:
     """Talks with the other VMs.
 
     Parameters
@@ -75,7 +75,7 @@
         The VMs.
     link : peer_link.PeerLink
         Datagrams to them.
-    hearers : Hearers
+    hearers : Receivers
         Who takes in what they say.
     log : log_lines.LogLines
         VMs that join.
@@ -87,7 +87,7 @@
         self,
         fleet: members.Members,
         link: peer_link.PeerLink,
-        hearers: Hearers,
+        hearers: Receivers,
         log: log_lines.LogLines,
         note_fault: supervision.NoteFault,
     ) -> None:
@@ -167,13 +167,13 @@
         position = self._hearers.keeper.position
         return datagrams.Hello(own, wants_answer=False, position=position)
 
-    async def tell_opinions_regularly(self) -> None:
+    async def send_estimates_periodically(self) -> None:
         """Tell opinions until cancelled."""
         for number in itertools.count():
             await anyio.sleep(OPINIONS_PAUSE)
-            self.tell_opinions(to_all=number % TELL_ALL_EACH == 0)
+            self.send_estimates(to_all=number % TELL_ALL_EACH == 0)
 
-    def tell_opinions(self, to_all: bool) -> None:
+    def send_estimates(self, to_all: bool) -> None:
         """Tell those next in rank, or all, what the dispatchers here think."""
         now = anyio.current_time()
         own = self._fleet.own.vm
@@ -187,9 +187,9 @@
                 [member for member in successors if member is not None],
             )
         for service in self._hearers.desk.list_services():
-            self.tell_retries(service, is_whole=to_all)
+            self.send_retry_counts(service, is_whole=to_all)
 
-    def tell_retries(self, service: str, is_whole: bool = False) -> None:
+    def send_retry_counts(self, service: str, is_whole: bool = False) -> None:
         """Tell all who dispatch a service, or would next, what was counted here.
 
         The retries of a service are bounded as a whole. A dispatcher that does not know
@@ -219,7 +219,7 @@
                 hello = datagrams.Hello(self._fleet.own, wants_answer=True)
                 self._link.send_many(hello, self._fleet.list_suspects(now))
 
-    def tell_leaving(self) -> None:
+    def announce_leaving(self) -> None:
         """Tell all others that this VM leaves, and leave its tasks to them."""
         own = self._fleet.own
         self._fleet.record_leaving(own.vm, own.incarnation, anyio.current_time())
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
@@ -109,7 +109,7 @@
             log,
             rng,
         )
-        self._teller = news_teller.NewsTeller(
+        self._teller = news_teller.TargetUpdateSender(
             self._record,
             turn,
             knowledge.configured,
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/news_teller.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/news_teller.py
@@ -28,7 +28,7 @@
 """Seconds for which changes are told again, since datagrams may be lost."""
 
 
-class NewsTeller:
+class TargetUpdateSender:
     """Tells news while it is this VM's turn to read.
 
     Parameters
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/stopping.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/stopping.py
@@ -74,11 +74,11 @@
         """Refuse readiness, and give each request its answer by a time."""
         ...
 
-    def tell_opinions(self) -> None:
+    def send_estimates(self) -> None:
         """Tell the others what this VM thinks of targets."""
         ...
 
-    def tell_leaving(self) -> None:
+    def announce_leaving(self) -> None:
         """Tell the others that this VM leaves."""
         ...
 
@@ -96,8 +96,8 @@
     answer_by = began + times.limit - MARGIN
     steps: list[tuple[str, collections.abc.Callable[[], None]]] = [
         ("begin stop", lambda: leaver.begin_stop(answer_by)),
-        ("tell opinions", leaver.tell_opinions),
-        ("tell leaving", leaver.tell_leaving),
+        ("tell opinions", leaver.send_estimates),
+        ("tell leaving", leaver.announce_leaving),
     ]
     for name, step in steps:
         supervision.attempt(name, step, note_fault)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_reader.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_reader.py
@@ -70,7 +70,7 @@
         Where and when the entries are read.
     record : target_record.TargetRecord
         Takes in what was read.
-    teller : news_teller.NewsTeller
+    teller : news_teller.TargetUpdateSender
         Tells the others.
     contact : store_contact.StoreContact
         Paces calls while the store is lost.
@@ -89,7 +89,7 @@
         self,
         source: Source,
         record: target_record.TargetRecord,
-        teller: news_teller.NewsTeller,
+        teller: news_teller.TargetUpdateSender,
         contact: store_contact.StoreContact,
         log: log_lines.LogLines,
         configuration: configuration_keeper.ConfigurationKeeper,
--- a/tests/edge/test_stop_corners.py
+++ b/tests/edge/test_stop_corners.py
@@ -88,10 +88,10 @@
     def begin_stop(self, answer_by: float) -> None:
         """Do nothing."""
 
-    def tell_opinions(self) -> None:
+    def send_estimates(self) -> None:
         """Do nothing."""
 
-    def tell_leaving(self) -> None:
+    def announce_leaving(self) -> None:
         """Do nothing."""
 
 
--- a/tests/edge/test_stopping.py
+++ b/tests/edge/test_stopping.py
@@ -206,10 +206,10 @@
     def begin_stop(self, answer_by: float) -> None:
         self.answer_by = answer_by
 
-    def tell_opinions(self) -> None:
+    def send_estimates(self) -> None:
         raise RuntimeError("a fault")
 
-    def tell_leaving(self) -> None:
+    def announce_leaving(self) -> None:
         raise RuntimeError("a fault")
 
     @property
