--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -97,7 +97,7 @@
         self._rng = rng
         self._is_stopping = False
         self._stop_wanted = anyio.Event()
-        self._ended: stopping.Ended | None = None
+        self._ended: stopping.StopSummary | None = None
         self.metrics = metrics.Metrics()
 
     def stop(self) -> None:
@@ -138,7 +138,7 @@
         know, and wait for the next start. Settings with findings are refused whole: the
         former ones stay in force.
         """
-        supervision.attempt("reload", self._take_settings, self._note_fault)
+        supervision.attempt("reload", self._take_settings, self._report_fault)
 
     def _take_settings(self) -> None:
         if self._settings_file is None:
@@ -175,7 +175,7 @@
             ("close targets", self._client.close),
             ("close store", self._store.close),
         ):
-            await supervision.attempt_async(name, close, self._note_fault)
+            await supervision.attempt_async(name, close, self._report_fault)
         self._log_stopped()
         self._log.flush()
 
@@ -185,7 +185,7 @@
                 "stopped",
                 cut_off=self._ended.cut_off,
                 cut_reading=self._ended.cut_reading,
-                ms=round(self._ended.took * MILLISECONDS),
+                ms=round(self._ended.duration * MILLISECONDS),
             )
 
     async def _serve(self, task_status: anyio.abc.TaskStatus[None]) -> None:
@@ -200,13 +200,15 @@
             ):
                 await group.start(server.serve, address.host, address.port)
             for name, task in self._list_tasks():
-                group.start_soon(supervision.keep_running, name, task, self._note_fault)
+                group.start_soon(
+                    supervision.keep_running, name, task, self._report_fault
+                )
             task_status.started()
             await self._stop_wanted.wait()
             settings = self._settings
-            times = stopping.Times(settings.stop_limit, settings.unready_after)
+            times = stopping.StopTimes(settings.stop_limit, settings.unready_after)
             self._ended = await stopping.stop(
-                self, self._callers, times, self._note_fault
+                self, self._callers, times, self._report_fault
             )
             group.cancel_scope.cancel()
 
@@ -249,7 +251,7 @@
             self._desk, self._keeper, self._placement, self._suspects
         )
         self._talk = fleet_talk.FleetMessenger(
-            self._fleet, self._link, hearers, self._log, self._note_fault
+            self._fleet, self._link, hearers, self._log, self._report_fault
         )
         self._desk.retries.use_announcer(self._talk.send_retry_counts)
         self._client = target_client.TargetClient(self._words)
@@ -317,9 +319,9 @@
         return current.limits if current is not None else configuration.Limits()
 
     def _note_error(self, error: BaseException) -> None:
-        self._note_fault("serve", error)
+        self._report_fault("serve", error)
 
-    def _note_fault(self, task: str, error: BaseException) -> None:
+    def _report_fault(self, task: str, error: BaseException) -> None:
         text = "".join(traceback.format_exception(error))
         self._log.write("unexpected_error", task=task, trace=text[-MOST_TRACE:])
 
@@ -392,7 +394,7 @@
             self._suspension.check()
             now = anyio.current_time()
             has_tasks = bool(self._desk.list_busy())
-            self._resignation.note_lateness(now - due_at, has_tasks)
+            self._resignation.record_lateness(now - due_at, has_tasks)
             if self._registry.drop_lapsed(now):
                 self._desk.update_targets(now)
             self._desk.wake(now)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_talk.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_talk.py
@@ -79,7 +79,7 @@
         Who takes in what they say.
     log : log_lines.LogLines
         VMs that join.
-    note_fault : supervision.NoteFault
+    report_fault : supervision.ReportFault
         Takes a fault met by a datagram.
     """
 
@@ -89,13 +89,13 @@
         link: peer_link.PeerLink,
         hearers: Receivers,
         log: log_lines.LogLines,
-        note_fault: supervision.NoteFault,
+        report_fault: supervision.ReportFault,
     ) -> None:
         self._fleet = fleet
         self._link = link
         self._hearers = hearers
         self._log = log
-        self._note_fault = note_fault
+        self._report_fault = report_fault
         self.is_leaving = False
 
     def receive(self, message: datagrams.Message) -> None:
@@ -103,7 +103,7 @@
         try:
             self._take(message)
         except Exception as error:
-            self._note_fault("take datagram", error)
+            self._report_fault("take datagram", error)
 
     def _take(self, message: datagrams.Message) -> None:
         now = anyio.current_time()
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/log_lines.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/log_lines.py
@@ -16,10 +16,10 @@
 
 import anyio
 
-MOST_BUFFERED = 262_144
+MAX_BUFFERED_BYTES = 262_144
 """Bytes that wait for a reader that stalls: some seconds of lines at full rate."""
 
-MOST_PER_SECOND = 150
+MAX_LINES_PER_S = 150
 """Lines of one event and second: more than any VM decides a second at its usual load
 of a few dozen requests, and little enough to cost next to no processor."""
 
@@ -62,7 +62,7 @@
             self._second = int(now)
             self._counts.clear()
         self._counts[event] += 1
-        if self._counts[event] > MOST_PER_SECOND or self._size > MOST_BUFFERED:
+        if self._counts[event] > MAX_LINES_PER_S or self._size > MAX_BUFFERED_BYTES:
             self.dropped += 1
             return
         record: dict[str, typing.Any] = {"time": round(now, 3), "vm": self._vm}
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/resignation.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/resignation.py
@@ -9,7 +9,7 @@
 
 from . import datagrams, log_lines, members, peer_link
 
-RESIGN_FOR = 3.0
+RESIGNATION_S = 3.0
 """Seconds for which a task is given up; told again while the reason lasts."""
 
 ALL_TASKS = ""
@@ -51,9 +51,9 @@
     def resign(self, task: str, why: str) -> None:
         """Give up a task for a while, unless that was told just now."""
         now = anyio.current_time()
-        if self._until.get(task, 0.0) - now > RESIGN_FOR / 2:
+        if self._until.get(task, 0.0) - now > RESIGNATION_S / 2:
             return
-        until = now + RESIGN_FOR
+        until = now + RESIGNATION_S
         own = self._fleet.own
         if not self._fleet.record_resignation(
             own.vm, own.incarnation, task, until, now
@@ -64,7 +64,7 @@
         message = datagrams.Resigned(own.vm, own.incarnation, task, until)
         self._link.send_many(message, self._fleet.list_others())
 
-    def note_lateness(self, seconds: float, has_tasks: bool) -> None:
+    def record_lateness(self, seconds: float, has_tasks: bool) -> None:
         """Take in by how much a timer of this process fired late.
 
         Load pattern: a VM turns slow while it places the requests of a shard. Its
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/stopping.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/stopping.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Times:
+class StopTimes:
     """What bounds a stop, as the settings say when it begins."""
 
     limit: float
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ended:
+class StopSummary:
     """What a stop did."""
 
     cut_off: int
@@ -42,11 +42,11 @@
     cut_reading: int
     """Requests that had begun and were not read whole."""
 
-    took: float
+    duration: float
     """Seconds."""
 
 
-class Served(typing.Protocol):
+class CallerSide(typing.Protocol):
     """The side on which callers are served."""
 
     @property
@@ -67,7 +67,7 @@
         ...
 
 
-class Leaver(typing.Protocol):
+class StoppingVm(typing.Protocol):
     """What stops."""
 
     def begin_stop(self, answer_by: float) -> None:
@@ -84,8 +84,11 @@
 
 
 async def stop(
-    leaver: Leaver, served: Served, times: Times, note_fault: supervision.NoteFault
-) -> Ended:
+    leaver: StoppingVm,
+    served: CallerSide,
+    times: StopTimes,
+    report_fault: supervision.ReportFault,
+) -> StopSummary:
     """Stop; return once nothing is owed, or the limit is near.
 
     The balancer goes on sending until it has noticed that readiness is gone, and those
@@ -100,16 +103,16 @@
         ("tell leaving", leaver.announce_leaving),
     ]
     for name, step in steps:
-        supervision.attempt(name, step, note_fault)
+        supervision.attempt(name, step, report_fault)
     await anyio.sleep_until(min(began + times.unready_after, answer_by))
     # Twice: connections that came while the first ones were answered are idle now.
     for _ in range(2):
-        await supervision.attempt_async("close idle", served.close_idle, note_fault)
+        await supervision.attempt_async("close idle", served.close_idle, report_fault)
         await _wait_settled(served, answer_by + SETTLE)
-    took = anyio.current_time() - began
-    return Ended(served.in_flight, served.count_reading(), took)
+    duration = anyio.current_time() - began
+    return StopSummary(served.in_flight, served.count_reading(), duration)
 
 
-async def _wait_settled(served: Served, end: float) -> None:
+async def _wait_settled(served: CallerSide, end: float) -> None:
     while served.is_owing() and anyio.current_time() < end:
         await anyio.sleep(POLL)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/supervision.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/supervision.py
@@ -16,41 +16,41 @@
 
 Run = collections.abc.Callable[[], collections.abc.Awaitable[None]]
 
-NoteFault = collections.abc.Callable[[str, BaseException], None]
+ReportFault = collections.abc.Callable[[str, BaseException], None]
 """Takes the name of a task and its error."""
 
 
 async def keep_running(
     name: str,
     run: Run,
-    note_fault: NoteFault,
+    report_fault: ReportFault,
 ) -> None:
     """Run a task until cancelled, and start it again after each fault."""
     while True:
         try:
             await run()
         except Exception as error:
-            note_fault(name, error)
+            report_fault(name, error)
         await anyio.sleep(RESTART_PAUSE)
 
 
 def attempt(
-    name: str, act: collections.abc.Callable[[], None], note_fault: NoteFault
+    name: str, act: collections.abc.Callable[[], None], report_fault: ReportFault
 ) -> None:
     """Do one step; note its fault and go on with what follows."""
     try:
         act()
     except Exception as error:
-        note_fault(name, error)
+        report_fault(name, error)
 
 
 async def attempt_async(
     name: str,
     act: Run,
-    note_fault: NoteFault,
+    report_fault: ReportFault,
 ) -> None:
     """Do one step that waits; note its fault and go on with what follows."""
     try:
         await act()
     except Exception as error:
-        note_fault(name, error)
+        report_fault(name, error)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspension.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspension.py
@@ -10,7 +10,7 @@
 import collections.abc
 import time
 
-LEAST_GAP = 0.05
+MIN_SUSPENSION_S = 0.05
 """Seconds of suspension from which anything is done. Two clocks that are read one after
 the other differ by less."""
 
@@ -51,5 +51,5 @@
         """
         lost = self._read_lost()
         gap, self._lost = lost - self._lost, lost
-        if gap > LEAST_GAP:
+        if gap > MIN_SUSPENSION_S:
             self._take_gap(gap)
--- a/tests/edge/test_log_lines.py
+++ b/tests/edge/test_log_lines.py
@@ -28,7 +28,7 @@
 ) -> None:
     # Whoever collects the log has stopped reading. Callers must not wait for it; what
     # does not fit is dropped, and the first line that gets through says how much.
-    monkeypatch.setattr(log_lines, "MOST_PER_SECOND", 1_000_000)
+    monkeypatch.setattr(log_lines, "MAX_LINES_PER_S", 1_000_000)
     reader, writer = os.pipe()
     log = log_lines.LogLines("vm-1", writer)
     for n in range(20_000):
@@ -46,7 +46,7 @@
     log.flush()
     data += os.read(reader, 1 << 20)
     lines = [json.loads(line) for line in data.splitlines()]
-    assert len(data) < 2 * log_lines.MOST_BUFFERED
+    assert len(data) < 2 * log_lines.MAX_BUFFERED_BYTES
     assert lines[-1]["event"] == "after"
     assert lines[-1]["lines_dropped"] > 0
 
@@ -54,14 +54,14 @@
 def test_flood_of_one_event_leaves_room_for_others() -> None:
     reader, writer = os.pipe()
     log = log_lines.LogLines("vm-1", writer)
-    for _ in range(3 * log_lines.MOST_PER_SECOND):
+    for _ in range(3 * log_lines.MAX_LINES_PER_S):
         log.write("answer")
     log.write("store_lost", part="targets")
     log.flush()
     events = [
         json.loads(line)["event"] for line in os.read(reader, 1 << 20).splitlines()
     ]
-    assert events.count("answer") <= 2 * log_lines.MOST_PER_SECOND
+    assert events.count("answer") <= 2 * log_lines.MAX_LINES_PER_S
     assert "store_lost" in events
 
 
--- a/tests/edge/test_resignation.py
+++ b/tests/edge/test_resignation.py
@@ -83,13 +83,13 @@
     own = resignation.Resignation(fleet, link, log)
 
     async def play() -> None:
-        own.note_lateness(0.2, has_tasks=True)
+        own.record_lateness(0.2, has_tasks=True)
         assert link.sent == 0
         for _ in range(10):
-            own.note_lateness(0.2, has_tasks=False)
+            own.record_lateness(0.2, has_tasks=False)
         assert link.sent == 0
         for _ in range(10):
-            own.note_lateness(0.2, has_tasks=True)
+            own.record_lateness(0.2, has_tasks=True)
         assert link.sent == len(NAMES)
 
     anyio.run(play)
--- a/tests/edge/test_stop_corners.py
+++ b/tests/edge/test_stop_corners.py
@@ -82,7 +82,7 @@
         return calls.Reply(200, [], b"fine")
 
 
-class Leaver:
+class StoppingVm:
     """Stops nothing else."""
 
     def begin_stop(self, answer_by: float) -> None:
@@ -150,9 +150,12 @@
             callers.start_soon(read)
             await anyio.sleep(0.05)
             served = SendsAtTheClose(server, lambda: raw.sendall(request))
-            times = stopping.Times(limit=3.0, unready_after=0.05)
+            times = stopping.StopTimes(limit=3.0, unready_after=0.05)
             await stopping.stop(
-                Leaver(), served, times, lambda _, error: edge_site.fail_on_error(error)
+                StoppingVm(),
+                served,
+                times,
+                lambda _, error: edge_site.fail_on_error(error),
             )
             group.cancel_scope.cancel()
         await edge_site.wait_until(lambda: bool(got))
@@ -269,11 +272,11 @@
     server = http_server.Server(
         Answers(), configuration.Limits, edge_site.fail_on_error
     )
-    times = stopping.Times(limit=0.5, unready_after=1.5)
+    times = stopping.StopTimes(limit=0.5, unready_after=1.5)
     ended = await stopping.stop(
-        Leaver(), server, times, lambda _, error: edge_site.fail_on_error(error)
+        StoppingVm(), server, times, lambda _, error: edge_site.fail_on_error(error)
     )
-    assert ended.took <= times.limit
+    assert ended.duration <= times.limit
 
 
 async def test_quick_work_is_served_at_a_stop_whatever_its_objective() -> None:
--- a/tests/edge/test_stopping.py
+++ b/tests/edge/test_stopping.py
@@ -237,7 +237,7 @@
     faults: list[str] = []
     with anyio.fail_after(10.0):
         ended = await stopping.stop(
-            vm, vm, stopping.Times(0.6, 0.05), lambda name, _: faults.append(name)
+            vm, vm, stopping.StopTimes(0.6, 0.05), lambda name, _: faults.append(name)
         )
     assert ended.cut_off == cut_off
     assert faults[:3] == ["tell opinions", "tell leaving", "close idle"]
--- a/tests/edge/test_suspension.py
+++ b/tests/edge/test_suspension.py
@@ -29,7 +29,7 @@
     lost, gaps = LostTime(), []
     watch = suspension.SuspensionWatch(gaps.append, lost.read)
     watch.check()
-    lost.seconds += suspension.LEAST_GAP / 2
+    lost.seconds += suspension.MIN_SUSPENSION_S / 2
     watch.check()
     assert gaps == []
     lost.seconds += 3.0
@@ -40,7 +40,7 @@
 
 def test_clocks_of_this_machine_can_be_read() -> None:
     first = suspension.read_lost_time()
-    assert abs(suspension.read_lost_time() - first) < suspension.LEAST_GAP
+    assert abs(suspension.read_lost_time() - first) < suspension.MIN_SUSPENSION_S
 
 
 async def start(site: edge_site.Site) -> tuple[edge_site.Vm, LostTime]:
