--- a/bench/retry_vms.py
+++ b/bench/retry_vms.py
@@ -20,7 +20,7 @@
     calls,
     datagrams,
     desk,
-    fleet_talk,
+    fleet_messenger,
     knowledge_keeper,
     log_lines,
     members,
@@ -175,13 +175,15 @@
         self.desk.update_targets(now)
         self.placement = placement.Placement(self.members, link, log, rng)
         self.placement.use_desk(self.desk)
-        hearers = fleet_talk.Receivers(
+        hearers = fleet_messenger.Receivers(
             self.desk,
             typing.cast(knowledge_keeper.KnowledgeKeeper, _NothingNew()),
             self.placement,
             typing.cast(suspect_exchange.SuspectExchange, _Unsuspected()),
         )
-        self.talk = fleet_talk.FleetMessenger(self.members, link, hearers, log, _fail)
+        self.talk = fleet_messenger.FleetMessenger(
+            self.members, link, hearers, log, _fail
+        )
         self.desk.retries.use_announcer(self.talk.send_retry_counts)
         self._link = link
         self.parts = self._make_parts(fleet)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -21,7 +21,7 @@
     configuration_keeper,
     desk,
     edge_settings,
-    fleet_talk,
+    fleet_messenger,
     forwarder,
     http_server,
     knowledge_exchange,
@@ -247,10 +247,10 @@
             self._rng,
             self._resignation,
         )
-        hearers = fleet_talk.Receivers(
+        hearers = fleet_messenger.Receivers(
             self._desk, self._keeper, self._placement, self._suspects
         )
-        self._talk = fleet_talk.FleetMessenger(
+        self._talk = fleet_messenger.FleetMessenger(
             self._fleet, self._link, hearers, self._log, self._report_fault
         )
         self._desk.retries.use_announcer(self._talk.send_retry_counts)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
@@ -20,7 +20,6 @@
     knowledge_exchange,
     log_lines,
     members,
-    news_teller,
     peer_link,
     ports,
     reading_turn,
@@ -31,6 +30,7 @@
     store_contact,
     target_reader,
     target_record,
+    target_update_sender,
 )
 
 HOLD_AT_START = 1.0
@@ -109,7 +109,7 @@
             log,
             rng,
         )
-        self._teller = news_teller.TargetUpdateSender(
+        self._teller = target_update_sender.TargetUpdateSender(
             self._record,
             turn,
             knowledge.configured,
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_reader.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_reader.py
@@ -14,13 +14,13 @@
 from . import (
     configuration_keeper,
     log_lines,
-    news_teller,
     ports,
     reading_turn,
     resignation,
     start_turn,
     store_contact,
     target_record,
+    target_update_sender,
 )
 
 READ_WAIT = 0.4
@@ -70,7 +70,7 @@
         Where and when the entries are read.
     record : target_record.TargetRecord
         Takes in what was read.
-    teller : news_teller.TargetUpdateSender
+    teller : target_update_sender.TargetUpdateSender
         Tells the others.
     contact : store_contact.StoreContact
         Paces calls while the store is lost.
@@ -89,7 +89,7 @@
         self,
         source: Source,
         record: target_record.TargetRecord,
-        teller: news_teller.TargetUpdateSender,
+        teller: target_update_sender.TargetUpdateSender,
         contact: store_contact.StoreContact,
         log: log_lines.LogLines,
         configuration: configuration_keeper.ConfigurationKeeper,
