--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_exchange.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_exchange.py
@@ -111,7 +111,7 @@
             self._log.write("quarantine_cleared", fingerprint=fingerprint)
             self._tell_some([fingerprint])
 
-    def apply(self, message: datagrams.Suspects) -> None:
+    def apply(self, message: datagrams.SuspectRequests) -> None:
         """Take in what another VM knows."""
         now = anyio.current_time()
         for fingerprint, heard in message.items:
@@ -157,7 +157,7 @@
         if found is None or quarantine.is_shared(found):
             return
         number = int(fingerprint[:8], 16) % COUNTING_TASKS
-        ranked = self._fleet.rank_heard(f"count crashes {number}", now)
+        ranked = self._fleet.rank_reachable(f"count crashes {number}", now)
         counting = [self._fleet.find(vm) for vm in ranked[:COUNTERS]]
         own = self._fleet.own.vm
         others = [one for one in counting if one is not None and one.vm != own]
@@ -178,4 +178,4 @@
             for name in fingerprints
             if (found := self._known.find(name)) is not None
         )
-        self._link.send_many(datagrams.Suspects(items), told)
+        self._link.send_many(datagrams.SuspectRequests(items), told)
--- a/tests/edge/test_stopping.py
+++ b/tests/edge/test_stopping.py
@@ -161,12 +161,12 @@
     async with edge_site.run_site() as site:
         taken: list[str] = []
 
-        def note_leaving(_: members.Members, vm: str, *rest: object) -> None:
+        def record_leaving(_: members.Members, vm: str, *rest: object) -> None:
             taken.append(vm)
             fail()
 
         def break_it(vm: edge_site.Vm) -> None:
-            monkeypatch.setattr(members.Members, "note_leaving", note_leaving)
+            monkeypatch.setattr(members.Members, "record_leaving", record_leaving)
             address = vm.settings.peers
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
                 for name in ("vm-8", "vm-9"):
@@ -206,10 +206,10 @@
     def begin_stop(self, answer_by: float) -> None:
         self.answer_by = answer_by
 
-    def tell_opinions(self) -> None:
+    def send_estimates(self) -> None:
         raise RuntimeError("a fault")
 
-    def tell_leaving(self) -> None:
+    def announce_leaving(self) -> None:
         raise RuntimeError("a fault")
 
     @property
@@ -237,7 +237,7 @@
     faults: list[str] = []
     with anyio.fail_after(10.0):
         ended = await stopping.stop(
-            vm, vm, stopping.Times(0.6, 0.05), lambda name, _: faults.append(name)
+            vm, vm, stopping.StopTimes(0.6, 0.05), lambda name, _: faults.append(name)
         )
     assert ended.cut_off == cut_off
     assert faults[:3] == ["tell opinions", "tell leaving", "close idle"]
