--- a/bench/retry_fleet.py
+++ b/bench/retry_fleet.py
@@ -26,8 +26,8 @@
 from zinniastand_proxy.edge import (
     calls,
     datagrams,
-    desk,
     http_exchange,
+    local_dispatchers,
     members,
     ports,
     request_notes,
@@ -76,7 +76,7 @@
         self._sent: list[float] = []
         self._arrivals: list[tuple[float, str]] = []
         self._served = 0
-        self._desks: list[desk.Desk] = []
+        self._local_dispatchers: list[local_dispatchers.LocalDispatchers] = []
         self._refused: collections.Counter[str] = collections.Counter()
         self.registry = targets.Registry()
         self.registry.replace(self._make_entries(), 1, 0.0)
@@ -100,7 +100,9 @@
 
     def count_requests(self) -> int:
         """Return how many requests all dispatchers together have counted lately."""
-        return sum(one.retries.count_requests(SERVICE) for one in self._desks)
+        return sum(
+            one.retries.count_requests(SERVICE) for one in self._local_dispatchers
+        )
 
     def carry(self, message: datagrams.Message, member: ports.Member) -> None:
         """Deliver a datagram to whichever start of a VM runs by then."""
@@ -199,7 +201,7 @@
 
     def _start(self, name: str, place: str, born: int) -> retry_vms.Vm:
         vm = self._vms[name] = retry_vms.Vm(self, name, place, born)
-        self._desks.append(vm.desk)
+        self._local_dispatchers.append(vm.local_dispatchers)
         self._group.start_soon(vm.run)
         return vm
 
@@ -242,7 +244,7 @@
         for vm in self._vms.values():
             if vm is None:
                 continue
-            for shard in vm.desk.list_shards(SERVICE):
+            for shard in vm.local_dispatchers.list_shards(SERVICE):
                 found += vm.members.rank(shard.task, now, 1, shard.data_centre)
         return [name for name, _ in collections.Counter(found).most_common()][:1]
 
--- a/bench/retry_vms.py
+++ b/bench/retry_vms.py
@@ -19,9 +19,9 @@
 from zinniastand_proxy.edge import (
     calls,
     datagrams,
-    desk,
     fleet_talk,
     knowledge_keeper,
+    local_dispatchers,
     log_lines,
     members,
     peer_link,
@@ -164,7 +164,7 @@
         link = _Link(fleet)
         log = log_lines.LogLines(name, fleet.sink)
         bound = fleet.load.bound
-        self.desk = desk.Desk(
+        self.local_dispatchers = local_dispatchers.LocalDispatchers(
             self.members,
             fleet.registry,
             retry_counts.RetryBudget(bound.ratio, bound.slack, bound.span),
@@ -172,17 +172,17 @@
             self._deliver,
             is_new_fleet=born == FIRST_INCARNATION,
         )
-        self.desk.update_targets(now)
+        self.local_dispatchers.update_targets(now)
         self.placement = placement.Placement(self.members, link, log, rng)
-        self.placement.use_desk(self.desk)
+        self.placement.use_local_dispatchers(self.local_dispatchers)
         hearers = fleet_talk.Hearers(
-            self.desk,
+            self.local_dispatchers,
             typing.cast(knowledge_keeper.KnowledgeKeeper, _NothingNew()),
             self.placement,
             typing.cast(suspect_exchange.SuspectExchange, _Unsuspected()),
         )
         self.talk = fleet_talk.FleetTalk(self.members, link, hearers, log, _fail)
-        self.desk.retries.use_announcer(self.talk.tell_retries)
+        self.local_dispatchers.retries.use_announcer(self.talk.tell_retries)
         self._link = link
         self.parts = self._make_parts(fleet)
 
@@ -234,11 +234,11 @@
                 group.start_soon(self.talk.tell_opinions_regularly)
                 while True:
                     await anyio.sleep(WAKE_PAUSE)
-                    self.desk.wake(anyio.current_time())
+                    self.local_dispatchers.wake(anyio.current_time())
 
     def _deliver(self, vm: str, decision: messages.Decision) -> None:
         if vm == self.member.vm:
-            self.placement.take_decision(decision)
+            self.placement.handle_decision(decision)
             return
         member = self.members.find(vm)
         if member is not None:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -19,13 +19,13 @@
 from . import (
     calls,
     configuration_keeper,
-    desk,
     edge_settings,
     fleet_talk,
     forwarder,
     http_server,
     knowledge_exchange,
     knowledge_keeper,
+    local_dispatchers,
     log_lines,
     members,
     pages,
@@ -155,7 +155,7 @@
             if getattr(fresh, field.name) != getattr(self._settings, field.name)
         ]
         self._settings = fresh
-        self._desk.retries.use_budget(fresh.retries, anyio.current_time())
+        self._local_dispatchers.retries.use_budget(fresh.retries, anyio.current_time())
         self._store.use_address(fresh.store.host, fresh.store.port)
         waiting = [name for name in changed if name not in CHANGEABLE]
         self._log.write("reload", outcome="in force", changed=changed, waiting=waiting)
@@ -216,7 +216,7 @@
             ("receive datagrams", lambda: self._link.run(self._talk.receive)),
             ("serve knowledge", self._serve_knowledge),
             ("keep knowledge", self._keeper.run),
-            ("wake desk", self._wake_desk),
+            ("wake desk", self._wake_local_dispatchers),
             ("tell opinions", self._talk.tell_opinions_regularly),
             ("greet", self._talk.greet),
             ("tell suspects", self._suspects.run),
@@ -246,12 +246,12 @@
             self._resignation,
         )
         hearers = fleet_talk.Hearers(
-            self._desk, self._keeper, self._placement, self._suspects
+            self._local_dispatchers, self._keeper, self._placement, self._suspects
         )
         self._talk = fleet_talk.FleetTalk(
             self._fleet, self._link, hearers, self._log, self._note_fault
         )
-        self._desk.retries.use_announcer(self._talk.tell_retries)
+        self._local_dispatchers.retries.use_announcer(self._talk.tell_retries)
         self._client = target_client.TargetClient(self._words)
         self._suspension = suspension.SuspensionWatch(self._take_suspension)
         tools = forwarder.Tools(
@@ -286,7 +286,7 @@
         self._resignation = resignation.Resignation(self._fleet, self._link, log)
         self._configured = configuration.ConfigurationState()
         self._registry = targets.Registry()
-        self._desk = desk.Desk(
+        self._local_dispatchers = local_dispatchers.LocalDispatchers(
             self._fleet,
             self._registry,
             settings.retries,
@@ -295,7 +295,7 @@
             settings.is_new_fleet,
         )
         self._placement = placement.Placement(self._fleet, self._link, log, self._rng)
-        self._placement.use_desk(self._desk)
+        self._placement.use_local_dispatchers(self._local_dispatchers)
         self._suspects = suspect_exchange.SuspectExchange(
             quarantine.Quarantine(), self._fleet, self._link, log, self._rng
         )
@@ -350,8 +350,8 @@
     def _set_retry_metrics(self) -> None:
         """Set what this VM has counted of the retries of each service."""
         now = anyio.current_time()
-        for service in self._desk.list_services():
-            counted = self._desk.retries.find_counted(service, now)
+        for service in self._local_dispatchers.list_services():
+            counted = self._local_dispatchers.retries.find_counted(service, now)
             labels = metrics.label(service=service)
             for field in dataclasses.fields(counted):
                 name = f"zinniastand_retry_{field.name}"
@@ -364,16 +364,16 @@
         self._keeper.lose_time(seconds)
         self._client.distrust_idle()
         self._suspects.lose_time(seconds)
-        self._desk.forget()
+        self._local_dispatchers.reset()
         self._fleet.start_anew(anyio.current_time())
 
     def _use_targets(self) -> None:
-        self._desk.update_targets(anyio.current_time())
+        self._local_dispatchers.update_targets(anyio.current_time())
 
     def _deliver(self, vm: str, decision: messages.Decision) -> None:
         member = self._fleet.find(vm)
         if vm == self._fleet.own.vm:
-            self._placement.take_decision(decision)
+            self._placement.handle_decision(decision)
         elif member is not None:
             self._link.send(decision, member)
 
@@ -385,17 +385,17 @@
         """Tell the others that this VM leaves."""
         self._talk.tell_leaving()
 
-    async def _wake_desk(self) -> None:
+    async def _wake_local_dispatchers(self) -> None:
         while True:
             due_at = anyio.current_time() + WAKE_PAUSE
             await anyio.sleep_until(due_at)
             self._suspension.check()
             now = anyio.current_time()
-            has_tasks = bool(self._desk.list_busy())
+            has_tasks = bool(self._local_dispatchers.list_busy())
             self._resignation.note_lateness(now - due_at, has_tasks)
             if self._registry.drop_lapsed(now):
-                self._desk.update_targets(now)
-            self._desk.wake(now)
+                self._local_dispatchers.update_targets(now)
+            self._local_dispatchers.wake(now)
 
     async def _follow_settings(self) -> None:
         while True:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_talk.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_talk.py
@@ -11,8 +11,8 @@
 
 from . import (
     datagrams,
-    desk,
     knowledge_keeper,
+    local_dispatchers,
     log_lines,
     members,
     peer_link,
@@ -53,7 +53,7 @@
 class Hearers:
     """Who takes in what other VMs say."""
 
-    desk: desk.Desk
+    local_dispatchers: local_dispatchers.LocalDispatchers
     """The dispatchers here."""
 
     keeper: knowledge_keeper.KnowledgeKeeper
@@ -125,20 +125,22 @@
             case datagrams.VersionNotice():
                 self._hearers.keeper.take_version(message.vm, message.version)
             case datagrams.Opinions():
-                self._hearers.desk.take_opinions(message, now)
+                self._hearers.local_dispatchers.apply_estimates(message, now)
             case datagrams.Asked():
                 self._fleet.note_heard(message.vm, now)
-                self._hearers.desk.ask(message.vm, message.ask, now)
+                self._hearers.local_dispatchers.request_slot(
+                    message.vm, message.ask, now
+                )
             case datagrams.Adopted():
-                self._hearers.desk.adopt(message.vm, message.held, now)
+                self._hearers.local_dispatchers.adopt(message.vm, message.held, now)
             case datagrams.Retries():
-                self._hearers.desk.take_retries(message, now)
+                self._hearers.local_dispatchers.apply_retry_counts(message, now)
             case datagrams.Suspects():
                 self._hearers.suspects.take(message)
             case messages.Report():
-                self._hearers.desk.report(message, now)
+                self._hearers.local_dispatchers.report(message, now)
             case messages.Grant() | messages.Refuse() | messages.Wait():
-                self._hearers.placement.take_decision(message)
+                self._hearers.placement.handle_decision(message)
 
     def _take_hello(self, hello: datagrams.Hello, now: float) -> None:
         if self._fleet.add(hello.member):
@@ -177,16 +179,16 @@
         """Tell those next in rank, or all, what the dispatchers here think."""
         now = anyio.current_time()
         own = self._fleet.own.vm
-        for shard in self._hearers.desk.list_busy():
+        for shard in self._hearers.local_dispatchers.list_busy():
             heard = self._fleet.rank_heard(shard.task, now, shard.data_centre)
             ranked = [vm for vm in heard if vm != own]
             told = ranked[: MOST_TOLD if to_all else SUCCESSORS]
             successors = [self._fleet.find(vm) for vm in told]
             self._link.send_many(
-                self._hearers.desk.summarize(shard, now),
+                self._hearers.local_dispatchers.summarize_estimates(shard, now),
                 [member for member in successors if member is not None],
             )
-        for service in self._hearers.desk.list_services():
+        for service in self._hearers.local_dispatchers.list_services():
             self.tell_retries(service, is_whole=to_all)
 
     def tell_retries(self, service: str, is_whole: bool = False) -> None:
@@ -196,15 +198,15 @@
         what others have given out would give it out once more.
         """
         now = anyio.current_time()
-        desk, fleet = self._hearers.desk, self._fleet
+        dispatchers, fleet = self._hearers.local_dispatchers, self._fleet
         names = {
             vm
-            for shard in desk.list_shards(service)
+            for shard in dispatchers.list_shards(service)
             for vm in fleet.rank_heard(shard.task, now, shard.data_centre)[:COUNTING]
         }
         names.discard(fleet.own.vm)
         hearers = [fleet.find(vm) for vm in sorted(names)]
-        for told in desk.retries.tell(service, now, is_whole):
+        for told in dispatchers.retries.tell(service, now, is_whole):
             self._link.send_many(told, [one for one in hearers if one is not None])
 
     async def greet(self) -> None:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/desk.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
@@ -43,7 +43,7 @@
 """Seconds after which the asker of a ticket is forgotten; longer than any deadline."""
 
 
-class Desk:
+class LocalDispatchers:
     """Dispatchers of all shards that were asked about here.
 
     Parameters
@@ -110,7 +110,7 @@
         """Return whether any target of a shard may get work, as far as known."""
         return bool(self._list_targets(shard, now))
 
-    def ask(self, vm: str, ask: messages.Ask, now: float) -> None:
+    def request_slot(self, vm: str, ask: messages.Ask, now: float) -> None:
         """Take in an ask of a VM; decisions go out through `deliver`."""
         self._askers[ask.ticket] = (vm, now + KEEP_ASKER)
         self._used_at[ask.shard] = now
@@ -148,7 +148,7 @@
         for shard, known in self._dispatchers.items():
             self._send(known.update_targets(self._list_targets(shard, now), now))
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Forget all slots, waits and beliefs, as a process that starts does.
 
         After a suspension other VMs have long placed these requests.
@@ -169,7 +169,9 @@
             if is_idle and self._used_at.get(shard, now) < now - KEEP_IDLE:
                 del self._dispatchers[shard]
 
-    def summarize(self, shard: shards.Shard, now: float) -> datagrams.Opinions:
+    def summarize_estimates(
+        self, shard: shards.Shard, now: float
+    ) -> datagrams.Opinions:
         """Return what the dispatcher of a shard thinks of its targets."""
         known = self._dispatchers.get(shard)
         states = known.pool.list_states() if known is not None else []
@@ -178,7 +180,7 @@
         means = tuple(times.means.items()) if times is not None else ()
         return datagrams.Opinions(shard, items, means, self._fleet.own.vm)
 
-    def take_opinions(self, opinions: datagrams.Opinions, now: float) -> None:
+    def apply_estimates(self, opinions: datagrams.Opinions, now: float) -> None:
         """Take in what another dispatcher thinks.
 
         One that is at work here knows better by what it sees itself.
@@ -196,12 +198,12 @@
         if known is not None:
             self._tell_heard(known, shard, now)
 
-    def take_retries(self, told: datagrams.Retries, now: float) -> None:
+    def apply_retry_counts(self, told: datagrams.Retries, now: float) -> None:
         """Take in what another VM has counted of a service that is known."""
         if told.service in self._divisions:
             self.retries.take(told, now)
 
-    def note_limit(self, target_id: str, rate: float, now: float) -> None:
+    def record_rate_limit(self, target_id: str, rate: float, now: float) -> None:
         """Take in which limit an answer to this VM has named, infinite for none."""
         self._limits.note(target_id, rate, now, now)
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
@@ -15,24 +15,24 @@
 
 from zinniastand_core.dispatch import messages, shards
 
-from . import datagrams, desk, log_lines, members, peer_link
+from . import datagrams, local_dispatchers, log_lines, members, peer_link
 
-ANSWER_TIMES = (0.03, 0.06)
+ANSWER_TIMEOUTS_S = (0.03, 0.06)
 """Seconds to wait for the answer to the first and second sending of an ask: longer than
 a round trip, also to a busy VM."""
 
-WAIT_CHECK = 0.2
+WAIT_RESEND_INTERVAL_S = 0.2
 """Seconds between two sendings of an ask that waits: shows that somebody lives."""
 
-CANDIDATES = 2
+DISPATCHER_CANDIDATES = 2
 """VMs that are asked before a VM decides by itself."""
 
-MOST_SHARDS = 2
+MAX_SHARDS = 2
 """Shards of a service in which a request asks for a place. The second one costs a round
 trip, and helps where the first is full by chance; where two are full, so are the
 others."""
 
-ELSEWHERE = frozenset(
+OTHER_SHARD_REASONS = frozenset(
     {
         messages.RefusalReason.OVERLOADED,
         messages.RefusalReason.NO_TARGET,
@@ -99,15 +99,17 @@
         self._chooser = shards.Chooser(fleet.own.data_centre, rng)
         self._link = link
         self._log = log
-        self._desk: desk.Desk | None = None
+        self._local_dispatchers: local_dispatchers.LocalDispatchers | None = None
         self._pending: dict[str, _Pending] = {}
         self._held: dict[str, messages.Held] = {}
         self._granters: dict[str, list[_Granter]] = {}
         self._dispatcher_of: dict[shards.Shard, str] = {}
 
-    def use_desk(self, own: desk.Desk) -> None:
+    def use_local_dispatchers(
+        self, dispatchers: local_dispatchers.LocalDispatchers
+    ) -> None:
         """Decide by these dispatchers where no other VM answers."""
-        self._desk = own
+        self._local_dispatchers = dispatchers
 
     async def acquire(self, ask: messages.Ask) -> Answer:
         """Return a target, or why there is none.
@@ -115,11 +117,11 @@
         The ask names a service as a whole; it is placed in one of its shards.
         """
         service = ask.shard.service
-        if self._desk is not None:
-            self._desk.retries.note_request(service, anyio.current_time())
+        if self._local_dispatchers is not None:
+            self._local_dispatchers.retries.note_request(service, anyio.current_time())
         refused: list[shards.Shard] = []
         answer: Answer = _refuse_late(ask)
-        while len(refused) < MOST_SHARDS:
+        while len(refused) < MAX_SHARDS:
             now = anyio.current_time()
             shard = self._chooser.choose(self._list_shards(service), now, refused)
             if shard is None:
@@ -127,7 +129,10 @@
             answer = await self._acquire_in(dataclasses.replace(ask, shard=shard))
             ask = dataclasses.replace(ask, is_first=False)
             self._chooser.note(shard, answer.pressure, anyio.current_time())
-            if isinstance(answer, messages.Grant) or answer.reason not in ELSEWHERE:
+            if (
+                isinstance(answer, messages.Grant)
+                or answer.reason not in OTHER_SHARD_REASONS
+            ):
                 break
             refused.append(shard)
         return answer
@@ -166,9 +171,11 @@
         """Return the VM to ask: the first in rank, this one after some silent ones."""
         now = anyio.current_time()
         own = self._fleet.own.vm
-        if len(silent) >= CANDIDATES:
+        if len(silent) >= DISPATCHER_CANDIDATES:
             return own
-        ranked = self._fleet.rank(shard.task, now, CANDIDATES, shard.data_centre)
+        ranked = self._fleet.rank(
+            shard.task, now, DISPATCHER_CANDIDATES, shard.data_centre
+        )
         left = [vm for vm in ranked if vm not in silent]
         return left[0] if left else own
 
@@ -179,24 +186,26 @@
         waiting for a slot that has been free for long.
         """
         self._held.pop(report.ticket, None)
-        if self._desk is not None and report.rate_limit is not None:
+        if self._local_dispatchers is not None and report.rate_limit is not None:
             now = anyio.current_time()
-            self._desk.note_limit(report.target_id, report.rate_limit, now)
+            self._local_dispatchers.record_rate_limit(
+                report.target_id, report.rate_limit, now
+            )
         usual = [_Granter(self._fleet.own.vm, report.shard)]
         for granter in self._granters.pop(report.ticket, usual):
             told = dataclasses.replace(report, shard=granter.shard)
             self._tell(granter.vm, told)
 
-    def take_decision(self, decision: messages.Decision) -> None:
+    def handle_decision(self, decision: messages.Decision) -> None:
         """Take in the answer to an ask."""
         pending = self._pending.get(decision.ticket)
         if pending is not None:
             pending.take(decision)
 
     def _list_shards(self, service: str) -> tuple[shards.Shard, ...]:
-        if self._desk is None:
+        if self._local_dispatchers is None:
             return (shards.Shard(service),)
-        return self._desk.list_shards(service)
+        return self._local_dispatchers.list_shards(service)
 
     async def _ask(
         self, vm: str, ask: messages.Ask, pending: _Pending, silent: set[str]
@@ -205,13 +214,17 @@
         self._hand_over(ask.shard, vm)
         pending.is_heard = False
         misses = 0
-        while misses < len(ANSWER_TIMES):
+        while misses < len(ANSWER_TIMEOUTS_S):
             now = anyio.current_time()
             if now >= ask.deadline_at:
                 return None
             if pending.is_heard and self._choose_dispatcher(ask.shard, silent) != vm:
                 return None
-            pause = WAIT_CHECK if pending.is_heard else ANSWER_TIMES[misses]
+            pause = (
+                WAIT_RESEND_INTERVAL_S
+                if pending.is_heard
+                else ANSWER_TIMEOUTS_S[misses]
+            )
             # Before sending: this VM's own dispatcher answers at once.
             pending.is_heard = False
             self._send_ask(vm, ask, now)
@@ -229,11 +242,15 @@
         before it has heard of any target, and would refuse what can be served.
         """
         answer = pending.answer
-        is_other = vm != self._fleet.own.vm and self._desk is not None
+        is_other = vm != self._fleet.own.vm and self._local_dispatchers is not None
         if is_other and isinstance(answer, messages.Refuse):
             is_empty = answer.reason is messages.RefusalReason.NO_TARGET
             now = anyio.current_time()
-            if is_empty and self._desk and self._desk.has_targets(ask.shard, now):
+            if (
+                is_empty
+                and self._local_dispatchers
+                and self._local_dispatchers.has_targets(ask.shard, now)
+            ):
                 pending.answer = None
                 return None
         return answer
@@ -246,8 +263,8 @@
 
     def _send_ask(self, vm: str, ask: messages.Ask, now: float) -> None:
         own = self._fleet.own.vm
-        if vm == own and self._desk is not None:
-            self._desk.ask(own, ask, now)
+        if vm == own and self._local_dispatchers is not None:
+            self._local_dispatchers.request_slot(own, ask, now)
             return
         member = self._fleet.find(vm)
         if member is not None:
@@ -264,7 +281,9 @@
         for ticket, held in list(self._held.items()):
             if held.ask.shard.service != shard.service:
                 continue
-            if self._desk is not None and self._desk.covers(shard, held.target_id):
+            if self._local_dispatchers is not None and self._local_dispatchers.covers(
+                shard, held.target_id
+            ):
                 ask = dataclasses.replace(held.ask, shard=shard)
                 moved = self._held[ticket] = dataclasses.replace(held, ask=ask)
                 self._granters.setdefault(ticket, []).append(_Granter(vm, shard))
@@ -294,12 +313,12 @@
         member = self._fleet.find(vm)
         if vm != own and member is not None:
             self._link.send(message, member)
-        elif vm == own and self._desk is not None:
+        elif vm == own and self._local_dispatchers is not None:
             now = anyio.current_time()
             if isinstance(message, messages.Report):
-                self._desk.report(message, now)
+                self._local_dispatchers.report(message, now)
             else:
-                self._desk.adopt(own, message.held, now)
+                self._local_dispatchers.adopt(own, message.held, now)
 
 
 def _refuse_late(ask: messages.Ask) -> messages.Refuse:
--- a/tests/edge/test_desk.py
+++ b/tests/edge/test_local_dispatchers.py
@@ -13,7 +13,7 @@
 from zinniastand_core.dispatch import messages, retry_window, shards
 from zinniastand_proxy.edge import (
     datagrams,
-    desk,
+    local_dispatchers,
     members,
     peer_link,
     ports,
@@ -29,7 +29,7 @@
 
 def make_desk(
     vms: int, count: int = 1, is_new_fleet: bool = False
-) -> tuple[desk.Desk, list[messages.Decision]]:
+) -> tuple[local_dispatchers.LocalDispatchers, list[messages.Decision]]:
     now = anyio.current_time()
     fleet = members.Members(ports.Member("own", "a", "127.0.0.1", 1, 1), now)
     for n in range(vms - 1):
@@ -44,7 +44,7 @@
     ]
     registry.apply(entries, now)
     decisions: list[messages.Decision] = []
-    made = desk.Desk(
+    made = local_dispatchers.LocalDispatchers(
         fleet,
         registry,
         retry_counts.RetryBudget(0.2, 50.0, 10.0),
@@ -55,14 +55,18 @@
     return made, decisions
 
 
-def count_retries(made: desk.Desk, decisions: list[messages.Decision], vm: str) -> int:
+def count_retries(
+    made: local_dispatchers.LocalDispatchers,
+    decisions: list[messages.Decision],
+    vm: str,
+) -> int:
     now = anyio.current_time()
     before = len(decisions)
     for n in range(100):
         ask = dataclasses.replace(
             ASK, ticket=f"{vm}{n}", objective_at=now + 1, deadline_at=now + 2
         )
-        made.ask(vm, ask, now)
+        made.request_slot(vm, ask, now)
     return sum(isinstance(one, messages.Grant) for one in decisions[before:])
 
 
@@ -85,7 +89,7 @@
     now = anyio.current_time()
     opinion = datagrams.Opinion("t1", 0.1, 1.0, 1.0, 0.8)
     told = datagrams.Opinions(shards.Shard("desk"), (opinion,), (), "vm-3")
-    made.take_opinions(told, now)
+    made.apply_estimates(told, now)
     assert count_retries(made, decisions, "vm-1") == 0
 
 
@@ -95,13 +99,13 @@
     made, decisions = make_desk(vms=20)
     now = anyio.current_time()
     first = dataclasses.replace(ASK, attempt=1, deadline_at=now + 9, objective_at=now)
-    made.ask("vm-1", dataclasses.replace(first, ticket="k1"), now)
+    made.request_slot("vm-1", dataclasses.replace(first, ticket="k1"), now)
     good = messages.Outcome.GOOD
     whole = shards.Shard("desk")
     made.report(messages.Report("k1", whole, "t1", good, 0.1, "vm-1", math.inf), now)
     opinion = datagrams.Opinion("t1", 0.1, 1.0, 1.0, 0.8, named_ago=2.0)
-    made.take_opinions(datagrams.Opinions(whole, (opinion,), (), "vm-3"), now)
-    made.ask("vm-1", dataclasses.replace(first, ticket="k2"), now)
+    made.apply_estimates(datagrams.Opinions(whole, (opinion,), (), "vm-3"), now)
+    made.request_slot("vm-1", dataclasses.replace(first, ticket="k2"), now)
     assert sum(isinstance(one, messages.Grant) for one in decisions) == 2
 
 
@@ -110,9 +114,9 @@
     made, decisions = make_desk(vms=20)
     now = anyio.current_time()
     first = dataclasses.replace(ASK, attempt=1, deadline_at=now + 9, objective_at=now)
-    made.note_limit("t1", 2.0, now)
-    made.ask("own", dataclasses.replace(first, ticket="k1"), now)
-    made.ask("vm-1", dataclasses.replace(first, ticket="k2"), now)
+    made.record_rate_limit("t1", 2.0, now)
+    made.request_slot("own", dataclasses.replace(first, ticket="k1"), now)
+    made.request_slot("vm-1", dataclasses.replace(first, ticket="k2"), now)
     made.wake(now + 1.1)
     assert any(isinstance(one, messages.Grant) for one in decisions)
 
@@ -121,9 +125,9 @@
     made, decisions = make_desk(vms=20)
     now = anyio.current_time()
     first = dataclasses.replace(ASK, attempt=1, deadline_at=now + 9, objective_at=now)
-    made.note_limit("t1", 2.0, now)
+    made.record_rate_limit("t1", 2.0, now)
     for number in range(50):
-        made.ask("own", dataclasses.replace(first, ticket=f"k{number}"), now)
+        made.request_slot("own", dataclasses.replace(first, ticket=f"k{number}"), now)
         made.wake(now + number / 10)
     assert sum(isinstance(one, messages.Grant) for one in decisions) == 1
 
@@ -143,7 +147,9 @@
     for second in range(1, 11):
         later = begin + second * 1.01
         ask = dataclasses.replace(ASK, ticket=f"{second}", attempt=1)
-        made.ask("vm-1", dataclasses.replace(ask, deadline_at=later + 1), later)
+        made.request_slot(
+            "vm-1", dataclasses.replace(ask, deadline_at=later + 1), later
+        )
     most = 50 * retry_counts.SHARE_OF_SLACK
     assert 25 < count_retries(made, decisions, "vm-2") <= most
 
@@ -165,7 +171,7 @@
                 objective_at=now + 1,
                 deadline_at=now + 2,
             )
-            made.ask("vm-1", ask, now)
+            made.request_slot("vm-1", ask, now)
     granted = sum(isinstance(one, messages.Grant) for one in decisions)
     assert 10 < granted <= 25
 
@@ -176,10 +182,10 @@
     made, _ = make_desk(vms=3)
     now = anyio.current_time()
     opinion = datagrams.Opinion("t1", 0.9, 3.0)
-    made.take_opinions(datagrams.Opinions(shards.Shard("desk"), (opinion,), ()), now)
+    made.apply_estimates(datagrams.Opinions(shards.Shard("desk"), (opinion,), ()), now)
     ask = dataclasses.replace(ASK, objective_at=now + 1, deadline_at=now + 2)
-    made.ask("vm-1", ask, now)
-    [told] = made.summarize(shards.Shard("desk"), now).items
+    made.request_slot("vm-1", ask, now)
+    [told] = made.summarize_estimates(shards.Shard("desk"), now).items
     assert told.failing > 0.8
     assert told.slowness > 2.5
 
@@ -191,7 +197,7 @@
     made.update_targets(now)
     parts = (retry_window.Part(7, 1.0, 100, 50),)
     counts = (("vm-9:1:0", parts),)
-    made.take_retries(datagrams.Retries("desk", counts, is_sure=True), now)
+    made.apply_retry_counts(datagrams.Retries("desk", counts, is_sure=True), now)
     assert count_retries(made, decisions, "vm-1") == 2
     counted = made.retries.find_counted("desk", now)
     assert (counted.requests, counted.spent) == (0, 2)
@@ -204,7 +210,7 @@
     made.update_targets(now)
     parts = (retry_window.Part(7, 1.0, 100, 50),)
     for service in ("desk", "other"):
-        made.take_retries(datagrams.Retries(service, (("vm-9:1:0", parts),)), now)
+        made.apply_retry_counts(datagrams.Retries(service, (("vm-9:1:0", parts),)), now)
     assert made.retries.tell("desk", now, is_whole=True)
     assert not made.retries.tell("other", now, is_whole=True)
 
@@ -225,7 +231,7 @@
     count_retries(made, decisions, "vm-1")
     [told] = made.retries.tell("desk", now, is_whole=True)
     [(before, _)] = told.counts
-    made.forget()
+    made.reset()
     count_retries(made, decisions, "vm-2")
     [told] = made.retries.tell("desk", now, is_whole=True)
     [(after, _)] = told.counts
@@ -240,7 +246,7 @@
     parts = tuple(retry_window.Part(n, 10.0 - n / 10, 9, 9) for n in range(100))
     names = [f"a-vm-of-a-long-name-{n}:1791131941936:0" for n in range(291)]
     for name in names:
-        made.take_retries(datagrams.Retries("desk", ((name, parts),)), now)
+        made.apply_retry_counts(datagrams.Retries("desk", ((name, parts),)), now)
     told = made.retries.tell("desk", now, is_whole=True)
     sizes = [len(datagrams.encode(one, now)) for one in told]
     assert max(sizes) <= peer_link.MOST_BYTES
@@ -280,7 +286,7 @@
     for ago in (1.0, 5.0):
         made, decisions = make_desk(vms=20)
         made.update_targets(now)
-        made.take_retries(told, now - ago)
+        made.apply_retry_counts(told, now - ago)
         granted.append(count_retries(made, decisions, "vm-1"))
     assert granted[0] == 100
     assert granted[1] <= 50 * retry_counts.FIRST_SHARE
--- a/tests/edge/test_placement.py
+++ b/tests/edge/test_placement.py
@@ -14,7 +14,7 @@
 from zinniastand_core.dispatch import messages, shards
 from zinniastand_proxy.edge import (
     datagrams,
-    desk,
+    local_dispatchers,
     log_lines,
     members,
     peer_link,
@@ -71,14 +71,14 @@
         self.placement = placement.Placement(
             self.fleet, self.link, log, random.Random(1)
         )
-        self.desk = desk.Desk(
+        self.local_dispatchers = local_dispatchers.LocalDispatchers(
             self.fleet,
             registry,
             retry_counts.RetryBudget(0.2, 10.0, 10.0),
             random.Random(1),
-            lambda _, decision: self.placement.take_decision(decision),
+            lambda _, decision: self.placement.handle_decision(decision),
         )
-        self.placement.use_desk(self.desk)
+        self.placement.use_local_dispatchers(self.local_dispatchers)
         self.service = self._find_service()
         self.first, self.second = self.fleet.rank(self.service, self.now, 2)
 
@@ -103,7 +103,7 @@
         def answer(vm: str, message: datagrams.Message) -> None:
             if vm in vms and isinstance(message, datagrams.Asked):
                 grant = messages.Grant(message.ask.ticket, "t1", 0.1, 0.2)
-                self.placement.take_decision(grant)
+                self.placement.handle_decision(grant)
 
         self.link.answer = answer
 
@@ -143,7 +143,7 @@
     one.answer_with_grant(one.second)
     ask = one.make_ask()
     assert isinstance(await one.placement.acquire(ask), messages.Grant)
-    assert sum(placement.ANSWER_TIMES) < 0.1
+    assert sum(placement.ANSWER_TIMEOUTS_S) < 0.1
     assert one.now < ask.objective_at
     assert one.link.list_asked() == [one.first, one.first, one.second]
     await one.placement.acquire(one.make_ask("t:2"))
@@ -168,13 +168,13 @@
     # The test's only target belongs to another service; give it to this one.
     registry = targets.Registry()
     registry.apply([dataclasses.replace(ENTRY, service=one.service)], one.now)
-    one.placement.use_desk(
-        desk.Desk(
+    one.placement.use_local_dispatchers(
+        local_dispatchers.LocalDispatchers(
             one.fleet,
             registry,
             retry_counts.RetryBudget(0.2, 10.0, 10.0),
             random.Random(1),
-            lambda _, decision: one.placement.take_decision(decision),
+            lambda _, decision: one.placement.handle_decision(decision),
         )
     )
     answer = await one.placement.acquire(one.make_ask())
@@ -201,7 +201,7 @@
 
     def answer(vm: str, message: datagrams.Message) -> None:
         if isinstance(message, datagrams.Asked):
-            one.placement.take_decision(messages.Wait(message.ask.ticket))
+            one.placement.handle_decision(messages.Wait(message.ask.ticket))
 
     one.link.answer = answer
     with anyio.move_on_after(0.7):
@@ -217,7 +217,7 @@
 
     def answer(vm: str, message: datagrams.Message) -> None:
         if isinstance(message, datagrams.Asked):
-            site.placement.take_decision(messages.Wait(message.ask.ticket))
+            site.placement.handle_decision(messages.Wait(message.ask.ticket))
 
     site.link.answer = answer
     ask = dataclasses.replace(site.make_ask(), deadline_at=site.now + 0.3)
@@ -248,7 +248,7 @@
         for n in range(targets_count)
     ]
     one.registry.apply(entries, one.now)
-    one.desk.update_targets(one.now)
+    one.local_dispatchers.update_targets(one.now)
 
 
 def list_shards_asked(one: Fixture) -> list[shards.Shard]:
@@ -281,7 +281,7 @@
         decision: messages.Decision = messages.Grant(ticket, "t1", 0.1, 0.2)
         if shard in refusing:
             decision = messages.Refuse(ticket, reason, one.now + 1, 3.0)
-        one.placement.take_decision(decision)
+        one.placement.handle_decision(decision)
 
     one.link.answer = answer
     answered = await one.placement.acquire(one.make_ask())
@@ -301,12 +301,12 @@
         if isinstance(message, datagrams.Asked):
             reason = messages.RefusalReason.OVERLOADED
             refuse = messages.Refuse(message.ask.ticket, reason, one.now + 1, 3.0)
-            one.placement.take_decision(refuse)
+            one.placement.handle_decision(refuse)
 
     one.link.answer = answer
     answered = await one.placement.acquire(one.make_ask())
     assert isinstance(answered, messages.Refuse)
-    assert len(list_shards_asked(one)) == placement.MOST_SHARDS
+    assert len(list_shards_asked(one)) == placement.MAX_SHARDS
 
 
 async def test_slots_in_use_follow_their_targets_into_new_shards() -> None:
@@ -317,7 +317,7 @@
     one.answer_with_grant(*vms)
     await one.placement.acquire(one.make_ask("t:1"))
     divide(one, 100)
-    one.placement.use_desk(one.desk)
+    one.placement.use_local_dispatchers(one.local_dispatchers)
     one.link.sent_messages.clear()
     for n in range(40):
         await one.placement.acquire(one.make_ask(f"n:{n}"))
@@ -357,7 +357,7 @@
         if vm == one.first:
             reason = messages.RefusalReason.NO_TARGET
             decision = messages.Refuse(ticket, reason, one.now + 1, 3.0)
-        one.placement.take_decision(decision)
+        one.placement.handle_decision(decision)
 
     one.link.answer = answer
     answered = await one.placement.acquire(one.make_ask())
--- a/tests/edge/test_stopping.py
+++ b/tests/edge/test_stopping.py
@@ -21,9 +21,9 @@
 from zinniastand_platform import encoding, words
 from zinniastand_proxy.edge import (
     datagrams,
-    desk,
     forwarder,
     knowledge_keeper,
+    local_dispatchers,
     log_lines,
     members,
     stopping,
@@ -113,8 +113,8 @@
 @pytest.mark.parametrize(
     ("owner", "function", "task"),
     [
-        (desk.Desk, "wake", "wake desk"),
-        (desk.Desk, "list_busy", "tell opinions"),
+        (local_dispatchers.LocalDispatchers, "wake", "wake desk"),
+        (local_dispatchers.LocalDispatchers, "list_busy", "tell opinions"),
         (members.Members, "list_suspects", "greet"),
         (target_client.TargetClient, "close_idle", "close idle"),
         (log_lines.LogLines, "flush", "write log"),
