--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/spreading.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/broadcasting.py
@@ -9,18 +9,18 @@
 
 from . import datagrams, members, peer_link, ports
 
-RELAYS = 2
+RELAY_COUNT = 2
 """VMs of another data centre that pass on there what is told. Where one of the two is
 dead, regular news through one of them in turn still come every second time."""
 
 RELAY_TASK = "relay news"
 """Name of the task of passing on."""
 
-Spread = datagrams.News | datagrams.Published
+BroadcastMessage = datagrams.News | datagrams.Published
 """Messages that are spread."""
 
 
-class Spreader:
+class Broadcaster:
     """Tells the own data centre, and relays of the others.
 
     Parameters
@@ -36,23 +36,25 @@
         self._link = link
         self._turns = 0
 
-    def tell(self, message: Spread, now: float, relays: int = RELAYS) -> None:
+    def broadcast(
+        self, message: BroadcastMessage, now: float, relays: int = RELAY_COUNT
+    ) -> None:
         """Tell the own data centre and some relays of each other, in turn."""
         self._turns += 1
-        self._link.send_many(message, self._fleet.list_in(self._own_place))
+        self._link.send_many(message, self._fleet.list_in(self._own_data_centre))
         relayed = dataclasses.replace(message, is_relayed=True)
         self._link.send_many(relayed, self._choose_relays(now, relays))
 
-    def pass_on(self, message: Spread) -> None:
+    def relay(self, message: BroadcastMessage) -> None:
         """Tell what came from another data centre in this one, if it is relayed."""
         if message.is_relayed:
             passed = dataclasses.replace(message, is_relayed=False)
-            self._link.send_many(passed, self._fleet.list_in(self._own_place))
+            self._link.send_many(passed, self._fleet.list_in(self._own_data_centre))
 
     def _choose_relays(self, now: float, count: int) -> list[ports.Member]:
         relays: list[ports.Member] = []
-        for place in self._fleet.data_centres - {self._own_place}:
-            ranked = self._fleet.rank(RELAY_TASK, now, RELAYS, place)
+        for place in self._fleet.data_centres - {self._own_data_centre}:
+            ranked = self._fleet.rank(RELAY_TASK, now, RELAY_COUNT, place)
             for number in range(min(count, len(ranked))):
                 vm = ranked[(self._turns + number) % len(ranked)]
                 member = self._fleet.find(vm)
@@ -62,5 +64,5 @@
         return relays
 
     @property
-    def _own_place(self) -> str:
+    def _own_data_centre(self) -> str:
         return self._fleet.own.data_centre
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
@@ -16,6 +16,7 @@
 from zinniastand_core.deployment import configuration
 
 from . import (
+    broadcasting,
     configuration_codec,
     datagrams,
     forwarder,
@@ -24,7 +25,6 @@
     peer_link,
     ports,
     reading_turn,
-    spreading,
     start_turn,
     store_contact,
     target_record,
@@ -100,7 +100,7 @@
         Where it is put in force.
     fleet : members.Members
         The VMs.
-    spreader : spreading.Spreader
+    broadcaster : broadcasting.Broadcaster
         Pushes what was read.
     link : peer_link.PeerLink
         Datagrams to other VMs.
@@ -115,7 +115,7 @@
         source: Source,
         knowledge: forwarder.Knowledge,
         fleet: members.Members,
-        spreader: spreading.Spreader,
+        broadcaster: broadcasting.Broadcaster,
         link: peer_link.PeerLink,
         log: log_lines.LogLines,
         rng: random.Random,
@@ -126,7 +126,7 @@
         self._fetch = source.fetch
         self._knowledge = knowledge
         self._fleet = fleet
-        self._spreader = spreader
+        self._broadcaster = broadcaster
         self._link = link
         self._log = log
         self._rng = rng
@@ -216,7 +216,7 @@
             configuration_codec.unpack(published.data)
         )
         # Passed on only once, and only after it was read: a broken one stops here.
-        self._spreader.pass_on(published)
+        self._broadcaster.relay(published)
         self.use(candidate, published.vm)
 
     def use(self, candidate: configuration.Configuration, source: str) -> None:
@@ -282,7 +282,9 @@
         data = configuration_codec.pack(configuration_codec.encode(current))
         if len(data) <= MOST_PUSHED:
             vm = self._fleet.own.vm
-            self._spreader.tell(datagrams.Published(vm, current.version, data), now)
+            self._broadcaster.broadcast(
+                datagrams.Published(vm, current.version, data), now
+            )
 
     def _tell_version(self, to_all_near: bool) -> None:
         """Tell some others of a new version, in case neither push nor news come.
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -351,7 +351,7 @@
         """Set what this VM has counted of the retries of each service."""
         now = anyio.current_time()
         for service in self._local_dispatchers.list_services():
-            counted = self._local_dispatchers.retries.find_counted(service, now)
+            counted = self._local_dispatchers.retries.find_totals(service, now)
             labels = metrics.label(service=service)
             for field in dataclasses.fields(counted):
                 name = f"zinniastand_retry_{field.name}"
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_talk.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_talk.py
@@ -206,7 +206,7 @@
         }
         names.discard(fleet.own.vm)
         hearers = [fleet.find(vm) for vm in sorted(names)]
-        for told in dispatchers.retries.tell(service, now, is_whole):
+        for told in dispatchers.retries.make_updates(service, now, is_whole):
             self._link.send_many(told, [one for one in hearers if one is not None])
 
     async def greet(self) -> None:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
@@ -13,6 +13,7 @@
 from zinniastand_core.deployment import configuration, places
 
 from . import (
+    broadcasting,
     configuration_keeper,
     datagrams,
     fleet_entry,
@@ -25,7 +26,6 @@
     ports,
     reading_turn,
     resignation,
-    spreading,
     start_fetcher,
     start_turn,
     store_contact,
@@ -83,7 +83,7 @@
         self._resignation = resign
         self._hold_until = anyio.current_time() + HOLD_AT_START
         self._store = store
-        self._spreader = spreading.Spreader(fleet, link)
+        self._broadcaster = broadcasting.Broadcaster(fleet, link)
         self._record = target_record.TargetRecord(knowledge.registry, log, on_targets)
         self._starter = start_fetcher.StartFetcher(
             fleet, lambda: self.is_complete, self._fetch_from, rng
@@ -104,7 +104,7 @@
             configuration_keeper.Source(store, turn, start, self._fetch_from),
             knowledge,
             fleet,
-            self._spreader,
+            self._broadcaster,
             link,
             log,
             rng,
@@ -113,7 +113,7 @@
             self._record,
             turn,
             knowledge.configured,
-            self._spreader,
+            self._broadcaster,
             fleet.own.vm,
             self._configuration.has_read_lately,
         )
@@ -189,7 +189,7 @@
     def take_news(self, news: datagrams.News) -> None:
         """Take in what another VM has read."""
         now = anyio.current_time()
-        self._spreader.pass_on(news)
+        self._broadcaster.relay(news)
         self.take_version(news.vm, news.version)
         self._record.take_news(news, now)
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
@@ -115,19 +115,19 @@
         self._askers[ask.ticket] = (vm, now + KEEP_ASKER)
         self._used_at[ask.shard] = now
         known = self._open(ask.shard, now)
-        self.retries.note_active(ask.shard.service, now)
+        self.retries.record_activity(ask.shard.service, now)
         if vm != self._fleet.own.vm:
             if self._find_share(ask.shard) < 1.0:
                 _use_whole_limits(known, now)
             self._alone_at[ask.shard] = now + ALONE_AFTER
         self._send(known.ask(ask, now))
-        self.retries.announce_untold(ask.shard.service)
+        self.retries.announce_unsent(ask.shard.service)
 
     def report(self, report: messages.Report, now: float) -> None:
         """Take in how an attempt went."""
         self._askers.pop(report.ticket, None)
         self._send(self._open(report.shard, now).report(report, now))
-        self.retries.announce_untold(report.shard.service)
+        self.retries.announce_unsent(report.shard.service)
 
     def adopt(self, vm: str, held: messages.Held, now: float) -> None:
         """Take over a slot that another dispatcher gave to a VM."""
@@ -144,7 +144,9 @@
             for service, entries in by_service.items()
         }
         self._limits.forget_gone(now)
-        self.retries.forget_gone({*self._divisions, *self.list_services()}, now)
+        self.retries.remove_gone_services(
+            {*self._divisions, *self.list_services()}, now
+        )
         for shard, known in self._dispatchers.items():
             self._send(known.update_targets(self._list_targets(shard, now), now))
 
@@ -154,7 +156,7 @@
         After a suspension other VMs have long placed these requests.
         """
         self._dispatchers.clear()
-        self.retries.forget()
+        self.retries.reset()
         self._askers.clear()
         self._heard.clear()
 
@@ -201,7 +203,7 @@
     def apply_retry_counts(self, told: datagrams.Retries, now: float) -> None:
         """Take in what another VM has counted of a service that is known."""
         if told.service in self._divisions:
-            self.retries.take(told, now)
+            self.retries.apply_update(told, now)
 
     def record_rate_limit(self, target_id: str, rate: float, now: float) -> None:
         """Take in which limit an answer to this VM has named, infinite for none."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/news_teller.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/news_teller.py
@@ -11,7 +11,7 @@
 
 from zinniastand_core.deployment import configuration
 
-from . import datagrams, reading_turn, spreading, target_record
+from . import broadcasting, datagrams, reading_turn, target_record
 
 CHECK_PAUSE = 0.1
 """Seconds between two looks whether it is time to tell."""
@@ -39,7 +39,7 @@
         Whether it is this VM's turn.
     configured : configuration.ConfigurationState
         Its version is told along.
-    spreader : spreading.Spreader
+    broadcaster : broadcasting.Broadcaster
         Tells the others.
     vm : str
         Name of this VM.
@@ -53,14 +53,14 @@
         record: target_record.TargetRecord,
         turn: reading_turn.ReadingTurn,
         configured: configuration.ConfigurationState,
-        spreader: spreading.Spreader,
+        broadcaster: broadcasting.Broadcaster,
         vm: str,
         has_configuration_read: collections.abc.Callable[[float], bool],
     ) -> None:
         self._record = record
         self._turn = turn
         self._configured = configured
-        self._spreader = spreader
+        self._broadcaster = broadcaster
         self._vm = vm
         self._has_configuration_read = has_configuration_read
         self._told_at = 0.0
@@ -99,4 +99,4 @@
             since,
             changes,
         )
-        self._spreader.tell(news, now, relays=1)
+        self._broadcaster.broadcast(news, now, relays=1)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
@@ -118,7 +118,9 @@
         """
         service = ask.shard.service
         if self._local_dispatchers is not None:
-            self._local_dispatchers.retries.note_request(service, anyio.current_time())
+            self._local_dispatchers.retries.record_request(
+                service, anyio.current_time()
+            )
         refused: list[shards.Shard] = []
         answer: Answer = _refuse_late(ask)
         while len(refused) < MAX_SHARDS:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
@@ -13,31 +13,31 @@
 
 from . import datagrams, members
 
-SHARE_OF_SLACK = 0.65
+SLACK_SHARE = 0.65
 """Share of the slack of retries that the dispatchers of a service give out. What is
 left is for what they have not told each other yet, and for retries that take long to
 arrive."""
 
-FIRST_SHARE = 0.25
+INITIAL_SLACK_SHARE = 0.25
 """The same for one that does not know what others have given out: the one before it
 may have given out its own share just now."""
 
-LONGEST_GAP = 2.5
+MAX_GAP_S = 2.5
 """Seconds without an ask or a word from others after which a VM counts as one that has
 just begun: whoever may have to dispatch is told whole counts each second."""
 
-MOST_UNTOLD = 0.1
+MAX_UNSENT_SHARE = 0.1
 """Share of the slack of retries that is given out until the other dispatchers are told
 at once: so much of what one has given out is unknown to the next at most."""
 
-NEW_FOR = 1.0
+NEW_FLEET_DURATION_S = 1.0
 """Seconds after the first request of a service that a VM of a new fleet sees for which
 it knows that nobody has given out any retry: all see their first ones about then."""
 
-KEPT_SPANS = 3
+KEPT_WINDOWS = 3
 """Spans for which the counts of a service without targets are kept."""
 
-MOST_PARTS = 1_500
+MAX_PARTS_PER_DATAGRAM = 1_500
 """Parts of counts in one datagram, to which those of one count may be added."""
 
 Announce = collections.abc.Callable[[str], None]
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Counted:
+class RetryTotals:
     """What a VM has counted of the retries of a service."""
 
     requests: int
@@ -109,9 +109,9 @@
         self._first_seen: dict[str, float] = {}
         self._counting_since: dict[str, float] = {}
         self._active_at: dict[str, float] = {}
-        self._told: set[str] = set()
+        self._fully_informed: set[str] = set()
         self._numbers = itertools.count()
-        self._counter = self._name_counter()
+        self._counter = self._make_counter_name()
         self._announce: Announce = _announce_nothing
 
     def use_announcer(self, announce: Announce) -> None:
@@ -133,62 +133,64 @@
                 lambda: self._find_slack(service),
                 self._budget.window,
                 self._counter,
-                lambda: self._find_basis(service),
+                lambda: self._choose_basis(service),
             )
         return window
 
-    def note_request(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Take in that a caller asks this VM for a service."""
         self._first_seen.setdefault(service, now)
 
-    def note_active(self, service: str, now: float) -> None:
+    def record_activity(self, service: str, now: float) -> None:
         """Take in that this VM dispatches a service, or is told of those who do."""
         gap = now - self._active_at.get(service, -math.inf)
-        if gap > LONGEST_GAP:
+        if gap > MAX_GAP_S:
             self._counting_since[service] = now
-            self._told.discard(service)
+            self._fully_informed.discard(service)
             first_seen = self._first_seen.setdefault(service, now)
-            if self._is_new_fleet and now <= first_seen + NEW_FOR:
-                self._told.add(service)
+            if self._is_new_fleet and now <= first_seen + NEW_FLEET_DURATION_S:
+                self._fully_informed.add(service)
         self._active_at[service] = now
 
-    def announce_untold(self, service: str) -> None:
+    def announce_unsent(self, service: str) -> None:
         """Let the others hear at once where much has been given out."""
         untold = self._windows[service].untold
-        if untold and untold >= MOST_UNTOLD * self._budget.slack:
+        if untold and untold >= MAX_UNSENT_SHARE * self._budget.slack:
             self._announce(service)
 
-    def tell(self, service: str, now: float, is_whole: bool) -> list[datagrams.Retries]:
+    def make_updates(
+        self, service: str, now: float, is_whole: bool
+    ) -> list[datagrams.Retries]:
         """Return what was counted here lately of a service, or all that is known.
 
         Where many VMs decide alone, it does not fit one datagram.
         """
-        is_sure = is_whole and self._is_sure(service, now)
+        is_sure = is_whole and self._is_fully_informed(service, now)
         told: list[datagrams.Retries] = []
         counts: list[retry_window.Count] = []
         for count in self.open(service, now).tell(now, is_whole):
             counts.append(count)
-            if sum(len(parts) for _, parts in counts) >= MOST_PARTS:
+            if sum(len(parts) for _, parts in counts) >= MAX_PARTS_PER_DATAGRAM:
                 told.append(datagrams.Retries(service, tuple(counts)))
                 counts = []
         if counts or (is_sure and told):
             told.append(datagrams.Retries(service, tuple(counts), is_sure))
         return told
 
-    def take(self, told: datagrams.Retries, now: float) -> None:
+    def apply_update(self, told: datagrams.Retries, now: float) -> None:
         """Take in what another VM knows."""
         window = self.open(told.service, now)
         for count in told.counts:
             window.take(count, now)
-        self.note_active(told.service, now)
+        self.record_activity(told.service, now)
         if told.is_sure:
-            self._told.add(told.service)
+            self._fully_informed.add(told.service)
 
-    def find_counted(self, service: str, now: float) -> Counted:
+    def find_totals(self, service: str, now: float) -> RetryTotals:
         """Return what was counted here of a service since this VM counts for it."""
         window = self.open(service, now)
         left = max(0.0, window.find_left(now))
-        return Counted(
+        return RetryTotals(
             window.requests,
             window.retries,
             window.resent,
@@ -201,27 +203,29 @@
         window = self._windows.get(service)
         return window.requests if window is not None else 0
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Begin a new count, as a process that starts does."""
         self._windows.clear()
         self._counting_since.clear()
         self._active_at.clear()
-        self._told.clear()
+        self._fully_informed.clear()
         self._is_new_fleet = False
-        self._counter = self._name_counter()
+        self._counter = self._make_counter_name()
 
-    def forget_gone(self, services: collections.abc.Container[str], now: float) -> None:
+    def remove_gone_services(
+        self, services: collections.abc.Container[str], now: float
+    ) -> None:
         """Forget services other than these, once nothing counted of them matters.
 
         One whose targets are all gone for a moment may be back in the next.
         """
-        oldest = now - KEPT_SPANS * self._budget.window
+        oldest = now - KEPT_WINDOWS * self._budget.window
         for service in list(self._windows):
             if service in services or self._active_at.get(service, 0.0) > oldest:
                 continue
             del self._windows[service]
             self._counting_since.pop(service, None)
-            self._told.discard(service)
+            self._fully_informed.discard(service)
 
     def _find_slack(self, service: str) -> float:
         """Return the retries that the dispatchers may give out beyond the share.
@@ -229,31 +233,31 @@
         VMs that reach no common dispatcher each decide alone. With the whole slack
         for each, a fleet of them would go beyond it many times over.
         """
-        is_sure = self._is_sure(service, anyio.current_time())
-        share = SHARE_OF_SLACK if is_sure else FIRST_SHARE
+        is_sure = self._is_fully_informed(service, anyio.current_time())
+        share = SLACK_SHARE if is_sure else INITIAL_SLACK_SHARE
         if self._is_alone(service):
             share /= self._fleet.count()
         return share * self._budget.slack
 
-    def _find_basis(self, service: str) -> retry_window.Basis:
+    def _choose_basis(self, service: str) -> retry_window.Basis:
         if self._is_alone(service):
             return retry_window.Basis.OWN
-        if self._is_sure(service, anyio.current_time()):
+        if self._is_fully_informed(service, anyio.current_time()):
             return retry_window.Basis.ALL
         return retry_window.Basis.NONE
 
-    def _is_sure(self, service: str, now: float) -> bool:
+    def _is_fully_informed(self, service: str, now: float) -> bool:
         """Return whether this VM knows of all retries that were given out lately.
 
         It does where it was told by one that does, where it has dispatched or been told
         for a whole span, and where requests of a new fleet have just begun.
         """
-        if service in self._told:
+        if service in self._fully_informed:
             return True
         since = self._counting_since.get(service, now)
         return now - since >= self._budget.window
 
-    def _name_counter(self) -> str:
+    def _make_counter_name(self) -> str:
         """Return a name for what is counted here from now on."""
         own = self._fleet.own
         return f"{own.vm}:{own.incarnation}:{next(self._numbers)}"
--- a/tests/edge/test_local_dispatchers.py
+++ b/tests/edge/test_local_dispatchers.py
@@ -134,14 +134,16 @@
 
 def test_dispatcher_and_the_one_after_it_stay_within_the_slack() -> None:
     # Guards against the whole slack being given out by each of two in a row.
-    assert retry_counts.SHARE_OF_SLACK + retry_counts.FIRST_SHARE < 1.0
+    assert retry_counts.SLACK_SHARE + retry_counts.INITIAL_SLACK_SHARE < 1.0
 
 
 async def test_dispatcher_gives_more_once_it_has_counted_for_a_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     made, decisions = make_desk(vms=20)
-    assert count_retries(made, decisions, "vm-1") <= 50 * retry_counts.FIRST_SHARE
+    assert (
+        count_retries(made, decisions, "vm-1") <= 50 * retry_counts.INITIAL_SLACK_SHARE
+    )
     begin = later = anyio.current_time()
     monkeypatch.setattr(anyio, "current_time", lambda: later)
     for second in range(1, 11):
@@ -150,7 +152,7 @@
         made.request_slot(
             "vm-1", dataclasses.replace(ask, deadline_at=later + 1), later
         )
-    most = 50 * retry_counts.SHARE_OF_SLACK
+    most = 50 * retry_counts.SLACK_SHARE
     assert 25 < count_retries(made, decisions, "vm-2") <= most
 
 
@@ -199,7 +201,7 @@
     counts = (("vm-9:1:0", parts),)
     made.apply_retry_counts(datagrams.Retries("desk", counts, is_sure=True), now)
     assert count_retries(made, decisions, "vm-1") == 2
-    counted = made.retries.find_counted("desk", now)
+    counted = made.retries.find_totals("desk", now)
     assert (counted.requests, counted.spent) == (0, 2)
     assert counted.left < 1.0
 
@@ -211,8 +213,8 @@
     parts = (retry_window.Part(7, 1.0, 100, 50),)
     for service in ("desk", "other"):
         made.apply_retry_counts(datagrams.Retries(service, (("vm-9:1:0", parts),)), now)
-    assert made.retries.tell("desk", now, is_whole=True)
-    assert not made.retries.tell("other", now, is_whole=True)
+    assert made.retries.make_updates("desk", now, is_whole=True)
+    assert not made.retries.make_updates("other", now, is_whole=True)
 
 
 async def test_many_retries_are_told_at_once() -> None:
@@ -229,11 +231,11 @@
     made, decisions = make_desk(vms=20)
     now = anyio.current_time()
     count_retries(made, decisions, "vm-1")
-    [told] = made.retries.tell("desk", now, is_whole=True)
+    [told] = made.retries.make_updates("desk", now, is_whole=True)
     [(before, _)] = told.counts
     made.reset()
     count_retries(made, decisions, "vm-2")
-    [told] = made.retries.tell("desk", now, is_whole=True)
+    [told] = made.retries.make_updates("desk", now, is_whole=True)
     [(after, _)] = told.counts
     assert before != after
 
@@ -247,7 +249,7 @@
     names = [f"a-vm-of-a-long-name-{n}:1791131941936:0" for n in range(291)]
     for name in names:
         made.apply_retry_counts(datagrams.Retries("desk", ((name, parts),)), now)
-    told = made.retries.tell("desk", now, is_whole=True)
+    told = made.retries.make_updates("desk", now, is_whole=True)
     sizes = [len(datagrams.encode(one, now)) for one in told]
     assert max(sizes) <= peer_link.MOST_BYTES
     assert {name for one in told for name, _ in one.counts} == set(names)
@@ -258,21 +260,21 @@
     made, decisions = make_desk(vms=20)
     count_retries(made, decisions, "vm-1")
     now = anyio.current_time()
-    before = made.retries.find_counted("desk", now).spent
+    before = made.retries.find_totals("desk", now).spent
     assert before
-    made.retries.forget_gone(set(), now + 1.0)
-    assert made.retries.find_counted("desk", now + 1.0).spent == before
-    made.retries.forget_gone(set(), now + 31.0)
+    made.retries.remove_gone_services(set(), now + 1.0)
+    assert made.retries.find_totals("desk", now + 1.0).spent == before
+    made.retries.remove_gone_services(set(), now + 31.0)
     assert not made.retries.count_requests("desk")
 
 
 async def test_vm_of_a_new_fleet_knows_that_nothing_was_given_out() -> None:
     # Guards against a fleet that has no retries for the first seconds of its traffic,
     # and against one that takes a later change of dispatcher for its start.
-    for since, most in ((0.5, retry_counts.SHARE_OF_SLACK), (5.0, 0.25)):
+    for since, most in ((0.5, retry_counts.SLACK_SHARE), (5.0, 0.25)):
         made, decisions = make_desk(vms=20, is_new_fleet=True)
         now = anyio.current_time()
-        made.retries.note_request("desk", now - since)
+        made.retries.record_request("desk", now - since)
         granted = count_retries(made, decisions, "vm-1")
         assert 0.8 * most * 50 < granted <= most * 50
 
@@ -289,4 +291,4 @@
         made.apply_retry_counts(told, now - ago)
         granted.append(count_retries(made, decisions, "vm-1"))
     assert granted[0] == 100
-    assert granted[1] <= 50 * retry_counts.FIRST_SHARE
+    assert granted[1] <= 50 * retry_counts.INITIAL_SLACK_SHARE
