--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/desk.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
@@ -43,7 +43,7 @@
 """Seconds after which the asker of a ticket is forgotten; longer than any deadline."""
 
 
-class Desk:
+class LocalDispatchers:
     """Dispatchers of all shards that were asked about here.
 
     Parameters
@@ -110,24 +110,24 @@
         """Return whether any target of a shard may get work, as far as known."""
         return bool(self._list_targets(shard, now))
 
-    def ask(self, vm: str, ask: messages.SlotRequest, now: float) -> None:
+    def request_slot(self, vm: str, ask: messages.SlotRequest, now: float) -> None:
         """Take in an ask of a VM; decisions go out through `deliver`."""
         self._askers[ask.ticket] = (vm, now + KEEP_ASKER)
         self._used_at[ask.shard] = now
         known = self._open(ask.shard, now)
-        self.retries.note_active(ask.shard.service, now)
+        self.retries.record_activity(ask.shard.service, now)
         if vm != self._fleet.own.vm:
             if self._find_share(ask.shard) < 1.0:
                 _use_whole_limits(known, now)
             self._alone_at[ask.shard] = now + ALONE_AFTER
         self._send(known.ask(ask, now))
-        self.retries.announce_untold(ask.shard.service)
+        self.retries.announce_unsent(ask.shard.service)
 
     def report(self, report: messages.Report, now: float) -> None:
         """Take in how an attempt went."""
         self._askers.pop(report.ticket, None)
         self._send(self._open(report.shard, now).report(report, now))
-        self.retries.announce_untold(report.shard.service)
+        self.retries.announce_unsent(report.shard.service)
 
     def adopt(self, vm: str, held: messages.HeldSlot, now: float) -> None:
         """Take over a slot that another dispatcher gave to a VM."""
@@ -144,17 +144,19 @@
             for service, entries in by_service.items()
         }
         self._limits.forget_gone(now)
-        self.retries.forget_gone({*self._divisions, *self.list_services()}, now)
+        self.retries.remove_gone_services(
+            {*self._divisions, *self.list_services()}, now
+        )
         for shard, known in self._dispatchers.items():
             self._send(known.update_targets(self._list_targets(shard, now), now))
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Forget all slots, waits and beliefs, as a process that starts does.
 
         After a suspension other VMs have long placed these requests.
         """
         self._dispatchers.clear()
-        self.retries.forget()
+        self.retries.reset()
         self._askers.clear()
         self._heard.clear()
 
@@ -169,7 +171,9 @@
             if is_idle and self._used_at.get(shard, now) < now - KEEP_IDLE:
                 del self._dispatchers[shard]
 
-    def summarize(self, shard: shards.Shard, now: float) -> datagrams.TargetEstimates:
+    def summarize_estimates(
+        self, shard: shards.Shard, now: float
+    ) -> datagrams.TargetEstimates:
         """Return what the dispatcher of a shard thinks of its targets."""
         known = self._dispatchers.get(shard)
         states = known.pool.list_states() if known is not None else []
@@ -178,7 +182,7 @@
         means = tuple(times.means.items()) if times is not None else ()
         return datagrams.TargetEstimates(shard, items, means, self._fleet.own.vm)
 
-    def take_opinions(self, opinions: datagrams.TargetEstimates, now: float) -> None:
+    def apply_estimates(self, opinions: datagrams.TargetEstimates, now: float) -> None:
         """Take in what another dispatcher thinks.
 
         One that is at work here knows better by what it sees itself.
@@ -196,12 +200,12 @@
         if known is not None:
             self._tell_heard(known, shard, now)
 
-    def take_retries(self, told: datagrams.RetryCounts, now: float) -> None:
+    def apply_retry_counts(self, told: datagrams.RetryCounts, now: float) -> None:
         """Take in what another VM has counted of a service that is known."""
         if told.service in self._divisions:
-            self.retries.take(told, now)
+            self.retries.apply_update(told, now)
 
-    def note_limit(self, target_id: str, rate: float, now: float) -> None:
+    def record_rate_limit(self, target_id: str, rate: float, now: float) -> None:
         """Take in which limit an answer to this VM has named, infinite for none."""
         self._limits.note(target_id, rate, now, now)
 
