--- a/tests/edge/test_local_dispatchers.py
+++ b/tests/edge/test_local_dispatchers.py
@@ -201,7 +201,9 @@
     made.update_targets(now)
     parts = (retry_window.Part(7, 1.0, 100, 50),)
     counts = (("vm-9:1:0", parts),)
-    made.apply_retry_counts(datagrams.RetryCounts("desk", counts, is_complete=True), now)
+    made.apply_retry_counts(
+        datagrams.RetryCounts("desk", counts, is_complete=True), now
+    )
     assert count_retries(made, decisions, "vm-1") == 2
     counted = made.retries.find_totals("desk", now)
     assert (counted.requests, counted.spent) == (0, 2)
@@ -214,7 +216,9 @@
     made.update_targets(now)
     parts = (retry_window.Part(7, 1.0, 100, 50),)
     for service in ("desk", "other"):
-        made.apply_retry_counts(datagrams.RetryCounts(service, (("vm-9:1:0", parts),)), now)
+        made.apply_retry_counts(
+            datagrams.RetryCounts(service, (("vm-9:1:0", parts),)), now
+        )
     assert made.retries.make_updates("desk", now, is_whole=True)
     assert not made.retries.make_updates("other", now, is_whole=True)
 
