--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/rate_limit.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/rate_limit.py
@@ -33,7 +33,7 @@
         Requests a second from all VMs together.
     due_at : float
         When the next request is due.
-    named_at : float
+    announced_at : float
         When an answer has last named it.
     """
 
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -186,7 +186,7 @@
     # Guards against a new connection for each request of a VM that sends few.
     one = make_dispatcher("abcd", slots=3)
     for n, name in enumerate("dcba"):
-        ask = make_ask(f"{n}", open_to=(name,))
+        ask = make_ask(f"{n}", connected_targets=(name,))
         assert grant_of(one.ask(ask, 0.0), f"{n}").target_id == name
 
 
@@ -196,7 +196,7 @@
         target = grant_of(one.ask(make_ask(f"g{n}"), 0.0), f"g{n}").target_id
         outcome = Outcome.FAILED if target == "a" else Outcome.GOOD
         report(one, f"g{n}", target, outcome, 0.1)
-    ask = make_ask("x", 0.2, open_to=("a",))
+    ask = make_ask("x", 0.2, connected_targets=("a",))
     assert grant_of(one.ask(ask, 0.2), "x").target_id == "b"
 
 
