--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/retry_window.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/retry_window.py
@@ -15,21 +15,21 @@
 import itertools
 import math
 
-RESERVE = 0.5
+RESERVE_SHARE = 0.5
 """Share of all retries from which on they become dearer: those left are for requests
 that fail by surprise, and not for finding out about targets."""
 
-PARTS = 100
+BUCKETS_PER_WINDOW = 100
 """Parts of a span in which requests and retries are counted together."""
 
-HALF = PARTS // 2
-KEPT = 2 * PARTS
+HALF_WINDOW_BUCKETS = BUCKETS_PER_WINDOW // 2
+KEPT_BUCKETS = 2 * BUCKETS_PER_WINDOW
 """Parts that are kept: retries of a span are allowed by requests of the one before."""
 
-RECENT = 16
+RECENT_BUCKETS = 16
 """Latest parts that are told in short; others have heard the rest before."""
 
-LEAST_TOLD = 10
+MIN_SENT_REQUESTS = 10
 """Requests without any retry from which on a count is told. Leaving out fewer gives up
 the retries that they allow, and spares telling of each VM that once decided alone."""
 
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Part:
+class Bucket:
     """What was counted in a part of a span."""
 
     number: int
@@ -66,9 +66,9 @@
     """Retries that were given out."""
 
 
-NOTHING = Part(0, 0.0, 0, 0)
+EMPTY_BUCKET = Bucket(0, 0.0, 0, 0)
 
-Count = tuple[str, tuple[Part, ...]]
+CounterHistory = tuple[str, tuple[Bucket, ...]]
 """What a counter has counted, with the name of the counter."""
 
 
@@ -108,15 +108,15 @@
         self._counter = counter
         self._newest = 0
         self._told_from = 0
-        self._requests = [0] * KEPT
-        self._retries = [0] * KEPT
+        self._requests = [0] * KEPT_BUCKETS
+        self._retries = [0] * KEPT_BUCKETS
         self._reserved = 0
-        self._others: dict[str, dict[int, tuple[float, Part]]] = {}
-        self._heard = ([0] * KEPT, [0] * KEPT)
+        self._others: dict[str, dict[int, tuple[float, Bucket]]] = {}
+        self._heard = ([0] * KEPT_BUCKETS, [0] * KEPT_BUCKETS)
         self._room: float | None = None
         self._basis = Basis.ALL
         self._spent = 0
-        self.untold = 0
+        self.unsent_retries = 0
         """Retries that were given out since the others were told."""
         self.requests = 0
         """Requests that were counted here."""
@@ -127,10 +127,10 @@
         self.returned = 0
         """Retries that were given back."""
 
-    def use(self, ratio: float, span: float, now: float) -> None:
+    def set_bounds(self, ratio: float, span: float, now: float) -> None:
         """Use other bounds from now on; what was counted is kept."""
         if span != self._span:
-            own = self._list_parts(now, KEPT)
+            own = self._list_parts(now, KEPT_BUCKETS)
             told = [one for parts in self._others.values() for one in parts.values()]
             self._span = span
             self._newest = self._find_part(now)
@@ -151,7 +151,7 @@
 
     def reserve(self, now: float) -> bool:
         """Hold a retry for a request that waits, if there is room for one."""
-        if self.find_left(now) < 1.0:
+        if self.find_remaining(now) < 1.0:
             return False
         self._reserved += 1
         return True
@@ -176,34 +176,34 @@
         self._spent += 1
         if self._room is not None:
             self._room -= 1.0
-        self.untold += 1
+        self.unsent_retries += 1
         self.retries += 1
 
     def refund(self, spent_at: float, now: float) -> None:
         """Take back a retry that was spent then and reached no target."""
         self._move_to(now)
         index = self._find_part(spent_at) - self._newest - 1
-        if index >= -KEPT and self._retries[index] > 0:
+        if index >= -KEPT_BUCKETS and self._retries[index] > 0:
             self._retries[index] -= 1
             self.retries -= 1
             self.returned += 1
             self._room = None
 
-    def tell(self, now: float, is_whole: bool) -> list[Count]:
+    def export_counts(self, now: float, is_whole: bool) -> list[CounterHistory]:
         """Return what was counted here lately, or all that is known of any counter."""
         self._move_to(now)
         self._forget_old(now)
-        self.untold = 0
+        self.unsent_retries = 0
         if not is_whole:
-            return _choose([(self._counter, self._list_told(now, RECENT))])
+            return _choose([(self._counter, self._list_told(now, RECENT_BUCKETS))])
         others = [
             (counter, [dataclasses.replace(part, ago=now - at) for at, part in known])
             for counter, parts in self._others.items()
             if (known := parts.values())
         ]
-        return _choose([(self._counter, self._list_told(now, KEPT)), *others])
+        return _choose([(self._counter, self._list_told(now, KEPT_BUCKETS)), *others])
 
-    def take(self, count: Count, now: float) -> None:
+    def merge_counts(self, count: CounterHistory, now: float) -> None:
         """Take in what another counter has counted, from it or from one that knows.
 
         Parts have the number that their counter gave them. Told again, or by another,
@@ -215,21 +215,21 @@
         self._move_to(now)
         known = self._others.setdefault(counter, {})
         for part in parts:
-            at, before = known.get(part.number, (now - part.ago, NOTHING))
+            at, before = known.get(part.number, (now - part.ago, EMPTY_BUCKET))
             requests = max(before.requests, part.requests)
             retries = max(before.retries, part.retries)
-            known[part.number] = (at, Part(part.number, 0.0, requests, retries))
+            known[part.number] = (at, Bucket(part.number, 0.0, requests, retries))
             self._add(at, requests - before.requests, retries - before.retries)
         self._room = None
 
     def find_ease(self, now: float) -> float:
         """Return how freely retries may be spent: 1 for freely, 0 for none left."""
-        left = self.find_left(now)
+        left = self.find_remaining(now)
         if left < 1.0:
             return 0.0
-        return min(1.0, left / (RESERVE * (left + self._spent + self._reserved)))
+        return min(1.0, left / (RESERVE_SHARE * (left + self._spent + self._reserved)))
 
-    def find_left(self, now: float) -> float:
+    def find_remaining(self, now: float) -> float:
         """Return how many retries there is room for.
 
         Asked several times for each request, it adds up anew in each part only.
@@ -244,8 +244,8 @@
                 requests = _add_up(requests, self._heard[0])
                 retries = _add_up(retries, self._heard[1])
             if basis is Basis.NONE:
-                requests = [0] * KEPT
-            self._spent = sum(retries[-PARTS:])
+                requests = [0] * KEPT_BUCKETS
+            self._spent = sum(retries[-BUCKETS_PER_WINDOW:])
             self._room = self._find_room(requests, retries)
         return self._room + self._read_slack() - self._reserved
 
@@ -262,12 +262,13 @@
         return min(
             self._ratio
             * max(
-                asked[part] - asked[part - PARTS + 1],
-                asked[min(part + HALF, KEPT)] - asked[part - HALF + 1],
+                asked[part] - asked[part - BUCKETS_PER_WINDOW + 1],
+                asked[min(part + HALF_WINDOW_BUCKETS, KEPT_BUCKETS)]
+                - asked[part - HALF_WINDOW_BUCKETS + 1],
                 asked[-1] - asked[part + 1],
             )
             - (spent[-1] - spent[part])
-            for part in range(PARTS - 1, KEPT)
+            for part in range(BUCKETS_PER_WINDOW - 1, KEPT_BUCKETS)
         )
 
     def _forget_old(self, now: float) -> None:
@@ -281,10 +282,10 @@
                 del self._others[counter]
 
     def _arrange(
-        self, told: collections.abc.Iterable[tuple[float, Part]]
+        self, told: collections.abc.Iterable[tuple[float, Bucket]]
     ) -> tuple[list[int], list[int]]:
         """Return parts, each with its begin, added up by the parts of this span."""
-        before, self._heard = self._heard, ([0] * KEPT, [0] * KEPT)
+        before, self._heard = self._heard, ([0] * KEPT_BUCKETS, [0] * KEPT_BUCKETS)
         for at, part in told:
             self._add(at, part.requests, part.retries)
         arranged, self._heard = self._heard, before
@@ -296,31 +297,31 @@
         It lies in two parts here. Its retries go to the later one, and so count for
         each span that may hold them.
         """
-        index = self._find_part(at) - self._newest + KEPT - 1
-        if 0 <= index < KEPT:
+        index = self._find_part(at) - self._newest + KEPT_BUCKETS - 1
+        if 0 <= index < KEPT_BUCKETS:
             self._heard[0][index] += requests
-        if -1 <= index < KEPT:
-            self._heard[1][min(index + 1, KEPT - 1)] += retries
+        if -1 <= index < KEPT_BUCKETS:
+            self._heard[1][min(index + 1, KEPT_BUCKETS - 1)] += retries
 
-    def _list_parts(self, now: float, count: int) -> list[Part]:
+    def _list_parts(self, now: float, count: int) -> list[Bucket]:
         """Return the latest parts in which anything was counted."""
-        length = self._span / PARTS
+        length = self._span / BUCKETS_PER_WINDOW
         numbers = range(self._newest - count + 1, self._newest + 1)
         return [
-            Part(number, now - number * length, requests, retries)
+            Bucket(number, now - number * length, requests, retries)
             for number, requests, retries in zip(
                 numbers, self._requests[-count:], self._retries[-count:], strict=True
             )
             if requests or retries
         ]
 
-    def _list_told(self, now: float, count: int) -> list[Part]:
+    def _list_told(self, now: float, count: int) -> list[Bucket]:
         """Return the latest parts that others know by their present numbers."""
         parts = self._list_parts(now, count)
         return [part for part in parts if part.number >= self._told_from]
 
     def _find_part(self, at: float) -> int:
-        return math.floor(at * PARTS / self._span)
+        return math.floor(at * BUCKETS_PER_WINDOW / self._span)
 
     def _move_to(self, now: float) -> None:
         """Begin the parts that have come since the last use."""
@@ -342,15 +343,15 @@
 
 def _shift(counts: list[int], passed: int) -> list[int]:
     """Return counts of parts as they stand some parts later."""
-    passed = min(passed, KEPT)
+    passed = min(passed, KEPT_BUCKETS)
     return [*counts[passed:], *[0] * passed]
 
 
-def _choose(counts: list[tuple[str, list[Part]]]) -> list[Count]:
+def _choose(counts: list[tuple[str, list[Bucket]]]) -> list[CounterHistory]:
     """Return the counts that are worth telling."""
     return [
         (counter, tuple(parts))
         for counter, parts in counts
         if any(part.retries for part in parts)
-        or sum(part.requests for part in parts) >= LEAST_TOLD
+        or sum(part.requests for part in parts) >= MIN_SENT_REQUESTS
     ]
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
@@ -189,7 +189,7 @@
     service: str
     """The service."""
 
-    counts: tuple[retry_window.Count, ...]
+    counts: tuple[retry_window.CounterHistory, ...]
     """What it has counted, and what others have, each with the name of the counter."""
 
     is_sure: bool = False
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
@@ -122,7 +122,7 @@
         """Give out retries by this budget from now on."""
         self._budget = budget
         for window in self._windows.values():
-            window.use(budget.ratio, budget.window, now)
+            window.set_bounds(budget.ratio, budget.window, now)
 
     def open(self, service: str, now: float) -> retry_window.RetryWindow:
         """Return the counts of a service: those of all its shards together."""
@@ -154,7 +154,7 @@
 
     def announce_untold(self, service: str) -> None:
         """Let the others hear at once where much has been given out."""
-        untold = self._windows[service].untold
+        untold = self._windows[service].unsent_retries
         if untold and untold >= MOST_UNTOLD * self._budget.slack:
             self._announce(service)
 
@@ -165,8 +165,8 @@
         """
         is_sure = is_whole and self._is_sure(service, now)
         told: list[datagrams.Retries] = []
-        counts: list[retry_window.Count] = []
-        for count in self.open(service, now).tell(now, is_whole):
+        counts: list[retry_window.CounterHistory] = []
+        for count in self.open(service, now).export_counts(now, is_whole):
             counts.append(count)
             if sum(len(parts) for _, parts in counts) >= MOST_PARTS:
                 told.append(datagrams.Retries(service, tuple(counts)))
@@ -179,7 +179,7 @@
         """Take in what another VM knows."""
         window = self.open(told.service, now)
         for count in told.counts:
-            window.take(count, now)
+            window.merge_counts(count, now)
         self.note_active(told.service, now)
         if told.is_sure:
             self._told.add(told.service)
@@ -187,7 +187,7 @@
     def find_counted(self, service: str, now: float) -> Counted:
         """Return what was counted here of a service since this VM counts for it."""
         window = self.open(service, now)
-        left = max(0.0, window.find_left(now))
+        left = max(0.0, window.find_remaining(now))
         return Counted(
             window.requests,
             window.retries,
--- a/tests/dispatch/test_retries_sent.py
+++ b/tests/dispatch/test_retries_sent.py
@@ -57,8 +57,8 @@
     one.ask(dataclasses.replace(RETRY, ticket="first", attempt=1), 0.0)
     assert one.ask(RETRY, 0.1) == [messages.Wait("r")]
     assert is_granted(report(one, "first", messages.Outcome.GOOD, 9.0), "r")
-    assert window.find_left(15.0) < 1.0
-    assert window.find_left(19.2) == pytest.approx(1.0)
+    assert window.find_remaining(15.0) < 1.0
+    assert window.find_remaining(19.2) == pytest.approx(1.0)
 
 
 @pytest.mark.parametrize(
@@ -79,7 +79,7 @@
     one, window = make_dispatcher(retries=1.0)
     assert is_granted(one.ask(RETRY, 0.0), "r")
     report(one, "r", outcome, 0.2)
-    assert window.find_left(0.2) == pytest.approx(left)
+    assert window.find_remaining(0.2) == pytest.approx(left)
 
 
 def test_retry_that_another_dispatcher_gave_is_not_given_back_here() -> None:
@@ -87,7 +87,7 @@
     one, window = make_dispatcher(retries=1.0)
     one.adopt(messages.HeldSlot(RETRY, "a"), 0.0)
     report(one, "r", messages.Outcome.UNREACHABLE, 0.1)
-    assert window.find_left(0.1) == pytest.approx(1.0)
+    assert window.find_remaining(0.1) == pytest.approx(1.0)
 
 
 def test_retry_that_leaves_the_queue_is_given_back() -> None:
@@ -95,7 +95,7 @@
     one.ask(dataclasses.replace(RETRY, ticket="first", attempt=1), 0.0)
     one.ask(RETRY, 0.1)
     report(one, "r", messages.Outcome.UNUSED, 0.2)
-    assert window.find_left(0.2) == pytest.approx(1.0)
+    assert window.find_remaining(0.2) == pytest.approx(1.0)
 
 
 @pytest.mark.parametrize("attempt", [1, 2])
@@ -104,4 +104,4 @@
     one, window = make_dispatcher(retries=4.0)
     one.ask(dataclasses.replace(RETRY, attempt=attempt), 0.0)
     report(one, "r", messages.Outcome.GOOD, 0.2, is_resent=True)
-    assert window.find_left(0.2) == pytest.approx(4.0 - attempt)
+    assert window.find_remaining(0.2) == pytest.approx(4.0 - attempt)
--- a/tests/dispatch/test_retry_window.py
+++ b/tests/dispatch/test_retry_window.py
@@ -101,8 +101,8 @@
                 window.spend(now)
                 retries.append(now)
         for other in windows:
-            for count in window.tell(now, is_whole=False):
-                other.take(count, now)
+            for count in window.export_counts(now, is_whole=False):
+                other.merge_counts(count, now)
     bound = retry_audit.Bound(0.2, 4.0, SPAN)
     assert retry_audit.find_worst(firsts, retries, bound).excess <= 1e-6
 
@@ -115,13 +115,13 @@
     for n in range(100):
         first.add_request(n * SPAN / 100)
     first.charge(SPAN)
-    for count in first.tell(SPAN, is_whole=True):
-        second.take(count, SPAN)
-    for count in second.tell(SPAN + 0.1, is_whole=True):
-        third.take(count, SPAN + 0.1)
-    known = first.find_left(SPAN + 0.1)
+    for count in first.export_counts(SPAN, is_whole=True):
+        second.merge_counts(count, SPAN)
+    for count in second.export_counts(SPAN + 0.1, is_whole=True):
+        third.merge_counts(count, SPAN + 0.1)
+    known = first.find_remaining(SPAN + 0.1)
     assert known > 12.0
-    assert third.find_left(SPAN + 0.1) == pytest.approx(known, abs=0.5)
+    assert third.find_remaining(SPAN + 0.1) == pytest.approx(known, abs=0.5)
 
 
 def test_what_is_told_twice_counts_once() -> None:
@@ -129,9 +129,9 @@
         retry_window.RetryWindow(0.2, lambda: 5.0, SPAN, name) for name in "ab"
     )
     first.charge(0.0)
-    for count in first.tell(0.0, is_whole=True) * 3:
-        second.take(count, 0.01)
-    assert second.find_left(0.01) == pytest.approx(4.0)
+    for count in first.export_counts(0.0, is_whole=True) * 3:
+        second.merge_counts(count, 0.01)
+    assert second.find_remaining(0.01) == pytest.approx(4.0)
 
 
 def test_counter_that_decides_alone_uses_nothing_of_the_others() -> None:
@@ -140,9 +140,9 @@
     alone = retry_window.RetryWindow(0.2, lambda: 0.0, SPAN, "b", find_own)
     for _ in range(100):
         first.add_request(0.0)
-    for count in first.tell(0.0, is_whole=True):
-        alone.take(count, 0.0)
-    assert alone.find_left(1.0) < 1.0
+    for count in first.export_counts(0.0, is_whole=True):
+        alone.merge_counts(count, 0.0)
+    assert alone.find_remaining(1.0) < 1.0
 
 
 def test_retry_of_a_waiting_request_counts_until_it_is_sent() -> None:
@@ -160,9 +160,9 @@
     window = retry_window.RetryWindow(0.2, lambda: 3.0, SPAN)
     for _ in range(3):
         window.charge(10.0)
-    window.use(0.2, 2 * SPAN, 10.1)
-    assert window.find_left(10.1) == pytest.approx(0.0)
-    assert window.find_left(10.1 + 2.1 * SPAN) == pytest.approx(3.0)
+    window.set_bounds(0.2, 2 * SPAN, 10.1)
+    assert window.find_remaining(10.1) == pytest.approx(0.0)
+    assert window.find_remaining(10.1 + 2.1 * SPAN) == pytest.approx(3.0)
 
 
 def test_counts_are_told_once_though_the_span_changes() -> None:
@@ -172,10 +172,10 @@
     )
     for number in range(100):
         first.add_request(10.0 + number / 100)
-    for count in first.tell(11.1, is_whole=True):
-        second.take(count, 11.1)
-    before = second.find_left(11.2)
-    first.use(0.2, 2 * SPAN, 11.2)
-    for count in first.tell(11.2, is_whole=True):
-        second.take(count, 11.2)
-    assert second.find_left(11.2) == pytest.approx(before)
+    for count in first.export_counts(11.1, is_whole=True):
+        second.merge_counts(count, 11.1)
+    before = second.find_remaining(11.2)
+    first.set_bounds(0.2, 2 * SPAN, 11.2)
+    for count in first.export_counts(11.2, is_whole=True):
+        second.merge_counts(count, 11.2)
+    assert second.find_remaining(11.2) == pytest.approx(before)
--- a/tests/edge/test_desk.py
+++ b/tests/edge/test_desk.py
@@ -189,7 +189,7 @@
     made, decisions = make_desk(vms=20)
     now = anyio.current_time()
     made.update_targets(now)
-    parts = (retry_window.Part(7, 1.0, 100, 50),)
+    parts = (retry_window.Bucket(7, 1.0, 100, 50),)
     counts = (("vm-9:1:0", parts),)
     made.take_retries(datagrams.Retries("desk", counts, is_sure=True), now)
     assert count_retries(made, decisions, "vm-1") == 2
@@ -202,7 +202,7 @@
     made, _ = make_desk(vms=20)
     now = anyio.current_time()
     made.update_targets(now)
-    parts = (retry_window.Part(7, 1.0, 100, 50),)
+    parts = (retry_window.Bucket(7, 1.0, 100, 50),)
     for service in ("desk", "other"):
         made.take_retries(datagrams.Retries(service, (("vm-9:1:0", parts),)), now)
     assert made.retries.tell("desk", now, is_whole=True)
@@ -237,7 +237,7 @@
     made, _ = make_desk(vms=20)
     now = anyio.current_time()
     made.update_targets(now)
-    parts = tuple(retry_window.Part(n, 10.0 - n / 10, 9, 9) for n in range(100))
+    parts = tuple(retry_window.Bucket(n, 10.0 - n / 10, 9, 9) for n in range(100))
     names = [f"a-vm-of-a-long-name-{n}:1791131941936:0" for n in range(291)]
     for name in names:
         made.take_retries(datagrams.Retries("desk", ((name, parts),)), now)
@@ -274,7 +274,7 @@
 async def test_vm_that_was_told_long_ago_knows_nothing_any_more() -> None:
     # Guards against retries that others gave out since this VM heard of them last.
     now = anyio.current_time()
-    parts = (retry_window.Part(7, 1.0, 1000, 0),)
+    parts = (retry_window.Bucket(7, 1.0, 1000, 0),)
     told = datagrams.Retries("desk", (("vm-9:1:0", parts),), is_sure=True)
     granted: list[int] = []
     for ago in (1.0, 5.0):
--- a/tests/machines/plants.py
+++ b/tests/machines/plants.py
@@ -106,7 +106,7 @@
 def _look_at_the_last_span(
     window: typing.Any, requests: list[int], spent: list[int]
 ) -> float:
-    parts = retry_window.PARTS
+    parts = retry_window.BUCKETS_PER_WINDOW
     busiest = max(sum(requests[-parts:]), sum(requests[:parts]))
     return retries.BOUND.ratio * busiest - sum(spent[-parts:])
 
@@ -122,7 +122,7 @@
         "a counter does not take in what others have given out",
         retries.RetryMachine,
         retry_window.RetryWindow,
-        "take",
+        "merge_counts",
         lambda window, count, now: None,
     ),
     Plant(
--- a/tests/machines/retries.py
+++ b/tests/machines/retries.py
@@ -37,9 +37,9 @@
         )
 
     def _tell(self, window: retry_window.RetryWindow, is_whole: bool) -> None:
-        for count in window.tell(self._now, is_whole):
+        for count in window.export_counts(self._now, is_whole):
             for other in self._windows:
-                other.take(count, self._now + 0.001)
+                other.merge_counts(count, self._now + 0.001)
 
     @stateful.rule(which=st.integers(0, COUNTERS - 1), count=st.integers(1, 30))
     def ask(self, which: int, count: int) -> None:
@@ -57,7 +57,7 @@
                 return
             window.spend(self._now)
             self._retries.append(self._now)
-            if window.untold >= UNTOLD:
+            if window.unsent_retries >= UNTOLD:
                 self._tell(window, is_whole=False)
 
     @stateful.rule(seconds=st.floats(0.05, 1.5))
@@ -82,7 +82,7 @@
     def configure(self, ratio: float, span: float) -> None:
         """Let operators write the same bounds again."""
         for window in self._windows:
-            window.use(ratio, span, self._now)
+            window.set_bounds(ratio, span, self._now)
 
     @stateful.invariant()
     def keeps_its_bound(self) -> None:
