--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
@@ -225,7 +225,7 @@
         state = self.pool.find(offer.target_id)
         if state is None:
             return None
-        if ask.may_retry and offer.doubt > 0:
+        if ask.may_retry and offer.failure_probability > 0:
             state.note_trial(now)
         granted = self._start(ask, state, now, is_retry=ask.attempt > 1)
         if granted.is_retry:
@@ -235,7 +235,7 @@
         return messages.Grant(
             ask.ticket,
             offer.target_id,
-            offer.doubt,
+            offer.failure_probability,
             granted.expected,
             self._find_pressure(now),
         )
@@ -361,7 +361,7 @@
         One request more is counted, so that a shard without any proven slot does not
         look idle.
         """
-        slots = self.pool.count_proved_slots(now)
+        slots = self.pool.count_proven_slots(now)
         return (len(self._grants) + len(self._line) + 1) / max(
             waiting.LEAST_SLOTS, slots
         )
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/beliefs.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/failure_estimates.py
@@ -12,18 +12,18 @@
 
 import math
 
-SURE = 0.7
+FAILING_THRESHOLD = 0.7
 """Belief above which a target counts as failing when rates are learned."""
 
-PROVED = 0.25
+HEALTHY_THRESHOLD = 0.25
 """Belief below which it counts as good when rates are learned."""
 
-NEW_BELIEF = 0.1
+NEW_TARGET_FAILING_PROBABILITY = 0.1
 """Belief of a target that joins a service at work. Low, since a fresh process is more
 often sound than one picked at random, and a target without work earns nothing."""
 
 
-class Rates:
+class FailureRates:
     """How targets of a service fail, learned from what happens.
 
     Each rate starts from a guess that weighs as much as a few events, so the first
@@ -39,19 +39,19 @@
         self._failed_good, self._all_good = 0.5, 50.0
 
     @property
-    def onset(self) -> float:
+    def onset_per_s(self) -> float:
         """Changes from good to failing, per second."""
         return self._onsets / self._good_time
 
     @property
-    def recovery(self) -> float:
+    def recovery_per_s(self) -> float:
         """Changes from failing to good, per second."""
         return self._recoveries / self._failing_time
 
     @property
-    def usual(self) -> float:
+    def usual_failing_share(self) -> float:
         """Share of time that a target spends failing."""
-        return self.onset / (self.onset + self.recovery)
+        return self.onset_per_s / (self.onset_per_s + self.recovery_per_s)
 
     @property
     def fails_when_failing(self) -> float:
@@ -79,15 +79,15 @@
 
     def add_outcome(self, belief: float, failed: bool) -> None:
         """Count an outcome of a target, where its state is clear."""
-        if belief > SURE:
+        if belief > FAILING_THRESHOLD:
             self._all_failing += 1
             self._failed_failing += failed
-        elif belief < PROVED:
+        elif belief < HEALTHY_THRESHOLD:
             self._all_good += 1
             self._failed_good += failed
 
 
-class Belief:
+class FailureEstimate:
     """The probability that one target is failing now.
 
     Parameters
@@ -100,7 +100,12 @@
         What is believed at first.
     """
 
-    def __init__(self, rates: Rates, now: float, failing: float = NEW_BELIEF) -> None:
+    def __init__(
+        self,
+        rates: FailureRates,
+        now: float,
+        failing: float = NEW_TARGET_FAILING_PROBABILITY,
+    ) -> None:
         self._rates = rates
         self._failing = failing
         self._at = now
@@ -109,26 +114,29 @@
     @property
     def failing_time(self) -> float:
         """Seconds for which targets of its service usually fail."""
-        return 1.0 / self._rates.recovery
+        return 1.0 / self._rates.recovery_per_s
 
-    def find_failing(self, now: float) -> float:
+    def find_failing_probability(self, now: float) -> float:
         """Return the probability that it is failing."""
         rates = self._rates
         elapsed = max(0.0, now - self._at)
-        fade = math.exp(-(rates.onset + rates.recovery) * elapsed)
-        return rates.usual + (self._failing - rates.usual) * fade
+        fade = math.exp(-(rates.onset_per_s + rates.recovery_per_s) * elapsed)
+        return (
+            rates.usual_failing_share
+            + (self._failing - rates.usual_failing_share) * fade
+        )
 
-    def find_doubt(self, now: float) -> float:
+    def find_request_failure_probability(self, now: float) -> float:
         """Return the probability that it fails a request sent now."""
-        failing = self.find_failing(now)
+        failing = self.find_failing_probability(now)
         rates = self._rates
         return (
             failing * rates.fails_when_failing + (1 - failing) * rates.fails_when_good
         )
 
-    def take(self, failed: bool, now: float) -> None:
+    def record_outcome(self, failed: bool, now: float) -> None:
         """Move the belief by one outcome."""
-        prior = self.find_failing(now)
+        prior = self.find_failing_probability(now)
         rates = self._rates
         rates.add_outcome(prior, failed)
         if failed:
@@ -140,16 +148,16 @@
         self._failing = posterior
         self._at = max(self._at, now)
 
-    def set_failing(self, failing: float, now: float) -> None:
+    def set_failing_probability(self, failing: float, now: float) -> None:
         """Take over what another VM believes."""
         self._failing = failing
         self._at = now
 
     def _learn(self, posterior: float, now: float) -> None:
         self._rates.add_time(max(0.0, now - self._at), self._was_failing)
-        if not self._was_failing and posterior > SURE:
+        if not self._was_failing and posterior > FAILING_THRESHOLD:
             self._was_failing = True
             self._rates.add_change(is_failing=True)
-        elif self._was_failing and posterior < PROVED:
+        elif self._was_failing and posterior < HEALTHY_THRESHOLD:
             self._was_failing = False
             self._rates.add_change(is_failing=False)
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/pool.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/pool.py
@@ -19,7 +19,7 @@
 import math
 
 from ..deployment import targets
-from . import beliefs, mechanisms, messages, rate_limit, work_times
+from . import failure_estimates, mechanisms, messages, rate_limit, work_times
 
 LATE_PRICE = 0.2
 """Price of a late answer against a failed one. A late answer still serves its caller;
@@ -69,7 +69,7 @@
 COLD_SLOWNESS = 2.0
 """How much slower a target is taken to be until it says that it has warmed up."""
 
-DOUBT_LIMIT = 0.3
+MAX_HEALTHY_FAILURE_PROBABILITY = 0.3
 """Doubt above which work that may run only once waits for a better target, while a
 better one is busy and the wait still leaves an answer in time."""
 
@@ -112,7 +112,7 @@
     price: float
     """What choosing it is expected to lose; 1 is a failed request."""
 
-    doubt: float
+    failure_probability: float
     """Probability that it fails the request."""
 
     is_trial: bool = False
@@ -137,12 +137,12 @@
     def __init__(
         self,
         entry: targets.Entry,
-        rates: beliefs.Rates,
+        rates: failure_estimates.FailureRates,
         now: float,
-        failing: float = beliefs.NEW_BELIEF,
+        failing: float = failure_estimates.NEW_TARGET_FAILING_PROBABILITY,
     ) -> None:
         self.entry = entry
-        self.belief = beliefs.Belief(rates, now, failing)
+        self.failure_estimate = failure_estimates.FailureEstimate(rates, now, failing)
         self.slowness = work_times.Slowness(now)
         self.tickets: set[str] = set()
         self.limit: rate_limit.RateLimit | None = None
@@ -186,12 +186,12 @@
         """Return whether it can be expected to take work at all."""
         return now >= self._paused_until or self._paused_until - now <= SHED_PAUSE
 
-    def find_doubt(self, now: float) -> float:
+    def find_request_failure_probability(self, now: float) -> float:
         """Return the probability that it fails a request sent now."""
         self._estimate(now)
         return self._doubt
 
-    def find_failing(self, now: float) -> float:
+    def find_failing_probability(self, now: float) -> float:
         """Return the probability that it is failing."""
         self._estimate(now)
         return self._failing
@@ -203,7 +203,7 @@
 
     def note_outcome(self, failed: bool, now: float) -> None:
         """Move the belief by one outcome."""
-        self.belief.take(failed, now)
+        self.failure_estimate.record_outcome(failed, now)
         self._estimated_until = 0.0
 
     def note_slowness(self, ratio: float, now: float) -> None:
@@ -216,9 +216,9 @@
         self.slowness.raise_to(ratio, now)
         self._estimated_until = 0.0
 
-    def set_opinion(self, failing: float, slowness: float, now: float) -> None:
+    def set_estimates(self, failing: float, slowness: float, now: float) -> None:
         """Take over what another dispatcher thinks."""
-        self.belief.set_failing(failing, now)
+        self.failure_estimate.set_failing_probability(failing, now)
         self.slowness.set(slowness, now)
         self._estimated_until = 0.0
 
@@ -226,8 +226,8 @@
         if now < self._estimated_until:
             return
         self._estimated_until = now + ESTIMATE_FOR
-        self._failing = self.belief.find_failing(now)
-        self._doubt = self.belief.find_doubt(now)
+        self._failing = self.failure_estimate.find_failing_probability(now)
+        self._doubt = self.failure_estimate.find_request_failure_probability(now)
         self._slowness = self.slowness.find(now)
         if now < self.entry.cold_until:
             self._slowness *= COLD_SLOWNESS
@@ -247,7 +247,7 @@
 
     def note_trial(self, now: float) -> None:
         """Take in that work was sent to find out about it."""
-        pause = TRIAL_SHARE * self.belief.failing_time
+        pause = TRIAL_SHARE * self.failure_estimate.failing_time
         self._trial_at = now + min(MOST_TRIAL_PAUSE, max(LEAST_TRIAL_PAUSE, pause))
 
     def note_shed(self, now: float) -> None:
@@ -284,7 +284,7 @@
         policy: mechanisms.Mechanisms = mechanisms.ALL,
     ) -> None:
         self._policy = policy
-        self.rates = beliefs.Rates()
+        self.rates = failure_estimates.FailureRates()
         self._kinds = kinds
         self._states: dict[str, TargetState] = {}
         self._summed_until = 0.0
@@ -298,7 +298,11 @@
         fresh: dict[str, TargetState] = {}
         # A dispatcher that begins knows nothing of any target. Taking them all for
         # fresh would send its first requests to many instead of the few that answered.
-        failing = beliefs.NEW_BELIEF if self._states else self.rates.usual
+        failing = (
+            failure_estimates.NEW_TARGET_FAILING_PROBABILITY
+            if self._states
+            else self.rates.usual_failing_share
+        )
         for entry in entries:
             state = self._states.get(entry.target_id)
             if state is None or state.entry.born != entry.born:
@@ -342,7 +346,11 @@
             if not state.is_free(now) or state.entry.target_id in ask.excluded:
                 continue
             offer = self._price(state, ask, ease, now)
-            if is_poor and offer.doubt <= DOUBT_LIMIT and state.is_idle(now):
+            if (
+                is_poor
+                and offer.failure_probability <= MAX_HEALTHY_FAILURE_PROBABILITY
+                and state.is_idle(now)
+            ):
                 price = offer.price - IDLE_GAIN
                 offer = dataclasses.replace(offer, price=price)
             if best is None or offer.price < best.price:
@@ -353,7 +361,7 @@
         """Return whether any target has a free slot."""
         return any(state.is_free(now) for state in self._states.values())
 
-    def count_proved_slots(self, now: float) -> float:
+    def count_proven_slots(self, now: float) -> float:
         """Return the slots of targets that are little in doubt."""
         self._sum(now)
         return self._proved_slots
@@ -377,10 +385,10 @@
         for state in self._states.values():
             if not state.is_usable(now):
                 continue
-            doubt = state.find_doubt(now)
+            doubt = state.find_request_failure_probability(now)
             slots = state.count_working_slots(mean)
             working = slots * (1 - doubt) / max(1.0, state.find_slowness(now))
-            if doubt < DOUBT_LIMIT:
+            if doubt < MAX_HEALTHY_FAILURE_PROBABILITY:
                 self._proved_slots += slots
                 proved += working
             else:
@@ -390,7 +398,7 @@
     def _price(
         self, state: TargetState, ask: messages.SlotRequest, ease: float, now: float
     ) -> Offer:
-        doubt = state.find_doubt(now)
+        doubt = state.find_request_failure_probability(now)
         expected = self._kinds.find_mean(ask.kind) * state.find_slowness(now)
         load = len(state.tickets) / max(1, state.entry.slots)
         price = LATE_PRICE * _find_lateness(expected, ask.objective_at - now)
@@ -403,7 +411,7 @@
             return Offer(state.entry.target_id, price + doubt, doubt)
         price += (1.0 - (1.0 - RETRY_PRICE) * ease) * doubt
         if ask.attempt == 1 and state.may_try(now) and self._policy.trials:
-            failing = state.find_failing(now)
+            failing = state.find_failing_probability(now)
             price -= TRIAL_GAIN * ease * 4 * failing * (1 - failing)
             return Offer(state.entry.target_id, price, doubt, is_trial=True)
         return Offer(state.entry.target_id, price, doubt)
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/waiting.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/waiting.py
@@ -141,12 +141,15 @@
             Seconds.
         """
         ask = waiting.ask
-        if offer.doubt <= pool.DOUBT_LIMIT or not self._policy.patience:
+        if (
+            offer.failure_probability <= pool.MAX_HEALTHY_FAILURE_PROBABILITY
+            or not self._policy.patience
+        ):
             return False
         if ask.may_retry and ease > 0.0:
             is_useful = offer.is_trial and ease >= 1.0
             return not is_useful and self._may_outwait(waiting, now)
-        proved = self._pool.count_proved_slots(now)
+        proved = self._pool.count_proven_slots(now)
         if not proved:
             return False
         mean = self._kinds.find_mean(ask.kind)
@@ -163,7 +166,7 @@
         not wait: work of a higher rank would keep it from any target.
         """
         ask = waiting.ask
-        if not self._pool.count_proved_slots(now):
+        if not self._pool.count_proven_slots(now):
             return False
         if now - waiting.arrived_at > OUTWAIT * (ask.objective_at - waiting.arrived_at):
             return False
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/desk.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/desk.py
@@ -275,7 +275,7 @@
             self._give_limit(state, shard, now)
             heard = self._heard.get(state.entry.target_id)
             if heard is not None:
-                state.set_opinion(heard[0].failing, heard[0].slowness, heard[1])
+                state.set_estimates(heard[0].failing, heard[0].slowness, heard[1])
 
     def _is_alone(self, service: str) -> bool:
         """Return whether no other VM asks here for targets of a service."""
@@ -313,7 +313,7 @@
     """Return what a dispatcher thinks of a target."""
     opinion = datagrams.Opinion(
         state.entry.target_id,
-        round(state.belief.find_failing(now), 3),
+        round(state.failure_estimate.find_failing_probability(now), 3),
         round(state.slowness.find(now), 2),
     )
     if state.limit is None:
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -219,7 +219,7 @@
         report(one, f"{n}", target, outcome, now + 0.05)
         if now > 5.0:
             doubts = {
-                state.entry.target_id: state.find_doubt(now)
+                state.entry.target_id: state.find_request_failure_probability(now)
                 for state in one.pool.list_states()
             }
             sound = [name for name in names if doubts[name] <= 0.25]
--- a/tests/dispatch/test_rate_limit.py
+++ b/tests/dispatch/test_rate_limit.py
@@ -11,8 +11,8 @@
 
 from zinniastand_core.deployment import targets
 from zinniastand_core.dispatch import (
-    beliefs,
     dispatcher,
+    failure_estimates,
     messages,
     pool,
     rate_limit,
@@ -84,7 +84,7 @@
 
 def test_limit_lifts_only_by_an_answer_to_a_later_request() -> None:
     # Answers from two VMs are heard in another order than the target gave them.
-    state = pool.TargetState(make_entry("t"), beliefs.Rates(), 0.0)
+    state = pool.TargetState(make_entry("t"), failure_estimates.FailureRates(), 0.0)
     state.limit = rate_limit.RateLimit(2.0, 1.0, 1.0)
     state.lift_limit(sent_at=0.9)
     assert state.limit is not None
