--- a/bench/least_busy.py
+++ b/bench/least_busy.py
@@ -16,7 +16,9 @@
         self._strike = strike
         self._rng = rng
 
-    def ask(self, ask: messages.SlotRequest, now: float) -> list[messages.Decision]:
+    def request_slot(
+        self, ask: messages.SlotRequest, now: float
+    ) -> list[messages.Decision]:
         """Send at once, to one that has not failed lately if there is any."""
         usable = [name for name in self._busy if name not in ask.excluded]
         spared = [name for name in usable if self._struck.get(name, 0.0) <= now]
@@ -25,7 +27,9 @@
         self._busy[name] += 1
         return [messages.Grant(ask.ticket, name, 0.0, 0.2)]
 
-    def report(self, report: messages.Report, now: float) -> list[messages.Decision]:
+    def handle_report(
+        self, report: messages.Report, now: float
+    ) -> list[messages.Decision]:
         """Count down, and avoid a target that has failed."""
         self._busy[report.target_id] -= 1
         if report.outcome is messages.Outcome.FAILED and self._strike:
--- a/bench/load_model.py
+++ b/bench/load_model.py
@@ -54,11 +54,15 @@
 class Policy(typing.Protocol):
     """Decides where requests go."""
 
-    def ask(self, ask: messages.SlotRequest, now: float) -> list[messages.Decision]:
+    def request_slot(
+        self, ask: messages.SlotRequest, now: float
+    ) -> list[messages.Decision]:
         """Take in a request."""
         ...
 
-    def report(self, report: messages.Report, now: float) -> list[messages.Decision]:
+    def handle_report(
+        self, report: messages.Report, now: float
+    ) -> list[messages.Decision]:
         """Take in how an attempt went."""
         ...
 
@@ -240,7 +244,7 @@
             request.excluded,
             self._list_open(request.vm, now),
         )
-        self._apply(self._policy.ask(ask, now), now)
+        self._apply(self._policy.request_slot(ask, now), now)
 
     def _list_open(self, vm: int, now: float) -> tuple[str, ...]:
         """Return the targets to which a VM has an idle connection."""
@@ -329,7 +333,7 @@
             "vm",
             self._find_limit(grant.target_id, now),
         )
-        decisions = self._policy.report(report, now)
+        decisions = self._policy.handle_report(report, now)
         self._counts["turned_away"] += 1
         if request.attempt < MOST_TARGETS:
             request.attempt += 1
@@ -355,7 +359,7 @@
         )
         if self._load.vms:
             self._idle[request.vm, grant.target_id].append(now)
-        decisions = self._policy.report(report, now)
+        decisions = self._policy.handle_report(report, now)
         kind = request.kind
         if not failed:
             in_time = now <= request.at + kind.objective
--- a/bench/shard_model.py
+++ b/bench/shard_model.py
@@ -42,10 +42,12 @@
             one = dispatcher.Dispatcher(times, window, self._rng)
             one.update_targets([entry for entry in entries if shard.covers(entry)], 0.0)
             self._dispatchers[shard] = one
-        self._choosers = [shards.Chooser("a", self._rng) for _ in range(VMS)]
+        self._choosers = [shards.ShardChooser("a", self._rng) for _ in range(VMS)]
         self._shard_of: dict[str, shards.Shard] = {}
 
-    def ask(self, ask: messages.SlotRequest, now: float) -> list[messages.Decision]:
+    def request_slot(
+        self, ask: messages.SlotRequest, now: float
+    ) -> list[messages.Decision]:
         """Ask in one shard, and in another where the first refuses."""
         chooser = self._rng.choice(self._choosers)
         refused: list[shards.Shard] = []
@@ -56,23 +58,25 @@
             if shard is None:
                 break
             placed = dataclasses.replace(ask, shard=shard)
-            decisions = self._dispatchers[shard].ask(placed, now)
+            decisions = self._dispatchers[shard].request_slot(placed, now)
             others += [one for one in decisions if one.ticket != ask.ticket]
             own = [one for one in decisions if one.ticket == ask.ticket]
             self._shard_of[ask.ticket] = shard
             for one in own:
                 if not isinstance(one, messages.Wait):
-                    chooser.note(shard, one.pressure, now)
+                    chooser.record_pressure(shard, one.pressure, now)
             if not any(isinstance(one, messages.Refuse) for one in own):
                 break
             refused.append(shard)
         return [*own, *others]
 
-    def report(self, report: messages.Report, now: float) -> list[messages.Decision]:
+    def handle_report(
+        self, report: messages.Report, now: float
+    ) -> list[messages.Decision]:
         """Tell the shard that gave the slot."""
         shard = self._shard_of.pop(report.ticket)
         told = dataclasses.replace(report, shard=shard)
-        return self._dispatchers[shard].report(told, now)
+        return self._dispatchers[shard].handle_report(told, now)
 
     def wake(self, now: float) -> list[messages.Decision]:
         """Act on the time."""
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
@@ -34,7 +34,7 @@
     work_times,
 )
 
-TICKET_GRACE = 0.3
+LOST_REPORT_GRACE_S = 0.3
 """Seconds after a request's deadline at which its slot is taken back when no report has
 come: reports travel in datagrams, and one may be lost."""
 
@@ -124,7 +124,9 @@
         self.pool.update(entries, now)
         return self._serve_queue(now)
 
-    def ask(self, ask: messages.SlotRequest, now: float) -> list[messages.Decision]:
+    def request_slot(
+        self, ask: messages.SlotRequest, now: float
+    ) -> list[messages.Decision]:
         """Take in a request; an ask that came before gets its first answer again."""
         if ask.is_first:
             # Also one that is refused: it is a request for the service all the same.
@@ -147,7 +149,9 @@
             return decisions
         return [*decisions, messages.Wait(ask.ticket)]
 
-    def report(self, report: messages.Report, now: float) -> list[messages.Decision]:
+    def handle_report(
+        self, report: messages.Report, now: float
+    ) -> list[messages.Decision]:
         """Take in how an attempt went; its slot is free again.
 
         An ask that still waits is forgotten: its caller has left or was answered.
@@ -168,7 +172,7 @@
             self._learn(state, granted, report, now)
         return self._serve_queue(now)
 
-    def adopt(self, held: messages.HeldSlot, now: float) -> None:
+    def adopt_slot(self, held: messages.HeldSlot, now: float) -> None:
         """Take over a slot that another dispatcher gave."""
         state = self.pool.find(held.target_id)
         if state is not None and held.slot_request.ticket not in self._grants:
@@ -181,7 +185,7 @@
             elapsed = now - granted.started_at
             if state is not None and elapsed > SLOW_AFTER * granted.expected:
                 state.note_overdue(elapsed / granted.expected, now)
-            if now > granted.ask.deadline_at + TICKET_GRACE:
+            if now > granted.ask.deadline_at + LOST_REPORT_GRACE_S:
                 del self._grants[ticket]
                 if state is not None:
                     state.tickets.discard(ticket)
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/shards.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/shards.py
@@ -113,7 +113,7 @@
     return tuple(Shard(service, data_centre, index, count) for index in range(count))
 
 
-class Chooser:
+class ShardChooser:
     """Chooses the shard that a request is placed in.
 
     Load pattern: targets of one shard fail together by chance, or its requests come
@@ -136,7 +136,7 @@
         self._rng = rng
         self._pressures: dict[Shard, tuple[float, float]] = {}
 
-    def note(self, shard: Shard, pressure: float, now: float) -> None:
+    def record_pressure(self, shard: Shard, pressure: float, now: float) -> None:
         """Take in how pressed a shard is."""
         self._pressures[shard] = (pressure, now)
 
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/work_times.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/work_times.py
@@ -4,7 +4,7 @@
 
 import math
 
-FIRST_GUESS = 0.2
+INITIAL_MEAN_S = 0.2
 """Seconds that a kind of work is taken to last until one was seen."""
 
 KIND_WEIGHT = 0.05
@@ -38,12 +38,12 @@
 
     def find_mean(self, kind: str) -> float:
         """Return the mean time in seconds."""
-        return self._means.get(kind, FIRST_GUESS)
+        return self._means.get(kind, INITIAL_MEAN_S)
 
     def find_overall_mean(self) -> float:
         """Return the mean time over all kinds, each counted alike."""
         if not self._means:
-            return FIRST_GUESS
+            return INITIAL_MEAN_S
         return sum(self._means.values()) / len(self._means)
 
     def is_known(self, kind: str) -> bool:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/desk.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/desk.py
@@ -120,19 +120,19 @@
             if self._find_share(ask.shard) < 1.0:
                 _use_whole_limits(known, now)
             self._alone_at[ask.shard] = now + ALONE_AFTER
-        self._send(known.ask(ask, now))
+        self._send(known.request_slot(ask, now))
         self.retries.announce_untold(ask.shard.service)
 
     def report(self, report: messages.Report, now: float) -> None:
         """Take in how an attempt went."""
         self._askers.pop(report.ticket, None)
-        self._send(self._open(report.shard, now).report(report, now))
+        self._send(self._open(report.shard, now).handle_report(report, now))
         self.retries.announce_untold(report.shard.service)
 
     def adopt(self, vm: str, held: messages.HeldSlot, now: float) -> None:
         """Take over a slot that another dispatcher gave to a VM."""
         self._askers[held.slot_request.ticket] = (vm, now + KEEP_ASKER)
-        self._open(held.slot_request.shard, now).adopt(held, now)
+        self._open(held.slot_request.shard, now).adopt_slot(held, now)
 
     def update_targets(self, now: float) -> None:
         """Use the targets that the registry knows now."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
@@ -96,7 +96,7 @@
         rng: random.Random,
     ) -> None:
         self._fleet = fleet
-        self._chooser = shards.Chooser(fleet.own.data_centre, rng)
+        self._chooser = shards.ShardChooser(fleet.own.data_centre, rng)
         self._link = link
         self._log = log
         self._desk: desk.Desk | None = None
@@ -126,7 +126,7 @@
                 break
             answer = await self._acquire_in(dataclasses.replace(ask, shard=shard))
             ask = dataclasses.replace(ask, is_first=False)
-            self._chooser.note(shard, answer.pressure, anyio.current_time())
+            self._chooser.record_pressure(shard, answer.pressure, anyio.current_time())
             if isinstance(answer, messages.Grant) or answer.reason not in ELSEWHERE:
                 break
             refused.append(shard)
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -68,7 +68,7 @@
     vm: str = "vm-1",
 ) -> list[messages.Decision]:
     told = messages.Report(ticket, shards.Shard("desk"), target, outcome, 0.2, vm)
-    return one.report(told, now)
+    return one.handle_report(told, now)
 
 
 def grant_of(decisions: list[messages.Decision], ticket: str) -> messages.Grant:
@@ -79,9 +79,11 @@
 
 def test_each_slot_is_given_once_and_then_requests_wait() -> None:
     one = make_dispatcher("ab")
-    given = {grant_of(one.ask(make_ask(n), 0.0), n).target_id for n in ("1", "2")}
+    given = {
+        grant_of(one.request_slot(make_ask(n), 0.0), n).target_id for n in ("1", "2")
+    }
     assert given == {"a", "b"}
-    assert one.ask(make_ask("3"), 0.0) == [messages.Wait("3")]
+    assert one.request_slot(make_ask("3"), 0.0) == [messages.Wait("3")]
     decisions = report(one, "1", "a", Outcome.GOOD, 0.1)
     assert grant_of(decisions, "3").target_id == "a"
 
@@ -90,17 +92,17 @@
     # The datagram with the grant is lost and the VM asks again. A second slot for the
     # same request would stay taken until its deadline.
     one = make_dispatcher("ab")
-    first = grant_of(one.ask(make_ask("1"), 0.0), "1")
-    again = grant_of(one.ask(make_ask("1"), 0.03), "1")
+    first = grant_of(one.request_slot(make_ask("1"), 0.0), "1")
+    again = grant_of(one.request_slot(make_ask("1"), 0.03), "1")
     assert again.target_id == first.target_id
     assert one.in_flight == 1
 
 
 def test_urgent_work_is_served_first() -> None:
     one = make_dispatcher("a")
-    one.ask(make_ask("held"), 0.0)
-    one.ask(make_ask("late", priority=2), 0.0)
-    one.ask(make_ask("urgent", priority=0), 0.01)
+    one.request_slot(make_ask("held"), 0.0)
+    one.request_slot(make_ask("late", priority=2), 0.0)
+    one.request_slot(make_ask("urgent", priority=0), 0.01)
     decisions = report(one, "held", "a", Outcome.GOOD, 0.1)
     assert [decision.ticket for decision in decisions] == ["urgent"]
 
@@ -110,7 +112,7 @@
     one = make_dispatcher("a")
     decisions: list[messages.Decision] = []
     for n in range(30):
-        decisions = one.ask(make_ask(str(n)), 0.0)
+        decisions = one.request_slot(make_ask(str(n)), 0.0)
     [refusal] = decisions
     assert isinstance(refusal, messages.Refuse)
     assert refusal.reason is messages.RefusalReason.OVERLOADED
@@ -122,7 +124,7 @@
     one = make_dispatcher("a")
     times = set()
     for n in range(40):
-        for decision in one.ask(make_ask(str(n)), 0.0):
+        for decision in one.request_slot(make_ask(str(n)), 0.0):
             if isinstance(decision, messages.Refuse):
                 times.add(decision.retry_at)
     assert len(times) > 20
@@ -132,54 +134,54 @@
 def test_failing_target_is_avoided_by_work_that_may_run_only_once() -> None:
     # A failing target answers errors faster than any other, so it is always free.
     one = make_dispatcher("ab", slots=3)
-    first = grant_of(one.ask(make_ask("0"), 0.0), "0").target_id
+    first = grant_of(one.request_slot(make_ask("0"), 0.0), "0").target_id
     report(one, "0", first, Outcome.FAILED, 0.01)
     for n in range(1, 4):
-        grant = grant_of(one.ask(make_ask(str(n), 0.02), 0.02), str(n))
+        grant = grant_of(one.request_slot(make_ask(str(n), 0.02), 0.02), str(n))
         assert grant.target_id != first
 
 
 def test_idempotent_work_finds_out_whether_a_target_has_recovered() -> None:
     one = make_dispatcher("ab", slots=3)
     for n in range(4):
-        target = grant_of(one.ask(make_ask(f"g{n}"), 0.0), f"g{n}").target_id
+        target = grant_of(one.request_slot(make_ask(f"g{n}"), 0.0), f"g{n}").target_id
         outcome = Outcome.FAILED if target == "a" else Outcome.GOOD
         report(one, f"g{n}", target, outcome, 0.1)
     now = 3.0
     ask = make_ask("probe", now, may_retry=True)
-    assert grant_of(one.ask(ask, now), "probe").target_id == "a"
+    assert grant_of(one.request_slot(ask, now), "probe").target_id == "a"
     # While that one is out, others do not pile up behind it.
     ask = make_ask("next", now, may_retry=True)
-    assert grant_of(one.ask(ask, now + 0.01), "next").target_id == "b"
+    assert grant_of(one.request_slot(ask, now + 0.01), "next").target_id == "b"
 
 
 def test_idempotent_work_avoids_doubt_as_retries_run_out() -> None:
     # Guards against trials of failing targets that spend the retries of a service.
     one = make_dispatcher("ab", slots=3, retries=4.0)
     for n in range(4):
-        target = grant_of(one.ask(make_ask(f"g{n}"), 0.0), f"g{n}").target_id
+        target = grant_of(one.request_slot(make_ask(f"g{n}"), 0.0), f"g{n}").target_id
         outcome = Outcome.FAILED if target == "a" else Outcome.GOOD
         report(one, f"g{n}", target, outcome, 0.1)
     for n in range(4):
         ask = make_ask(f"again{n}", 0.2, attempt=2, excluded=("a",))
-        target = grant_of(one.ask(ask, 0.2), f"again{n}").target_id
+        target = grant_of(one.request_slot(ask, 0.2), f"again{n}").target_id
         report(one, f"again{n}", target, Outcome.GOOD, 0.3)
     now = 3.0
     for n in range(3):
         ask = make_ask(f"probe{n}", now, may_retry=True)
-        assert grant_of(one.ask(ask, now), f"probe{n}").target_id == "b"
+        assert grant_of(one.request_slot(ask, now), f"probe{n}").target_id == "b"
 
 
 def test_idempotent_work_without_retries_waits_for_a_proved_target() -> None:
     one = make_dispatcher("ab", retries=-5.0)
     for n in range(3):
-        target = grant_of(one.ask(make_ask(f"g{n}"), 0.0), f"g{n}").target_id
+        target = grant_of(one.request_slot(make_ask(f"g{n}"), 0.0), f"g{n}").target_id
         outcome = Outcome.FAILED if target == "a" else Outcome.GOOD
         report(one, f"g{n}", target, outcome, 0.05)
     ask = make_ask("x", 0.1, may_retry=True)
-    assert grant_of(one.ask(ask, 0.1), "x").target_id == "b"
+    assert grant_of(one.request_slot(ask, 0.1), "x").target_id == "b"
     ask = make_ask("y", 0.1, may_retry=True)
-    assert one.ask(ask, 0.1) == [messages.Wait("y")]
+    assert one.request_slot(ask, 0.1) == [messages.Wait("y")]
 
 
 def test_target_with_an_open_connection_is_taken_among_equals() -> None:
@@ -187,17 +189,17 @@
     one = make_dispatcher("abcd", slots=3)
     for n, name in enumerate("dcba"):
         ask = make_ask(f"{n}", connected_targets=(name,))
-        assert grant_of(one.ask(ask, 0.0), f"{n}").target_id == name
+        assert grant_of(one.request_slot(ask, 0.0), f"{n}").target_id == name
 
 
 def test_open_connection_to_a_failing_target_is_no_reason_to_use_it() -> None:
     one = make_dispatcher("ab", slots=3)
     for n in range(4):
-        target = grant_of(one.ask(make_ask(f"g{n}"), 0.0), f"g{n}").target_id
+        target = grant_of(one.request_slot(make_ask(f"g{n}"), 0.0), f"g{n}").target_id
         outcome = Outcome.FAILED if target == "a" else Outcome.GOOD
         report(one, f"g{n}", target, outcome, 0.1)
     ask = make_ask("x", 0.2, connected_targets=("a",))
-    assert grant_of(one.ask(ask, 0.2), "x").target_id == "b"
+    assert grant_of(one.request_slot(ask, 0.2), "x").target_id == "b"
 
 
 @pytest.mark.parametrize("each", [7, 17])
@@ -212,7 +214,9 @@
     now = 0.0
     for n in range(200):
         now = n * 0.1
-        target = grant_of(one.ask(make_ask(f"{n}", now), now), f"{n}").target_id
+        target = grant_of(
+            one.request_slot(make_ask(f"{n}", now), now), f"{n}"
+        ).target_id
         last[target] = now
         is_failed = n % each == 0
         outcome = Outcome.FAILED if is_failed else Outcome.GOOD
@@ -231,16 +235,16 @@
     # Guards against retries that are spent while a proved slot is about to come free.
     one = make_dispatcher("ab", retries=5.0)
     for n in range(6):
-        target = grant_of(one.ask(make_ask(f"g{n}"), 0.0), f"g{n}").target_id
+        target = grant_of(one.request_slot(make_ask(f"g{n}"), 0.0), f"g{n}").target_id
         outcome = Outcome.FAILED if target == "a" else Outcome.GOOD
         report(one, f"g{n}", target, outcome, 0.02)
-    assert grant_of(one.ask(make_ask("x", 0.1), 0.1), "x").target_id == "b"
+    assert grant_of(one.request_slot(make_ask("x", 0.1), 0.1), "x").target_id == "b"
     ask = make_ask("trial", 0.1, may_retry=True)
-    assert grant_of(one.ask(ask, 0.1), "trial").target_id == "a"
+    assert grant_of(one.request_slot(ask, 0.1), "trial").target_id == "a"
     report(one, "trial", "a", Outcome.FAILED, 0.11)
     later = {"objective_at": 2.0, "deadline_at": 3.0}
     ask = make_ask("y", 0.12, may_retry=True, **later)
-    assert one.ask(ask, 0.12) == [messages.Wait("y")]
+    assert one.request_slot(ask, 0.12) == [messages.Wait("y")]
     # Not for ever: what it would take from the objective has its limit.
     assert grant_of(one.wake(0.7), "y").target_id == "a"
 
@@ -250,11 +254,11 @@
     # request would fail at "a" for certain and is in time after "b".
     one = make_dispatcher("ab")
     for n in range(6):
-        target = grant_of(one.ask(make_ask(f"g{n}"), 0.0), f"g{n}").target_id
+        target = grant_of(one.request_slot(make_ask(f"g{n}"), 0.0), f"g{n}").target_id
         outcome = Outcome.FAILED if target == "a" else Outcome.GOOD
         report(one, f"g{n}", target, outcome, 0.05)
-    assert grant_of(one.ask(make_ask("x", 0.1), 0.1), "x").target_id == "b"
-    assert one.ask(make_ask("y", 0.1), 0.1) == [messages.Wait("y")]
+    assert grant_of(one.request_slot(make_ask("x", 0.1), 0.1), "x").target_id == "b"
+    assert one.request_slot(make_ask("y", 0.1), 0.1) == [messages.Wait("y")]
     assert grant_of(report(one, "x", "b", Outcome.GOOD, 0.3), "y").target_id == "b"
 
 
@@ -262,13 +266,13 @@
     one = make_dispatcher("ab", slots=3)
     for n in range(20):
         ask = make_ask(f"{n}", n * 0.3)
-        target = grant_of(one.ask(ask, n * 0.3), f"{n}").target_id
+        target = grant_of(one.request_slot(ask, n * 0.3), f"{n}").target_id
         took = 1.5 if target == "a" else 0.2
         told = messages.Report(
             f"{n}", shards.Shard("desk"), target, Outcome.GOOD, took, "vm-1"
         )
-        one.report(told, n * 0.3 + 0.2)
-    grant = grant_of(one.ask(make_ask("x", 6.0), 6.0), "x")
+        one.handle_report(told, n * 0.3 + 0.2)
+    grant = grant_of(one.request_slot(make_ask("x", 6.0), 6.0), "x")
     assert grant.target_id == "b"
 
 
@@ -277,27 +281,27 @@
     # throw capacity away on a fault of the link.
     one = make_dispatcher("a")
     for n in range(3):
-        one.ask(make_ask(str(n)), 0.0)
+        one.request_slot(make_ask(str(n)), 0.0)
         report(one, str(n), "a", Outcome.UNREACHABLE, 0.0, vm="vm-1")
-    assert grant_of(one.ask(make_ask("x"), 0.0), "x").target_id == "a"
+    assert grant_of(one.request_slot(make_ask("x"), 0.0), "x").target_id == "a"
     report(one, "x", "a", Outcome.UNREACHABLE, 0.0, vm="vm-2")
-    assert one.ask(make_ask("y"), 0.01) == [messages.Wait("y")]
+    assert one.request_slot(make_ask("y"), 0.01) == [messages.Wait("y")]
 
 
 def test_slot_without_a_report_comes_back() -> None:
     # The VM that held the slot was killed, or its report was lost.
     one = make_dispatcher("a")
-    one.ask(make_ask("1"), 0.0)
-    one.ask(make_ask("2", 1.0), 1.0)
-    late = 1.2 + dispatcher.TICKET_GRACE + 0.01
+    one.request_slot(make_ask("1"), 0.0)
+    one.request_slot(make_ask("2", 1.0), 1.0)
+    late = 1.2 + dispatcher.LOST_REPORT_GRACE_S + 0.01
     decisions = one.wake(late)
     assert grant_of(decisions, "2").target_id == "a"
 
 
 def test_abandoned_ask_frees_its_place_in_the_queue() -> None:
     one = make_dispatcher("a")
-    one.ask(make_ask("1"), 0.0)
-    one.ask(make_ask("2"), 0.0)
+    one.request_slot(make_ask("1"), 0.0)
+    one.request_slot(make_ask("2"), 0.0)
     report(one, "2", "", Outcome.ABANDONED, 0.05)
     assert report(one, "1", "a", Outcome.GOOD, 0.1) == []
 
@@ -306,16 +310,17 @@
     # The grant came after its VM had asked somebody else. The VM says so by the
     # ticket alone, since it never learned of the target.
     one = make_dispatcher("a")
-    one.ask(make_ask("1"), 0.0)
+    one.request_slot(make_ask("1"), 0.0)
     report(one, "1", "", Outcome.ABANDONED, 0.1)
     assert one.in_flight == 0
-    assert grant_of(one.ask(make_ask("2", 0.1), 0.1), "2").target_id == "a"
+    assert grant_of(one.request_slot(make_ask("2", 0.1), 0.1), "2").target_id == "a"
 
 
 def test_retries_are_refused_beyond_their_budget() -> None:
     one = make_dispatcher("abcdefgh", slots=4, retries=2.0)
     answers = [
-        one.ask(make_ask(str(n), attempt=2, excluded=("a",)), 0.0)[0] for n in range(3)
+        one.request_slot(make_ask(str(n), attempt=2, excluded=("a",)), 0.0)[0]
+        for n in range(3)
     ]
     assert isinstance(answers[-1], messages.Refuse)
     assert answers[-1].reason is messages.RefusalReason.RETRY_BUDGET
@@ -323,7 +328,7 @@
 
 def test_no_target_at_all_is_said_at_once() -> None:
     one = make_dispatcher("")
-    [refusal] = one.ask(make_ask("1"), 0.0)
+    [refusal] = one.request_slot(make_ask("1"), 0.0)
     assert isinstance(refusal, messages.Refuse)
     assert refusal.reason is messages.RefusalReason.NO_TARGET
 
@@ -332,8 +337,8 @@
     # The VM that dispatched was killed. Its successor would give every slot a second
     # time, and targets would turn the work away.
     one = make_dispatcher("a")
-    one.adopt(messages.HeldSlot(make_ask("old"), "a"), 0.0)
-    assert one.ask(make_ask("1"), 0.0) == [messages.Wait("1")]
+    one.adopt_slot(messages.HeldSlot(make_ask("old"), "a"), 0.0)
+    assert one.request_slot(make_ask("1"), 0.0) == [messages.Wait("1")]
     decisions = report(one, "old", "a", Outcome.GOOD, 0.2)
     assert grant_of(decisions, "1").target_id == "a"
 
@@ -341,7 +346,7 @@
 @pytest.mark.parametrize("outcome", list(Outcome))
 def test_every_outcome_frees_the_slot(outcome: messages.Outcome) -> None:
     one = make_dispatcher("a")
-    one.ask(make_ask("1"), 0.0)
+    one.request_slot(make_ask("1"), 0.0)
     report(one, "1", "a", outcome, 0.2)
     assert one.in_flight == 0
 
@@ -352,10 +357,10 @@
     # work, which was then broken off as overdue.
     one = make_dispatcher("a", slots=3)
     for n in range(6):
-        one.ask(make_ask(f"{n}", kind=f"new-{n}"), 0.0)
+        one.request_slot(make_ask(f"{n}", kind=f"new-{n}"), 0.0)
         told = messages.Report(
             f"{n}", shards.Shard("desk"), "a", Outcome.GOOD, 0.002, "vm-1"
         )
-        one.report(told, 0.0)
-    grant = grant_of(one.ask(make_ask("x"), 0.0), "x")
-    assert grant.expected_duration == pytest.approx(work_times.FIRST_GUESS)
+        one.handle_report(told, 0.0)
+    grant = grant_of(one.request_slot(make_ask("x"), 0.0), "x")
+    assert grant.expected_duration == pytest.approx(work_times.INITIAL_MEAN_S)
--- a/tests/dispatch/test_rate_limit.py
+++ b/tests/dispatch/test_rate_limit.py
@@ -112,12 +112,12 @@
             ask = messages.SlotRequest(
                 f"k{number}", SHARD, "w", False, 1, now + 0.6, now + 1.2, 1, "a"
             )
-            decisions += one.ask(ask, now)
+            decisions += one.request_slot(ask, now)
         while under_way and under_way[0][0] <= now:
             _, ticket, name = under_way.pop(0)
             good, named = messages.Outcome.GOOD, limits.get(name, math.inf)
             report = messages.Report(ticket, SHARD, name, good, 0.2, "vm", named)
-            decisions += one.report(report, now)
+            decisions += one.handle_report(report, now)
         for decision in decisions:
             if isinstance(decision, messages.Grant):
                 granted.setdefault(decision.target_id, []).append(now)
--- a/tests/dispatch/test_retries_sent.py
+++ b/tests/dispatch/test_retries_sent.py
@@ -42,7 +42,7 @@
     **changes: bool,
 ) -> list[messages.Decision]:
     told = messages.Report(ticket, SHARD, "a", outcome, 0.1, "vm-1")
-    return one.report(dataclasses.replace(told, **changes), now)
+    return one.handle_report(dataclasses.replace(told, **changes), now)
 
 
 def is_granted(decisions: list[messages.Decision], ticket: str) -> bool:
@@ -54,8 +54,8 @@
 def test_retry_that_waits_counts_from_when_it_is_sent() -> None:
     # Guards against retries that wait together and arrive in a span that has its own.
     one, window = make_dispatcher(retries=1.0)
-    one.ask(dataclasses.replace(RETRY, ticket="first", attempt=1), 0.0)
-    assert one.ask(RETRY, 0.1) == [messages.Wait("r")]
+    one.request_slot(dataclasses.replace(RETRY, ticket="first", attempt=1), 0.0)
+    assert one.request_slot(RETRY, 0.1) == [messages.Wait("r")]
     assert is_granted(report(one, "first", messages.Outcome.GOOD, 9.0), "r")
     assert window.find_remaining(15.0) < 1.0
     assert window.find_remaining(19.2) == pytest.approx(1.0)
@@ -77,7 +77,7 @@
 ) -> None:
     # Guards against retries that are used up by targets that cannot be reached.
     one, window = make_dispatcher(retries=1.0)
-    assert is_granted(one.ask(RETRY, 0.0), "r")
+    assert is_granted(one.request_slot(RETRY, 0.0), "r")
     report(one, "r", outcome, 0.2)
     assert window.find_remaining(0.2) == pytest.approx(left)
 
@@ -85,15 +85,15 @@
 def test_retry_that_another_dispatcher_gave_is_not_given_back_here() -> None:
     # Guards against retries that are given back by each VM that counts the slot.
     one, window = make_dispatcher(retries=1.0)
-    one.adopt(messages.HeldSlot(RETRY, "a"), 0.0)
+    one.adopt_slot(messages.HeldSlot(RETRY, "a"), 0.0)
     report(one, "r", messages.Outcome.UNREACHABLE, 0.1)
     assert window.find_remaining(0.1) == pytest.approx(1.0)
 
 
 def test_retry_that_leaves_the_queue_is_given_back() -> None:
     one, window = make_dispatcher(retries=1.0)
-    one.ask(dataclasses.replace(RETRY, ticket="first", attempt=1), 0.0)
-    one.ask(RETRY, 0.1)
+    one.request_slot(dataclasses.replace(RETRY, ticket="first", attempt=1), 0.0)
+    one.request_slot(RETRY, 0.1)
     report(one, "r", messages.Outcome.UNUSED, 0.2)
     assert window.find_remaining(0.2) == pytest.approx(1.0)
 
@@ -102,6 +102,6 @@
 def test_sending_on_a_second_connection_counts_as_a_retry(attempt: int) -> None:
     # Guards against arrivals that no dispatcher was asked for.
     one, window = make_dispatcher(retries=4.0)
-    one.ask(dataclasses.replace(RETRY, attempt=attempt), 0.0)
+    one.request_slot(dataclasses.replace(RETRY, attempt=attempt), 0.0)
     report(one, "r", messages.Outcome.GOOD, 0.2, is_resent=True)
     assert window.find_remaining(0.2) == pytest.approx(4.0 - attempt)
--- a/tests/dispatch/test_shards.py
+++ b/tests/dispatch/test_shards.py
@@ -38,7 +38,7 @@
 
 
 def count_chosen(
-    chooser: shards.Chooser, among: list[shards.Shard], now: float
+    chooser: shards.ShardChooser, among: list[shards.Shard], now: float
 ) -> collections.Counter[str]:
     chosen: collections.Counter[str] = collections.Counter()
     for _ in range(1000):
@@ -85,17 +85,17 @@
 def test_requests_stay_in_their_data_centre() -> None:
     # Nothing is wrong. Placing requests elsewhere would send each of them, and its
     # answer, between data centres for nothing.
-    chooser = shards.Chooser("b", random.Random(1))
+    chooser = shards.ShardChooser("b", random.Random(1))
     assert count_chosen(chooser, make_shards("a", "b", "c"), 0.0) == {"b": 1000}
 
 
 def test_pressed_shard_gives_work_away() -> None:
     # Most targets of one data centre fail, or its callers come in a burst. Requests
     # would wait there while slots are free elsewhere.
-    chooser = shards.Chooser("b", random.Random(1))
+    chooser = shards.ShardChooser("b", random.Random(1))
     a, b, c = make_shards("a", "b", "c")
-    chooser.note(b, 1.5, 0.0)
-    chooser.note(c, 1.4, 0.0)
+    chooser.record_pressure(b, 1.5, 0.0)
+    chooser.record_pressure(c, 1.4, 0.0)
     chosen = count_chosen(chooser, [a, b, c], 0.0)
     assert chosen["a"] > 900
     assert chosen["b"] == 0
@@ -103,24 +103,24 @@
 
 def test_all_pressed_alike_stay_where_they_are() -> None:
     # A burst everywhere: sending requests to and fro would help nobody.
-    chooser = shards.Chooser("b", random.Random(1))
+    chooser = shards.ShardChooser("b", random.Random(1))
     a, b, c = make_shards("a", "b", "c")
     for shard in (a, b, c):
-        chooser.note(shard, 2.0, 0.0)
+        chooser.record_pressure(shard, 2.0, 0.0)
     assert count_chosen(chooser, [a, b, c], 0.0) == {"b": 1000}
 
 
 def test_old_pressure_counts_for_little() -> None:
     # A burst is over, but nobody has asked the shard since: it must get work again.
-    chooser = shards.Chooser("b", random.Random(1))
+    chooser = shards.ShardChooser("b", random.Random(1))
     a, b = make_shards("a", "b")
-    chooser.note(b, 3.0, 0.0)
+    chooser.record_pressure(b, 3.0, 0.0)
     assert count_chosen(chooser, [a, b], 0.0)["b"] == 0
     assert count_chosen(chooser, [a, b], 10.0) == {"b": 1000}
 
 
 def test_shard_that_refused_is_not_asked_again() -> None:
-    chooser = shards.Chooser("a", random.Random(1))
+    chooser = shards.ShardChooser("a", random.Random(1))
     a, b = make_shards("a", "b")
     assert chooser.choose([a, b], 0.0, [a]) == b
     assert chooser.choose([a, b], 0.0, [a, b]) is None
