--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
@@ -120,19 +120,19 @@
             if self._find_share(ask.shard) < 1.0:
                 _use_whole_limits(known, now)
             self._alone_at[ask.shard] = now + ALONE_AFTER
-        self._send(known.ask(ask, now))
+        self._send(known.request_slot(ask, now))
         self.retries.announce_unsent(ask.shard.service)
 
     def report(self, report: messages.Report, now: float) -> None:
         """Take in how an attempt went."""
         self._askers.pop(report.ticket, None)
-        self._send(self._open(report.shard, now).report(report, now))
+        self._send(self._open(report.shard, now).handle_report(report, now))
         self.retries.announce_unsent(report.shard.service)
 
     def adopt(self, vm: str, held: messages.HeldSlot, now: float) -> None:
         """Take over a slot that another dispatcher gave to a VM."""
         self._askers[held.slot_request.ticket] = (vm, now + KEEP_ASKER)
-        self._open(held.slot_request.shard, now).adopt(held, now)
+        self._open(held.slot_request.shard, now).adopt_slot(held, now)
 
     def update_targets(self, now: float) -> None:
         """Use the targets that the registry knows now."""
@@ -281,7 +281,7 @@
             self._give_limit(state, shard, now)
             heard = self._heard.get(state.entry.target_id)
             if heard is not None:
-                state.set_opinion(
+                state.set_estimates(
                     heard[0].failure_probability, heard[0].slowness, heard[1]
                 )
 
@@ -321,7 +321,7 @@
     """Return what a dispatcher thinks of a target."""
     opinion = datagrams.TargetEstimate(
         state.entry.target_id,
-        round(state.belief.find_failing(now), 3),
+        round(state.failure_estimate.find_failing_probability(now), 3),
         round(state.slowness.find(now), 2),
     )
     if state.limit is None:
