--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -404,7 +404,7 @@
             now = anyio.current_time()
             has_tasks = bool(self._local_dispatchers.list_busy())
             self._resignation.record_lateness(now - due_at, has_tasks)
-            if self._registry.drop_lapsed(now):
+            if self._registry.drop_vanished(now):
                 self._local_dispatchers.update_targets(now)
             self._local_dispatchers.wake(now)
 
