--- a/bench/retry_fleet.py
+++ b/bench/retry_fleet.py
@@ -30,7 +30,7 @@
     local_dispatchers,
     members,
     ports,
-    request_notes,
+    request_recorder,
     request_run,
     target_client,
 )
@@ -81,7 +81,7 @@
         self.registry = targets.Registry()
         self.registry.replace(self._make_entries(), 1, 0.0)
         self.sink = os.open(os.devnull, os.O_WRONLY)
-        self.notes: request_notes.RequestNotes = retry_vms.Notes(self._refused)
+        self.notes: request_recorder.RequestRecorder = retry_vms.Notes(self._refused)
 
     def play(self) -> retry_loads.Result:
         """Play the load and return what came of it."""
--- a/bench/retry_vms.py
+++ b/bench/retry_vms.py
@@ -27,10 +27,10 @@
     peer_link,
     placement,
     ports,
-    request_notes,
+    request_recorder,
     request_run,
     retry_counts,
-    run_parts,
+    run_dependencies,
     suspect_exchange,
     unreachable_targets,
 )
@@ -49,7 +49,7 @@
     seed: int
     load: retry_loads.Load
     registry: targets.Registry
-    notes: request_notes.RequestNotes
+    notes: request_recorder.RequestRecorder
     sink: int
 
     def carry(self, message: datagrams.Message, member: ports.Member) -> None:
@@ -186,11 +186,11 @@
         self._link = link
         self.parts = self._make_parts(fleet)
 
-    def _make_parts(self, fleet: Surroundings) -> run_parts.Parts:
+    def _make_parts(self, fleet: Surroundings) -> run_dependencies.RunDependencies:
         """Return what the runs of requests work with."""
         own = self.member
         numbers = itertools.count()
-        return run_parts.Parts(
+        return run_dependencies.RunDependencies(
             own.vm,
             own.data_centre,
             self.placement,
@@ -245,20 +245,20 @@
             self._link.send(decision, member)
 
 
-class Notes(request_notes.RequestNotes):
+class Notes(request_recorder.RequestRecorder):
     """Counts why requests got no answer of a target."""
 
     def __init__(self, refused: collections.Counter[str]) -> None:
         self._refused = refused
 
-    def note_attempt(self, attempt: request_notes.Attempt) -> None:
+    def record_attempt(self, attempt: request_recorder.Attempt) -> None:
         """Take in an attempt."""
 
-    def note_answer(self, answer: request_notes.Answer) -> None:
+    def record_answer(self, answer: request_recorder.Answer) -> None:
         """Count an answer other than success."""
         if answer.status != 200:
             self._refused[answer.why] += 1
 
-    def note_error(self, request_id: str, error: Exception) -> None:
+    def log_error(self, request_id: str, error: Exception) -> None:
         """Let an error that no part expected end the play."""
         raise error
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/attempt_ends.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/attempt_ends.py
@@ -7,7 +7,7 @@
 from zinniastand_core.dispatch import messages
 from zinniastand_core.forwarding import plan
 
-from . import request_notes, run_parts
+from . import request_recorder, run_dependencies
 
 OUTCOMES = {
     plan.Result.ANSWERED: messages.Outcome.GOOD,
@@ -20,21 +20,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class HeldSlot:
     """A slot of a target that this request holds."""
 
-    ask: messages.Ask
+    request: messages.Ask
     """What was asked."""
 
     grant: messages.Grant
     """The slot."""
 
-    waited: float
+    wait_time: float
     """Seconds until it was granted."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptEnd:
     """How an attempt ended."""
 
     outcome: messages.Outcome
@@ -43,7 +43,7 @@
     why: str
     """What ended it."""
 
-    took: float
+    duration: float
     """Seconds that it took."""
 
     has_crashed: bool = False
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asked:
+class LoggedRequest:
     """The request of an attempt, as it is noted."""
 
     request_id: str
@@ -70,40 +70,47 @@
     """The service that it goes to."""
 
 
-UNUSED = Ended(messages.Outcome.UNUSED, "", 0.0)
+UNUSED = AttemptEnd(messages.Outcome.UNUSED, "", 0.0)
 """A slot was given and nothing was sent."""
 
 
-def report(parts: run_parts.Parts, place: Place, ended: Ended) -> None:
+def report(
+    dependencies: run_dependencies.RunDependencies, slot: HeldSlot, end: AttemptEnd
+) -> None:
     """Give the slot back, and tell how the attempt went."""
-    ask = place.ask
-    parts.slots.report(
+    ask = slot.request
+    dependencies.slots.report(
         messages.Report(
             ask.ticket,
             ask.shard,
-            place.grant.target_id,
-            ended.outcome,
-            ended.took,
-            parts.vm,
-            ended.rate_limit,
-            ended.is_resent,
+            slot.grant.target_id,
+            end.outcome,
+            end.duration,
+            dependencies.vm,
+            end.rate_limit,
+            end.is_resent,
         )
     )
 
 
-def note(parts: run_parts.Parts, asked: Asked, place: Place, ended: Ended) -> None:
+def record(
+    parts: run_dependencies.RunDependencies,
+    asked: LoggedRequest,
+    slot: HeldSlot,
+    ended: AttemptEnd,
+) -> None:
     """Note an attempt in the log and the metrics."""
-    parts.notes.note_attempt(
-        request_notes.Attempt(
+    parts.recorder.record_attempt(
+        request_recorder.Attempt(
             asked.request_id,
             asked.fingerprint,
             asked.service,
-            place.grant,
-            place.waited,
+            slot.grant,
+            slot.wait_time,
             ended.outcome,
             ended.why,
-            ended.took,
-            number=place.ask.attempt,
+            ended.duration,
+            number=slot.request.attempt,
             has_crashed=ended.has_crashed,
             rate_limit=ended.rate_limit,
         )
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
@@ -96,7 +96,7 @@
     ----------
     source : Source
         Where it comes from.
-    knowledge : forwarder.Knowledge
+    knowledge : forwarder.RoutingState
         Where it is put in force.
     fleet : members.Members
         The VMs.
@@ -113,7 +113,7 @@
     def __init__(
         self,
         source: Source,
-        knowledge: forwarder.Knowledge,
+        knowledge: forwarder.RoutingState,
         fleet: members.Members,
         broadcaster: broadcasting.Broadcaster,
         link: peer_link.PeerLink,
@@ -165,7 +165,7 @@
             self._take_page(page)
             if page.newest is not None:
                 await anyio.sleep(VERSION_PAUSE)
-            elif self._knowledge.configured.current is None:
+            elif self._knowledge.configuration_state.current is None:
                 await anyio.sleep(EMPTY_PAUSE)
 
     async def read_now(self) -> None:
@@ -186,7 +186,7 @@
             if vm is None:
                 continue
             version, _ = self._told.pop(vm)
-            if self._knowledge.configured.current is None:
+            if self._knowledge.configuration_state.current is None:
                 await self._fetch(vm)
                 continue
             with (
@@ -194,12 +194,12 @@
                 anyio.move_on_after(STORE_PATIENCE),
             ):
                 await self.read_now()
-            if self._knowledge.configured.version < version:
+            if self._knowledge.configuration_state.version < version:
                 await self._fetch(vm)
 
     def take_version(self, vm: str, version: int) -> None:
         """Take in which version another VM has."""
-        if version > self._knowledge.configured.version:
+        if version > self._knowledge.configuration_state.version:
             self._told.setdefault(vm, (version, anyio.current_time()))
 
     def take_published(self, published: datagrams.Published) -> None:
@@ -210,7 +210,7 @@
         ValueError
             If there is none in it.
         """
-        if published.version <= self._knowledge.configured.version:
+        if published.version <= self._knowledge.configuration_state.version:
             return
         candidate = configuration_codec.decode(
             configuration_codec.unpack(published.data)
@@ -221,8 +221,8 @@
 
     def use(self, candidate: configuration.Configuration, source: str) -> None:
         """Take a configuration, if it is newer than the one in force."""
-        is_first = self._knowledge.configured.current is None
-        if not self._knowledge.configured.offer(candidate):
+        is_first = self._knowledge.configuration_state.current is None
+        if not self._knowledge.configuration_state.offer(candidate):
             return
         if source in (target_record.STORE, OPERATOR):
             self._push(candidate)
@@ -245,7 +245,7 @@
             self._wait_scope.cancel()
 
     def _may_follow(self, now: float) -> bool:
-        if self._knowledge.configured.current is None:
+        if self._knowledge.configuration_state.current is None:
             return self._start.may_read(now)
         return self._turn.is_reader(now)
 
@@ -268,7 +268,7 @@
 
     def _choose_holder(self, now: float) -> str | None:
         """Return a VM that has told of a version which does not come by itself."""
-        version = self._knowledge.configured.version
+        version = self._knowledge.configuration_state.version
         self._told = {
             vm: (known, at) for vm, (known, at) in self._told.items() if known > version
         }
@@ -292,7 +292,7 @@
         Where this VM had none before, the others may lack it as well: it is the first
         version of all, or the whole fleet has started anew.
         """
-        version = self._knowledge.configured.version
+        version = self._knowledge.configuration_state.version
         notice = datagrams.VersionNotice(self._fleet.own.vm, version)
         others = self._fleet.list_others()
         drawn = self._rng.sample(others, min(TOLD_OF_VERSION, len(others)))
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -232,7 +232,7 @@
 
     def _build(self) -> None:
         own = self._build_fleet()
-        knowledge = forwarder.Knowledge(
+        knowledge = forwarder.RoutingState(
             self._configured, routing.Router(self._rng), self._registry
         )
         self._keeper = knowledge_keeper.KnowledgeKeeper(
@@ -254,7 +254,7 @@
         self._local_dispatchers.retries.use_announcer(self._talk.tell_retries)
         self._client = target_client.TargetClient(self._words)
         self._suspension = suspension.SuspensionWatch(self._take_suspension)
-        tools = forwarder.Tools(
+        tools = forwarder.Dependencies(
             knowledge,
             self._placement,
             self._client,
@@ -360,7 +360,7 @@
     def _take_suspension(self, seconds: float) -> None:
         """Take in that this VM stood still for longer than its clock says."""
         self._log.write("suspended", seconds=round(seconds, 3))
-        self._forwarder.lose_time(seconds)
+        self._forwarder.compensate_suspension(seconds)
         self._keeper.lose_time(seconds)
         self._client.distrust_idle()
         self._suspects.lose_time(seconds)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/forwarder.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/forwarder.py
@@ -19,27 +19,27 @@
     log_lines,
     ports,
     replies,
-    request_notes,
+    request_recorder,
     request_run,
+    run_dependencies,
     run_messages,
-    run_parts,
     unreachable_targets,
     vocabulary,
 )
 
-MOST_LEFT_FREE = 1.0
+MAX_REFUSAL_LEAD_S = 1.0
 """Most seconds before the end of the process in which new requests are refused. Work
 takes some tenths of a second, whatever its route allows."""
 
-RETRY_SOON = 0.5
+NO_CONFIGURATION_RETRY_AFTER_S = 0.5
 """Seconds after which a caller may come back when this VM knows no configuration."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Knowledge:
+class RoutingState:
     """What requests are handled by."""
 
-    configured: configuration.ConfigurationState
+    configuration_state: configuration.ConfigurationState
     """The configuration in force."""
 
     router: routing.Router
@@ -50,10 +50,10 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tools:
+class Dependencies:
     """What a forwarder works with."""
 
-    knowledge: Knowledge
+    routing_state: RoutingState
     """What requests are handled by."""
 
     placement: ports.SlotSource
@@ -65,7 +65,7 @@
     suspects: ports.SuspectRecord
     """Requests that crash their targets."""
 
-    words: vocabulary.Vocabulary
+    header_names: vocabulary.Vocabulary
     """Headers of the platform."""
 
     log: log_lines.LogLines
@@ -74,7 +74,7 @@
     metrics: metrics.Metrics
     """Counts and latencies."""
 
-    check_time: collections.abc.Callable[[], None]
+    check_suspension: collections.abc.Callable[[], None]
     """Notices a suspension of this VM."""
 
     wait_at_start: collections.abc.Callable[[], collections.abc.Awaitable[None]]
@@ -86,7 +86,7 @@
 
     Parameters
     ----------
-    tools : Tools
+    dependencies : Dependencies
         Its parts.
     vm : str
         Name of this VM.
@@ -97,49 +97,53 @@
     """
 
     def __init__(
-        self, tools: Tools, vm: str, data_centre: str, incarnation: int
+        self, dependencies: Dependencies, vm: str, data_centre: str, incarnation: int
     ) -> None:
-        self._knowledge = tools.knowledge
-        self._words = tools.words
-        self._wait_at_start = tools.wait_at_start
-        self._prefix = f"{vm}:{incarnation}:"
-        self._numbers = itertools.count()
+        self._routing_state = dependencies.routing_state
+        self._header_names = dependencies.header_names
+        self._wait_at_start = dependencies.wait_at_start
+        self._ticket_prefix = f"{vm}:{incarnation}:"
+        self._ticket_numbers = itertools.count()
         self._runs: set[request_run.Run] = set()
         self._ends_at = math.inf
-        self._notes = request_notes.RequestNotes(
-            tools.log, tools.metrics, tools.knowledge.configured
+        self._recorder = request_recorder.RequestRecorder(
+            dependencies.log,
+            dependencies.metrics,
+            dependencies.routing_state.configuration_state,
         )
-        self._parts = run_parts.Parts(
+        self._run_dependencies = run_dependencies.RunDependencies(
             vm,
             data_centre,
-            tools.placement,
-            tools.client,
-            tools.knowledge.registry,
+            dependencies.placement,
+            dependencies.client,
+            dependencies.routing_state.registry,
             unreachable_targets.UnreachableTargets(),
-            self._notes,
-            tools.words,
+            self._recorder,
+            dependencies.header_names,
             self._make_ticket,
-            tools.suspects,
+            dependencies.suspects,
             crash_check.CrashCheck().is_down,
-            tools.check_time,
+            dependencies.check_suspension,
         )
 
     async def handle(self, incoming: calls.Incoming) -> calls.Reply:
         """Return the answer to one request."""
         await self._wait_at_start()
-        if self._knowledge.configured.current is None:
+        if self._routing_state.configuration_state.current is None:
             # Without any configuration nothing is known of the route, so that
             # "not found" could be false.
-            return self._refuse(incoming, 503, "no-configuration", RETRY_SOON)
+            return self._refuse(
+                incoming, 503, "no-configuration", NO_CONFIGURATION_RETRY_AFTER_S
+            )
         path = incoming.request.path.decode("latin-1")
-        route = self._knowledge.router.find(incoming.host, path)
+        route = self._routing_state.router.find(incoming.host, path)
         if route is None:
             return self._refuse(incoming, 404, "no-route")
         if self._is_too_late(route):
-            pause = request_run.RETURN_ELSEWHERE
-            return self._refuse(incoming, 503, request_run.STOPPING, pause)
-        service = self._knowledge.router.choose_service(route)
-        run = request_run.Run(self._parts, incoming, route, service)
+            retry_after = request_run.STOPPING_RETRY_AFTER_S
+            return self._refuse(incoming, 503, request_run.STOPPING, retry_after)
+        service = self._routing_state.router.choose_service(route)
+        run = request_run.Run(self._run_dependencies, incoming, route, service)
         run.end_by(self._ends_at)
         self._runs.add(run)
         try:
@@ -150,7 +154,7 @@
     def may_overlap(self, incoming: calls.Incoming) -> bool:
         """Return whether a request may run beside others of its connection."""
         path = incoming.request.path.decode("latin-1")
-        route = self._knowledge.router.find(incoming.host, path)
+        route = self._routing_state.router.find(incoming.host, path)
         return route is None or route.work is services.Work.IDEMPOTENT
 
     def end_by(self, at: float) -> None:
@@ -163,11 +167,11 @@
         for run in self._runs:
             run.end_by(at)
 
-    def lose_time(self, seconds: float) -> None:
+    def compensate_suspension(self, seconds: float) -> None:
         """Take in that the clock has not counted some time."""
         self._ends_at -= seconds
         for run in self._runs:
-            run.lose_time(seconds)
+            run.compensate_suspension(seconds)
 
     def _is_too_late(self, route: configuration.Route) -> bool:
         """Return whether the process ends too soon for a new request.
@@ -175,18 +179,20 @@
         Another VM serves it then.
         """
         left = self._ends_at - anyio.current_time()
-        return left < min(route.objective, MOST_LEFT_FREE)
+        return left < min(route.objective, MAX_REFUSAL_LEAD_S)
 
     def _make_ticket(self) -> str:
-        return f"{self._prefix}{next(self._numbers)}"
+        return f"{self._ticket_prefix}{next(self._ticket_numbers)}"
 
     def _refuse(
         self,
         incoming: calls.Incoming,
         status: int,
         reason: str,
-        pause: float | None = None,
+        retry_after: float | None = None,
     ) -> calls.Reply:
-        request_id = run_messages.read_request_id(incoming, self._words)
-        self._notes.note_answer(request_notes.Answer(request_id, status, reason))
-        return replies.explain(status, reason, pause)
+        request_id = run_messages.read_request_id(incoming, self._header_names)
+        self._recorder.record_answer(
+            request_recorder.Answer(request_id, status, reason)
+        )
+        return replies.explain(status, reason, retry_after)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
@@ -48,7 +48,7 @@
     ----------
     store : ports.Store
         The platform's store.
-    knowledge : forwarder.Knowledge
+    knowledge : forwarder.RoutingState
         What is kept up to date.
     fleet : members.Members
         The VMs.
@@ -67,7 +67,7 @@
     def __init__(
         self,
         store: ports.Store,
-        knowledge: forwarder.Knowledge,
+        knowledge: forwarder.RoutingState,
         fleet: members.Members,
         link: peer_link.PeerLink,
         log: log_lines.LogLines,
@@ -75,7 +75,7 @@
         rng: random.Random,
         resign: resignation.Resignation,
     ) -> None:
-        self._configured = knowledge.configured
+        self._configured = knowledge.configuration_state
         self._registry = knowledge.registry
         self._fleet = fleet
         self._link = link
@@ -93,7 +93,7 @@
     def _build_followers(
         self,
         store: ports.Store,
-        knowledge: forwarder.Knowledge,
+        knowledge: forwarder.RoutingState,
         log: log_lines.LogLines,
     ) -> None:
         """Build what reads the store, and what tells of it."""
@@ -112,7 +112,7 @@
         self._teller = news_teller.NewsTeller(
             self._record,
             turn,
-            knowledge.configured,
+            knowledge.configuration_state,
             self._broadcaster,
             fleet.own.vm,
             self._configuration.has_read_lately,
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_notes.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_recorder.py
@@ -14,7 +14,7 @@
 
 MILLISECONDS = 1000.0
 
-MOST_TRACE = 2_000
+MAX_TRACE_CHARS = 2_000
 """Characters of a traceback that go into the log: its end names the place."""
 
 
@@ -34,7 +34,7 @@
     grant: messages.Grant
     """The slot that it was made with."""
 
-    waited: float
+    wait_time: float
     """Seconds until the slot was granted."""
 
     outcome: messages.Outcome
@@ -43,7 +43,7 @@
     why: str
     """What ended it."""
 
-    took: float
+    duration: float
     """Seconds that it took."""
 
     number: int = 1
@@ -70,7 +70,7 @@
     why: str
     """The target's status, or why there is no answer of a target."""
 
-    took: float = 0.0
+    duration: float = 0.0
     """Seconds from the request's first byte."""
 
     attempts: int = 0
@@ -86,7 +86,7 @@
     """Seconds from its first byte within which an answer is in time."""
 
 
-class RequestNotes:
+class RequestRecorder:
     """Where decisions about requests are noted.
 
     Parameters
@@ -103,13 +103,13 @@
         self,
         log: log_lines.LogLines,
         counters: metrics.Metrics,
-        configured: configuration.ConfigurationState,
+        configuration_state: configuration.ConfigurationState,
     ) -> None:
         self._log = log
         self._counters = counters
-        self._configured = configured
+        self._configuration_state = configuration_state
 
-    def note_attempt(self, attempt: Attempt) -> None:
+    def record_attempt(self, attempt: Attempt) -> None:
         """Note how an attempt ended."""
         grant = attempt.grant
         self._log.write(
@@ -120,19 +120,19 @@
             target=grant.target_id,
             doubt=round(grant.doubt, 3),
             expected_ms=round(grant.expected * MILLISECONDS),
-            waited_ms=round(attempt.waited * MILLISECONDS, 1),
+            waited_ms=round(attempt.wait_time * MILLISECONDS, 1),
             outcome=attempt.outcome.value,
             why=attempt.why,
-            ms=round(attempt.took * MILLISECONDS),
+            ms=round(attempt.duration * MILLISECONDS),
             number=attempt.number,
             dispatcher=grant.dispatcher,
-            **_describe_target(attempt),
+            **_make_target_fields(attempt),
         )
         self._counters.count(
             "zinniastand_attempts_total", metrics.label(outcome=attempt.outcome.value)
         )
 
-    def note_answer(self, answer: Answer) -> None:
+    def record_answer(self, answer: Answer) -> None:
         """Note the one answer to a request."""
         fields: dict[str, log_lines.Value] = {}
         if answer.objective is not None:
@@ -144,26 +144,26 @@
             request=answer.request_id,
             status=answer.status,
             why=answer.why,
-            ms=round(answer.took * MILLISECONDS),
+            ms=round(answer.duration * MILLISECONDS),
             attempts=answer.attempts,
-            version=self._configured.version,
+            version=self._configuration_state.version,
             **fields,
         )
         self._counters.count(
             "zinniastand_answers_total",
             metrics.label(status=str(answer.status), why=answer.why),
         )
-        self._counters.record("zinniastand_answer_seconds", answer.took)
+        self._counters.record("zinniastand_answer_seconds", answer.duration)
 
-    def note_error(self, request_id: str, error: Exception) -> None:
+    def log_error(self, request_id: str, error: Exception) -> None:
         """Note an error that no part expected, so that it is not lost."""
         text = "".join(traceback.format_exception(error))
         self._log.write(
-            "unexpected_error", request=request_id, trace=text[-MOST_TRACE:]
+            "unexpected_error", request=request_id, trace=text[-MAX_TRACE_CHARS:]
         )
 
 
-def _describe_target(attempt: Attempt) -> dict[str, log_lines.Value]:
+def _make_target_fields(attempt: Attempt) -> dict[str, log_lines.Value]:
     """Return what an attempt tells of its target's state, where that is unusual."""
     fields: dict[str, log_lines.Value] = {}
     if attempt.has_crashed:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
@@ -16,9 +16,9 @@
     fingerprints,
     http_exchange,
     replies,
-    request_notes,
+    request_recorder,
+    run_dependencies,
     run_messages,
-    run_parts,
     target_client,
 )
 
@@ -27,21 +27,21 @@
 Times of work spread by a factor of two; one piece in a hundred takes five times as
 long."""
 
-OVERDUE_IN_DOUBT = 1.5
+OVERDUE_FACTOR_WHEN_FAILING = 1.5
 """The same at a target that surely fails. Idempotent work finds out about targets in
 doubt, and some of them hang instead of failing: after four times the expected time
 there is too little left for another target."""
 
-LEAST_OVERDUE = 0.25
+MIN_OVERDUE_S = 0.25
 """Seconds before which no attempt counts as overdue, whatever is expected."""
 
-OVERDUE_LEFT = 1.5
+MIN_TIME_LEFT_FACTOR = 1.5
 """Times the expected time that must be left for another attempt to be worth it."""
 
-RETURN_PAUSE = 0.5
+DEFAULT_RETRY_AFTER_S = 0.5
 """Seconds after which a caller may come back where the dispatcher names no time."""
 
-RETURN_ELSEWHERE = 0.05
+STOPPING_RETRY_AFTER_S = 0.05
 """Seconds after which a caller may come back whom a stopping VM refuses: the balancer
 sends it to another VM by then."""
 
@@ -61,7 +61,7 @@
 
     Parameters
     ----------
-    parts : run_parts.Parts
+    dependencies : run_dependencies.RunDependencies
         What it works with.
     incoming : calls.Incoming
         The request.
@@ -73,28 +73,34 @@
 
     def __init__(
         self,
-        parts: run_parts.Parts,
+        dependencies: run_dependencies.RunDependencies,
         incoming: calls.Incoming,
         route: configuration.Route,
         service: str,
     ) -> None:
-        self._parts = parts
+        self._dependencies = dependencies
         self._incoming = incoming
         self._route = route
         self._service = service
-        self._request_id = run_messages.read_request_id(incoming, parts.words)
+        self._request_id = run_messages.read_request_id(
+            incoming, dependencies.header_names
+        )
         self._fingerprint = fingerprints.make_fingerprint(
-            incoming.request, incoming.host, parts.words
+            incoming.request, incoming.host, dependencies.header_names
         )
         limit = incoming.read_at + min(
             route.time_limit,
-            run_messages.read_time_left(incoming, parts.words, route.time_limit),
+            run_messages.read_time_left(
+                incoming, dependencies.header_names, route.time_limit
+            ),
         )
         objective = min(limit, incoming.read_at + route.objective)
         self._plan = plan.Plan(route, plan.Times(objective, limit))
         self._scope = anyio.CancelScope(deadline=limit)
         self._is_ending = False
-        self._asked = attempt_ends.Asked(self._request_id, self._fingerprint, service)
+        self._logged_request = attempt_ends.LoggedRequest(
+            self._request_id, self._fingerprint, service
+        )
         self._answer: http_exchange.Answer | None = None
         self._retry_at: float | None = None
         self._why = ""
@@ -105,7 +111,7 @@
             self._incoming.caller.watch(self._scope, self._may_cancel)
             return self._finish(await self._try_targets())
         has_left = self._incoming.caller.has_left
-        self._why = CALLER_LEFT if has_left else self._name_deadline()
+        self._why = CALLER_LEFT if has_left else self._find_deadline_reason()
         return self._finish(self._plan.expire())
 
     def end_by(self, at: float) -> None:
@@ -115,7 +121,7 @@
             self._plan.end_by(at)
             self._scope.deadline = at
 
-    def lose_time(self, seconds: float) -> None:
+    def compensate_suspension(self, seconds: float) -> None:
         """Take in that the clock has not counted some time: less is left."""
         self._plan.lose_time(seconds)
         self._scope.deadline = self._plan.times.deadline_at
@@ -136,73 +142,80 @@
         return step
 
     async def _try_once(self) -> plan.Step:
-        self._parts.check_time()
+        self._dependencies.check_suspension()
         if self._incoming.caller.has_left and self._may_cancel():
             return self._plan.give_up()
-        if self._is_held():
+        if self._check_quarantine():
             return self._plan.give_up()
-        place = await self._acquire()
-        if place is None:
+        slot = await self._acquire_slot()
+        if slot is None:
             return self._plan.give_up()
-        self._parts.check_time()
-        if self._is_held():
-            attempt_ends.report(self._parts, place, attempt_ends.UNUSED)
+        self._dependencies.check_suspension()
+        if self._check_quarantine():
+            attempt_ends.report(self._dependencies, slot, attempt_ends.UNUSED)
             return self._plan.give_up()
-        target = self._parts.registry.find_usable(place.grant.target_id)
-        self._plan.start_attempt(place.grant.target_id)
+        target = self._dependencies.registry.find_usable(slot.grant.target_id)
+        self._plan.start_attempt(slot.grant.target_id)
         if target is None:
             # The dispatcher knows a target that this VM does not know yet, or has not
             # heard that this one is leaving. A dispatcher that is cut off from the
             # store would otherwise make every VM send work to targets that leave.
-            attempt_ends.report(self._parts, place, attempt_ends.UNUSED)
+            attempt_ends.report(self._dependencies, slot, attempt_ends.UNUSED)
             now = anyio.current_time()
             return self._plan.end_attempt(plan.Result.UNREACHABLE, now)
-        overdue_at = self._find_overdue(place.grant, anyio.current_time())
+        overdue_at = self._find_overdue_at(slot.grant, anyio.current_time())
         if overdue_at < math.inf:
-            return await self._attempt_with_backup(place, target, overdue_at)
-        return await self._attempt(place, target, overdue_at)
+            return await self._attempt_with_backup(slot, target, overdue_at)
+        return await self._attempt(slot, target, overdue_at)
 
-    def _is_held(self) -> bool:
+    def _check_quarantine(self) -> bool:
         """Return whether the request is kept from all targets, and note why."""
-        hold = self._parts.suspects.find_hold(self._fingerprint, anyio.current_time())
+        hold = self._dependencies.suspects.find_hold(
+            self._fingerprint, anyio.current_time()
+        )
         if hold is None:
             return False
         self._why = QUARANTINED
         self._retry_at = hold
         return True
 
-    async def _acquire(self) -> attempt_ends.Place | None:
+    async def _acquire_slot(self) -> attempt_ends.HeldSlot | None:
         """Return a slot, or None where the dispatcher refuses."""
-        asked_at = anyio.current_time()
-        ask = run_messages.make_ask(
-            self._parts, self._plan, self._route, self._service, asked_at
+        requested_at = anyio.current_time()
+        slot_request = run_messages.make_slot_request(
+            self._dependencies, self._plan, self._route, self._service, requested_at
         )
         try:
-            answer = await self._parts.slots.acquire(ask)
+            answer = await self._dependencies.slots.acquire(slot_request)
         except Exception as error:
             # Like a refusal: another attempt may be under way, and goes on.
-            self._parts.notes.note_error(self._request_id, error)
+            self._dependencies.recorder.log_error(self._request_id, error)
             self._why = UNEXPECTED_ERROR
             return None
         if isinstance(answer, messages.Grant):
-            return attempt_ends.Place(ask, answer, anyio.current_time() - asked_at)
+            return attempt_ends.HeldSlot(
+                slot_request, answer, anyio.current_time() - requested_at
+            )
         self._why = answer.reason.value
         self._retry_at = answer.retry_at
         return None
 
-    def _find_overdue(self, grant: messages.Grant, now: float) -> float:
+    def _find_overdue_at(self, grant: messages.Grant, now: float) -> float:
         """Return from when on another target is tried too; infinite for never."""
         left = self._plan.times.deadline_at - now
-        factor = OVERDUE_FACTOR + (OVERDUE_IN_DOUBT - OVERDUE_FACTOR) * grant.doubt
-        overdue = max(LEAST_OVERDUE, factor * grant.expected)
+        factor = (
+            OVERDUE_FACTOR
+            + (OVERDUE_FACTOR_WHEN_FAILING - OVERDUE_FACTOR) * grant.doubt
+        )
+        overdue = max(MIN_OVERDUE_S, factor * grant.expected)
         if not self._plan.may_back_up:
             return math.inf
-        if left - overdue <= OVERDUE_LEFT * grant.expected:
+        if left - overdue <= MIN_TIME_LEFT_FACTOR * grant.expected:
             return math.inf
         return now + overdue
 
     async def _attempt_with_backup(
-        self, place: attempt_ends.Place, target: targets.Entry, overdue_at: float
+        self, slot: attempt_ends.HeldSlot, target: targets.Entry, overdue_at: float
     ) -> plan.Step:
         """Attempt; once that is overdue, try other targets beside it.
 
@@ -216,7 +229,7 @@
 
             async def _attempt() -> None:
                 nonlocal step
-                step = await self._attempt(place, target, overdue_at)
+                step = await self._attempt(slot, target, overdue_at)
                 if self._plan.is_answered or not is_overdue:
                     group.cancel_scope.cancel()
 
@@ -234,34 +247,38 @@
         return step
 
     async def _attempt(
-        self, place: attempt_ends.Place, target: targets.Entry, overdue_at: float
+        self, slot: attempt_ends.HeldSlot, target: targets.Entry, overdue_at: float
     ) -> plan.Step:
         """Send to one target; take in, report and note how that ended."""
         started = anyio.current_time()
         outcome, why = messages.Outcome.ABANDONED, CALLER_LEFT
         has_crashed, is_resent, rate_limit = False, False, None
-        self._parts.suspects.begin(self._fingerprint, started)
+        self._dependencies.suspects.begin(self._fingerprint, started)
         try:
             attempt = await self._send(target, started)
             outcome, why = attempt_ends.OUTCOMES[attempt.result], attempt.detail
             is_resent, rate_limit = attempt.is_resent, attempt.rate_limit
-            broke_at = anyio.current_time()
-            has_crashed = attempt.is_cut and await self._parts.is_down(target, broke_at)
+            cut_at = anyio.current_time()
+            has_crashed = attempt.is_cut and await self._dependencies.is_down(
+                target, cut_at
+            )
             if has_crashed:
-                self._parts.suspects.note_crash(self._fingerprint, target, started)
+                self._dependencies.suspects.note_crash(
+                    self._fingerprint, target, started
+                )
             elif attempt.is_success:
-                self._parts.suspects.note_answered(self._fingerprint)
+                self._dependencies.suspects.note_answered(self._fingerprint)
         finally:
             now = anyio.current_time()
             if outcome is messages.Outcome.ABANDONED:
                 self._plan.break_off()
-                outcome, why = self._name_breaking_off(now, overdue_at)
-            ended = attempt_ends.Ended(
+                outcome, why = self._classify_cancellation(now, overdue_at)
+            end = attempt_ends.AttemptEnd(
                 outcome, why, now - started, has_crashed, rate_limit, is_resent
             )
-            attempt_ends.report(self._parts, place, ended)
-            attempt_ends.note(self._parts, self._asked, place, ended)
-        return self._take(attempt, target, now)
+            attempt_ends.report(self._dependencies, slot, end)
+            attempt_ends.record(self._dependencies, self._logged_request, slot, end)
+        return self._handle_end(attempt, target, now)
 
     async def _send(self, target: targets.Entry, now: float) -> target_client.Attempt:
         """Send to one target.
@@ -272,31 +289,31 @@
         try:
             request = run_messages.make_request(
                 self._incoming.request,
-                self._parts.words,
+                self._dependencies.header_names,
                 target,
                 self._plan.times.deadline_at - now,
             )
-            return await self._parts.exchange.attempt(
+            return await self._dependencies.exchange.attempt(
                 target,
                 request,
                 self._route.work,
                 self._plan.mark_sent,
             )
         except Exception as error:
-            self._parts.notes.note_error(self._request_id, error)
+            self._dependencies.recorder.log_error(self._request_id, error)
             return target_client.Attempt(plan.Result.BROKEN, None, UNEXPECTED_ERROR)
 
-    def _take(
+    def _handle_end(
         self, attempt: target_client.Attempt, target: targets.Entry, now: float
     ) -> plan.Step:
         if attempt.result is plan.Result.UNREACHABLE:
-            self._parts.unreachable.note(target.target_id, now)
+            self._dependencies.unreachable.note(target.target_id, now)
         if not self._plan.is_answered:
             self._why = attempt.detail
             self._answer = attempt.answer or self._answer
         return self._plan.end_attempt(attempt.result, now)
 
-    def _name_breaking_off(
+    def _classify_cancellation(
         self, now: float, overdue_at: float
     ) -> tuple[messages.Outcome, str]:
         """Return how an attempt counts that was broken off, and why it was."""
@@ -311,19 +328,19 @@
             return messages.Outcome.SILENT, DEADLINE
         return messages.Outcome.ABANDONED, CALLER_LEFT
 
-    def _name_deadline(self) -> str:
+    def _find_deadline_reason(self) -> str:
         return STOPPING if self._is_ending else DEADLINE
 
     def _finish(self, step: plan.Step) -> calls.Reply:
         now = anyio.current_time()
         reply = self._make_reply(step, now)
-        took = now - self._incoming.read_at
-        self._parts.notes.note_answer(
-            request_notes.Answer(
+        duration = now - self._incoming.read_at
+        self._dependencies.recorder.record_answer(
+            request_recorder.Answer(
                 self._request_id,
                 reply.status,
                 self._why,
-                took,
+                duration,
                 self._plan.attempts,
                 self._service,
                 self._route.name,
@@ -337,14 +354,14 @@
             headers = http_exchange.strip_connection_headers(self._answer.headers)
             return calls.Reply(self._answer.status, headers, self._answer.body)
         if step is plan.Step.SAY_NOT_RUN:
-            return replies.explain(503, self._why, self._find_pause(now))
+            return replies.explain(503, self._why, self._find_retry_after(now))
         status = 504 if now >= self._plan.times.deadline_at else 502
         return replies.explain(status, self._why)
 
-    def _find_pause(self, now: float) -> float:
+    def _find_retry_after(self, now: float) -> float:
         """Return the seconds after which the caller may come back."""
         if self._is_ending:
-            return RETURN_ELSEWHERE
+            return STOPPING_RETRY_AFTER_S
         if self._retry_at is None:
-            return RETURN_PAUSE
+            return DEFAULT_RETRY_AFTER_S
         return max(0.0, self._retry_at - now)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_parts.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_dependencies.py
@@ -7,11 +7,11 @@
 
 from zinniastand_core.deployment import targets
 
-from . import ports, request_notes, unreachable_targets, vocabulary
+from . import ports, request_recorder, unreachable_targets, vocabulary
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Parts:
+class RunDependencies:
     """What all runs of a VM work with."""
 
     vm: str
@@ -32,10 +32,10 @@
     unreachable: unreachable_targets.UnreachableTargets
     """Targets that this VM leaves out."""
 
-    notes: request_notes.RequestNotes
+    recorder: request_recorder.RequestRecorder
     """Decisions."""
 
-    words: vocabulary.Vocabulary
+    header_names: vocabulary.Vocabulary
     """Headers of the platform."""
 
     make_ticket: collections.abc.Callable[[], str]
@@ -49,5 +49,5 @@
     ]
     """Returns whether a target refuses connections since an answer broke off."""
 
-    check_time: collections.abc.Callable[[], None]
+    check_suspension: collections.abc.Callable[[], None]
     """Notices a suspension, and takes its time from all runs."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_messages.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_messages.py
@@ -8,17 +8,17 @@
 from zinniastand_core.dispatch import messages, shards
 from zinniastand_core.forwarding import plan
 
-from . import calls, http_exchange, run_parts, vocabulary
+from . import calls, http_exchange, run_dependencies, vocabulary
 
-MOST_OPEN = 16
+MAX_OPEN_TARGETS = 16
 """Targets with an idle connection that an ask names at most; a name takes a dozen
 bytes."""
 
 MILLISECONDS = 1000.0
 
 
-def make_ask(
-    parts: run_parts.Parts,
+def make_slot_request(
+    parts: run_dependencies.RunDependencies,
     request_plan: plan.Plan,
     route: configuration.Route,
     service: str,
@@ -37,13 +37,16 @@
         attempt=request_plan.committed + 1,
         data_centre=parts.data_centre,
         excluded=tuple(sorted({*request_plan.excluded, *unreachable})),
-        open_to=tuple(_list_open(parts, route, service, now)),
+        open_to=tuple(_list_open_targets(parts, route, service, now)),
         is_first=request_plan.attempts == 0,
     )
 
 
-def _list_open(
-    parts: run_parts.Parts, route: configuration.Route, service: str, now: float
+def _list_open_targets(
+    parts: run_dependencies.RunDependencies,
+    route: configuration.Route,
+    service: str,
+    now: float,
 ) -> list[str]:
     """Return targets of the service that an idle connection leads to."""
     found = [
@@ -52,20 +55,20 @@
         if (entry := parts.registry.find(target_id)) is not None
         and entry.service == service
     ]
-    return found[-MOST_OPEN:]
+    return found[-MAX_OPEN_TARGETS:]
 
 
 def make_request(
     original: http_exchange.Request,
     words: vocabulary.Vocabulary,
     target: targets.Entry,
-    left: float,
+    remaining: float,
 ) -> http_exchange.Request:
     """Return a request as it goes to a target, with the seconds that are left."""
     replaced = (words.time_left, words.expected_target)
     headers = [one for one in original.headers if one[0] not in replaced]
     # Rounded down: a target must never be told more time than is left.
-    headers.append((words.time_left, b"%d" % max(1, int(left * MILLISECONDS))))
+    headers.append((words.time_left, b"%d" % max(1, int(remaining * MILLISECONDS))))
     headers.append((words.expected_target, target.target_id.encode("latin-1")))
     return dataclasses.replace(original, headers=headers)
 
--- a/tests/scripted_run.py
+++ b/tests/scripted_run.py
@@ -19,9 +19,9 @@
     calls,
     http_exchange,
     log_lines,
-    request_notes,
+    request_recorder,
     request_run,
-    run_parts,
+    run_dependencies,
     target_client,
     unreachable_targets,
 )
@@ -163,7 +163,7 @@
 
 def make_parts(
     slots: ScriptedSlots, exchange: ScriptedTargets, names: list[str]
-) -> run_parts.Parts:
+) -> run_dependencies.RunDependencies:
     registry = targets.Registry()
     entries = [
         targets.Entry(
@@ -182,10 +182,10 @@
     ]
     registry.replace(entries, 1, 0.0)
     log = log_lines.LogLines("vm-1", os.open(os.devnull, os.O_WRONLY))
-    notes = request_notes.RequestNotes(
+    notes = request_recorder.RequestRecorder(
         log, metrics.Metrics(), configuration.ConfigurationState()
     )
-    return run_parts.Parts(
+    return run_dependencies.RunDependencies(
         "vm-1",
         "a",
         slots,
