--- a/bench/retry_vms.py
+++ b/bench/retry_vms.py
@@ -19,7 +19,7 @@
 from zinniastand_proxy.edge import (
     calls,
     datagrams,
-    fleet_talk,
+    fleet_messenger,
     knowledge_keeper,
     local_dispatchers,
     log_lines,
@@ -128,22 +128,22 @@
 class _Unsuspected:
     """Knows of no request that crashes its targets."""
 
-    def tell(self, member: ports.Member) -> None:
+    def announce_to(self, member: ports.Member) -> None:
         """Tell a VM that starts."""
 
-    def find_hold(self, fingerprint: str, now: float) -> float | None:
+    def find_hold_end(self, fingerprint: str, now: float) -> float | None:
         """Return that no request is kept from targets."""
         return None
 
-    def begin(self, fingerprint: str, now: float) -> None:
+    def begin_attempt(self, fingerprint: str, now: float) -> None:
         """Take in that a request is about to be sent."""
 
-    def note_crash(
+    def record_crash(
         self, fingerprint: str, target: targets.Entry, started_at: float
     ) -> None:
         """Take in that a target crashed."""
 
-    def note_answered(self, fingerprint: str) -> None:
+    def record_answer(self, fingerprint: str) -> None:
         """Take in that a target answered a request."""
 
 
@@ -175,14 +175,16 @@
         self.local_dispatchers.update_targets(now)
         self.placement = placement.Placement(self.members, link, log, rng)
         self.placement.use_local_dispatchers(self.local_dispatchers)
-        hearers = fleet_talk.Hearers(
+        hearers = fleet_messenger.Receivers(
             self.local_dispatchers,
             typing.cast(knowledge_keeper.KnowledgeKeeper, _NothingNew()),
             self.placement,
             typing.cast(suspect_exchange.SuspectExchange, _Unsuspected()),
         )
-        self.talk = fleet_talk.FleetTalk(self.members, link, hearers, log, _fail)
-        self.local_dispatchers.retries.use_announcer(self.talk.tell_retries)
+        self.talk = fleet_messenger.FleetMessenger(
+            self.members, link, hearers, log, _fail
+        )
+        self.local_dispatchers.retries.use_announcer(self.talk.send_retry_counts)
         self._link = link
         self.parts = self._make_parts(fleet)
 
@@ -231,7 +233,7 @@
         with self._scope:
             async with anyio.create_task_group() as group:
                 group.start_soon(self.talk.greet)
-                group.start_soon(self.talk.tell_opinions_regularly)
+                group.start_soon(self.talk.send_estimates_periodically)
                 while True:
                     await anyio.sleep(WAKE_PAUSE)
                     self.local_dispatchers.wake(anyio.current_time())
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/pool.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/pool.py
@@ -158,7 +158,7 @@
 
     def is_free(self, now: float) -> bool:
         """Return whether it has a slot for one more request."""
-        if self.limit is not None and not self.limit.has_room(now):
+        if self.limit is not None and not self.limit.allows_request(now):
             return False
         return len(self.tickets) < self.entry.slots and now >= self._paused_until
 
@@ -168,7 +168,7 @@
         Answers come from many VMs and may be heard in another order. So a limit lifts
         only by a request that was sent after it was last named.
         """
-        if self.limit is None or sent_at >= self.limit.named_at:
+        if self.limit is None or sent_at >= self.limit.announced_at:
             self.limit = None
             self._unlimited_at = max(self._unlimited_at, sent_at)
 
@@ -321,7 +321,7 @@
         return not self._states
 
     def find_best(
-        self, ask: messages.Ask, ease: float, now: float, unserved: float = 0.0
+        self, ask: messages.SlotRequest, ease: float, now: float, unserved: float = 0.0
     ) -> Offer | None:
         """Return the cheapest target with a free slot, if there is one.
 
@@ -388,7 +388,7 @@
         self._capacity = proved or doubtful
 
     def _price(
-        self, state: TargetState, ask: messages.Ask, ease: float, now: float
+        self, state: TargetState, ask: messages.SlotRequest, ease: float, now: float
     ) -> Offer:
         doubt = state.find_doubt(now)
         expected = self._kinds.find_mean(ask.kind) * state.find_slowness(now)
@@ -397,7 +397,7 @@
         price += LOAD_PRICE * load * load * self._policy.load_price
         if state.entry.data_centre != ask.data_centre:
             price += DISTANCE_PRICE
-        if state.entry.target_id not in ask.open_to:
+        if state.entry.target_id not in ask.connected_targets:
             price += CONNECTION_PRICE * self._policy.connection_price
         if not ask.may_retry or ease <= 0.0:
             return Offer(state.entry.target_id, price + doubt, doubt)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/attempt_ends.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/attempt_ends.py
@@ -23,7 +23,7 @@
 class HeldSlot:
     """A slot of a target that this request holds."""
 
-    request: messages.Ask
+    request: messages.SlotRequest
     """What was asked."""
 
     grant: messages.Grant
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
@@ -202,7 +202,7 @@
         if version > self._knowledge.configuration_state.version:
             self._told.setdefault(vm, (version, anyio.current_time()))
 
-    def take_published(self, published: datagrams.Published) -> None:
+    def take_published(self, published: datagrams.ConfigurationUpdate) -> None:
         """Take in a configuration that the reader pushes.
 
         Raises
@@ -283,7 +283,7 @@
         if len(data) <= MOST_PUSHED:
             vm = self._fleet.own.vm
             self._broadcaster.broadcast(
-                datagrams.Published(vm, current.version, data), now
+                datagrams.ConfigurationUpdate(vm, current.version, data), now
             )
 
     def _tell_version(self, to_all_near: bool) -> None:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -20,8 +20,9 @@
     calls,
     configuration_keeper,
     edge_settings,
-    fleet_talk,
+    fleet_messenger,
     forwarder,
+    header_names,
     http_server,
     knowledge_exchange,
     knowledge_keeper,
@@ -38,7 +39,6 @@
     suspect_exchange,
     suspension,
     target_client,
-    vocabulary,
 )
 
 WAKE_PAUSE = 0.05
@@ -70,7 +70,7 @@
         Its settings.
     store : ports.Store
         The platform's store.
-    words : vocabulary.Vocabulary
+    words : header_names.HeaderNames
         Headers of the platform.
     log : log_lines.LogLines
         Where decisions are noted.
@@ -84,7 +84,7 @@
         self,
         settings: edge_settings.Settings,
         store: ports.Store,
-        words: vocabulary.Vocabulary,
+        words: header_names.HeaderNames,
         log: log_lines.LogLines,
         rng: random.Random,
         settings_file: edge_settings.SettingsFile | None = None,
@@ -97,7 +97,7 @@
         self._rng = rng
         self._is_stopping = False
         self._stop_wanted = anyio.Event()
-        self._ended: stopping.Ended | None = None
+        self._ended: stopping.StopSummary | None = None
         self.metrics = metrics.Metrics()
 
     def stop(self) -> None:
@@ -138,7 +138,7 @@
         know, and wait for the next start. Settings with findings are refused whole: the
         former ones stay in force.
         """
-        supervision.attempt("reload", self._take_settings, self._note_fault)
+        supervision.attempt("reload", self._take_settings, self._report_fault)
 
     def _take_settings(self) -> None:
         if self._settings_file is None:
@@ -175,7 +175,7 @@
             ("close targets", self._client.close),
             ("close store", self._store.close),
         ):
-            await supervision.attempt_async(name, close, self._note_fault)
+            await supervision.attempt_async(name, close, self._report_fault)
         self._log_stopped()
         self._log.flush()
 
@@ -185,7 +185,7 @@
                 "stopped",
                 cut_off=self._ended.cut_off,
                 cut_reading=self._ended.cut_reading,
-                ms=round(self._ended.took * MILLISECONDS),
+                ms=round(self._ended.duration * MILLISECONDS),
             )
 
     async def _serve(self, task_status: anyio.abc.TaskStatus[None]) -> None:
@@ -200,13 +200,15 @@
             ):
                 await group.start(server.serve, address.host, address.port)
             for name, task in self._list_tasks():
-                group.start_soon(supervision.keep_running, name, task, self._note_fault)
+                group.start_soon(
+                    supervision.keep_running, name, task, self._report_fault
+                )
             task_status.started()
             await self._stop_wanted.wait()
             settings = self._settings
-            times = stopping.Times(settings.stop_limit, settings.unready_after)
+            times = stopping.StopTimes(settings.stop_limit, settings.unready_after)
             self._ended = await stopping.stop(
-                self, self._callers, times, self._note_fault
+                self, self._callers, times, self._report_fault
             )
             group.cancel_scope.cancel()
 
@@ -217,7 +219,7 @@
             ("serve knowledge", self._serve_knowledge),
             ("keep knowledge", self._keeper.run),
             ("wake desk", self._wake_local_dispatchers),
-            ("tell opinions", self._talk.tell_opinions_regularly),
+            ("tell opinions", self._talk.send_estimates_periodically),
             ("greet", self._talk.greet),
             ("tell suspects", self._suspects.run),
             ("close idle", self._close_idle),
@@ -245,13 +247,13 @@
             self._rng,
             self._resignation,
         )
-        hearers = fleet_talk.Hearers(
+        hearers = fleet_messenger.Receivers(
             self._local_dispatchers, self._keeper, self._placement, self._suspects
         )
-        self._talk = fleet_talk.FleetTalk(
-            self._fleet, self._link, hearers, self._log, self._note_fault
+        self._talk = fleet_messenger.FleetMessenger(
+            self._fleet, self._link, hearers, self._log, self._report_fault
         )
-        self._local_dispatchers.retries.use_announcer(self._talk.tell_retries)
+        self._local_dispatchers.retries.use_announcer(self._talk.send_retry_counts)
         self._client = target_client.TargetClient(self._words)
         self._suspension = suspension.SuspensionWatch(self._take_suspension)
         tools = forwarder.Dependencies(
@@ -317,9 +319,9 @@
         return current.limits if current is not None else configuration.Limits()
 
     def _note_error(self, error: BaseException) -> None:
-        self._note_fault("serve", error)
+        self._report_fault("serve", error)
 
-    def _note_fault(self, task: str, error: BaseException) -> None:
+    def _report_fault(self, task: str, error: BaseException) -> None:
         text = "".join(traceback.format_exception(error))
         self._log.write("unexpected_error", task=task, trace=text[-MOST_TRACE:])
 
@@ -332,10 +334,19 @@
             ("zinniastand_requests_in_flight", self._callers.in_flight),
             ("zinniastand_datagrams_sent_total", self._link.sent),
             ("zinniastand_datagram_bytes_sent_total", self._link.sent_bytes),
-            ("zinniastand_target_connections_opened_total", self._client.opened),
-            ("zinniastand_target_answers_foreign_total", self._client.foreign),
-            ("zinniastand_target_answers_unnamed_total", self._client.unnamed),
-            ("zinniastand_target_limits_unreadable_total", self._client.odd_limits),
+            (
+                "zinniastand_target_connections_opened_total",
+                self._client.opened_connections,
+            ),
+            ("zinniastand_target_answers_foreign_total", self._client.foreign_answers),
+            (
+                "zinniastand_target_answers_unnamed_total",
+                self._client.unidentified_answers,
+            ),
+            (
+                "zinniastand_target_limits_unreadable_total",
+                self._client.malformed_limits,
+            ),
             ("zinniastand_configuration_version", self._configured.version),
             ("zinniastand_requests_quarantined", self._suspects.count_quarantined()),
             ("zinniastand_store_era", self._store.era),
@@ -362,10 +373,10 @@
         self._log.write("suspended", seconds=round(seconds, 3))
         self._forwarder.compensate_suspension(seconds)
         self._keeper.lose_time(seconds)
-        self._client.distrust_idle()
-        self._suspects.lose_time(seconds)
+        self._client.expire_idle()
+        self._suspects.compensate_suspension(seconds)
         self._local_dispatchers.reset()
-        self._fleet.start_anew(anyio.current_time())
+        self._fleet.restart_settling(anyio.current_time())
 
     def _use_targets(self) -> None:
         self._local_dispatchers.update_targets(anyio.current_time())
@@ -377,13 +388,13 @@
         elif member is not None:
             self._link.send(decision, member)
 
-    def tell_opinions(self) -> None:
+    def send_estimates(self) -> None:
         """Tell the others what this VM thinks of targets."""
-        self._talk.tell_opinions(to_all=True)
+        self._talk.send_estimates(to_all=True)
 
-    def tell_leaving(self) -> None:
+    def announce_leaving(self) -> None:
         """Tell the others that this VM leaves."""
-        self._talk.tell_leaving()
+        self._talk.announce_leaving()
 
     async def _wake_local_dispatchers(self) -> None:
         while True:
@@ -392,7 +403,7 @@
             self._suspension.check()
             now = anyio.current_time()
             has_tasks = bool(self._local_dispatchers.list_busy())
-            self._resignation.note_lateness(now - due_at, has_tasks)
+            self._resignation.record_lateness(now - due_at, has_tasks)
             if self._registry.drop_lapsed(now):
                 self._local_dispatchers.update_targets(now)
             self._local_dispatchers.wake(now)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/forwarder.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/forwarder.py
@@ -16,6 +16,7 @@
 from . import (
     calls,
     crash_check,
+    header_names,
     log_lines,
     ports,
     replies,
@@ -24,7 +25,6 @@
     run_dependencies,
     run_messages,
     unreachable_targets,
-    vocabulary,
 )
 
 MAX_REFUSAL_LEAD_S = 1.0
@@ -65,7 +65,7 @@
     suspects: ports.SuspectRecord
     """Requests that crash their targets."""
 
-    header_names: vocabulary.Vocabulary
+    header_names: header_names.HeaderNames
     """Headers of the platform."""
 
     log: log_lines.LogLines
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
@@ -21,7 +21,6 @@
     knowledge_exchange,
     log_lines,
     members,
-    news_teller,
     peer_link,
     ports,
     reading_turn,
@@ -31,6 +30,7 @@
     store_contact,
     target_reader,
     target_record,
+    target_update_sender,
 )
 
 HOLD_AT_START = 1.0
@@ -109,7 +109,7 @@
             log,
             rng,
         )
-        self._teller = news_teller.NewsTeller(
+        self._teller = target_update_sender.TargetUpdateSender(
             self._record,
             turn,
             knowledge.configuration_state,
@@ -186,7 +186,7 @@
         self._configuration.lose_time(seconds)
         self._reader.read_anew()
 
-    def take_news(self, news: datagrams.News) -> None:
+    def take_news(self, news: datagrams.TargetUpdate) -> None:
         """Take in what another VM has read."""
         now = anyio.current_time()
         self._broadcaster.relay(news)
@@ -198,7 +198,7 @@
         if position >= 0:
             self._starter.note_holder(vm)
 
-    def take_published(self, published: datagrams.Published) -> None:
+    def take_published(self, published: datagrams.ConfigurationUpdate) -> None:
         """Take in a configuration that another VM has read.
 
         Raises
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
@@ -101,7 +101,7 @@
         self._log = log
         self._local_dispatchers: local_dispatchers.LocalDispatchers | None = None
         self._pending: dict[str, _Pending] = {}
-        self._held: dict[str, messages.Held] = {}
+        self._held: dict[str, messages.HeldSlot] = {}
         self._granters: dict[str, list[_Granter]] = {}
         self._dispatcher_of: dict[shards.Shard, str] = {}
 
@@ -111,7 +111,7 @@
         """Decide by these dispatchers where no other VM answers."""
         self._local_dispatchers = dispatchers
 
-    async def acquire(self, ask: messages.Ask) -> Answer:
+    async def acquire(self, ask: messages.SlotRequest) -> Answer:
         """Return a target, or why there is none.
 
         The ask names a service as a whole; it is placed in one of its shards.
@@ -139,7 +139,7 @@
             refused.append(shard)
         return answer
 
-    async def _acquire_in(self, ask: messages.Ask) -> Answer:
+    async def _acquire_in(self, ask: messages.SlotRequest) -> Answer:
         pending = self._pending[ask.ticket] = _Pending()
         silent: set[str] = set()
         vm = self._choose_dispatcher(ask.shard, silent)
@@ -157,7 +157,7 @@
             if answer is None:
                 self._withdraw(vm, ask)
 
-    def _move_on(self, vm: str, ask: messages.Ask, silent: set[str]) -> str:
+    def _move_on(self, vm: str, ask: messages.SlotRequest, silent: set[str]) -> str:
         """Leave a dispatcher without an answer; return the one to ask next."""
         self._withdraw(vm, ask)
         now = anyio.current_time()
@@ -210,7 +210,7 @@
         return self._local_dispatchers.list_shards(service)
 
     async def _ask(
-        self, vm: str, ask: messages.Ask, pending: _Pending, silent: set[str]
+        self, vm: str, ask: messages.SlotRequest, pending: _Pending, silent: set[str]
     ) -> Answer | None:
         """Return one VM's answer, or None where it gives none or is superseded."""
         self._hand_over(ask.shard, vm)
@@ -237,7 +237,9 @@
             misses = 0 if pending.is_heard else misses + 1
         return None
 
-    def _judge(self, pending: _Pending, vm: str, ask: messages.Ask) -> Answer | None:
+    def _judge(
+        self, pending: _Pending, vm: str, ask: messages.SlotRequest
+    ) -> Answer | None:
         """Return a VM's answer, or None where it knows less than this one.
 
         Load pattern: many VMs start at once. One that ranks first for a shard is asked
@@ -263,14 +265,14 @@
             while pending.answer is None:
                 await pending.changed.wait()
 
-    def _send_ask(self, vm: str, ask: messages.Ask, now: float) -> None:
+    def _send_ask(self, vm: str, ask: messages.SlotRequest, now: float) -> None:
         own = self._fleet.own.vm
         if vm == own and self._local_dispatchers is not None:
             self._local_dispatchers.request_slot(own, ask, now)
             return
         member = self._fleet.find(vm)
         if member is not None:
-            self._link.send(datagrams.Asked(own, ask), member)
+            self._link.send(datagrams.SlotRequested(own, ask), member)
 
     def _hand_over(self, shard: shards.Shard, vm: str) -> None:
         """Tell a VM that dispatches from now on which slots are in use here.
@@ -281,24 +283,24 @@
             return
         self._dispatcher_of[shard] = vm
         for ticket, held in list(self._held.items()):
-            if held.ask.shard.service != shard.service:
+            if held.slot_request.shard.service != shard.service:
                 continue
             if self._local_dispatchers is not None and self._local_dispatchers.covers(
                 shard, held.target_id
             ):
-                ask = dataclasses.replace(held.ask, shard=shard)
+                ask = dataclasses.replace(held.slot_request, shard=shard)
                 moved = self._held[ticket] = dataclasses.replace(held, ask=ask)
                 self._granters.setdefault(ticket, []).append(_Granter(vm, shard))
-                self._tell(vm, datagrams.Adopted(self._fleet.own.vm, moved))
+                self._tell(vm, datagrams.SlotHeld(self._fleet.own.vm, moved))
 
-    def _take(self, ask: messages.Ask, vm: str, answer: Answer) -> Answer:
+    def _take(self, ask: messages.SlotRequest, vm: str, answer: Answer) -> Answer:
         if isinstance(answer, messages.Grant):
             self._granters[ask.ticket] = [_Granter(vm, ask.shard)]
-            self._held[ask.ticket] = messages.Held(ask, answer.target_id)
+            self._held[ask.ticket] = messages.HeldSlot(ask, answer.target_id)
             return dataclasses.replace(answer, dispatcher=vm)
         return answer
 
-    def _withdraw(self, vm: str, ask: messages.Ask) -> None:
+    def _withdraw(self, vm: str, ask: messages.SlotRequest) -> None:
         """Give back what an ask may get after nobody waits for it any more."""
         report = messages.Report(
             ask.ticket,
@@ -310,7 +312,7 @@
         )
         self._tell(vm, report)
 
-    def _tell(self, vm: str, message: messages.Report | datagrams.Adopted) -> None:
+    def _tell(self, vm: str, message: messages.Report | datagrams.SlotHeld) -> None:
         own = self._fleet.own.vm
         member = self._fleet.find(vm)
         if vm != own and member is not None:
@@ -323,5 +325,5 @@
                 self._local_dispatchers.adopt(own, message.held, now)
 
 
-def _refuse_late(ask: messages.Ask) -> messages.Refuse:
+def _refuse_late(ask: messages.SlotRequest) -> messages.Refuse:
     return messages.Refuse(ask.ticket, messages.RefusalReason.TOO_LATE, ask.deadline_at)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
@@ -88,13 +88,13 @@
         self._fingerprint = fingerprints.make_fingerprint(
             incoming.request, incoming.host, dependencies.header_names
         )
-        limit = incoming.read_at + min(
+        limit = incoming.first_byte_at + min(
             route.time_limit,
             run_messages.read_time_left(
                 incoming, dependencies.header_names, route.time_limit
             ),
         )
-        objective = min(limit, incoming.read_at + route.objective)
+        objective = min(limit, incoming.first_byte_at + route.objective)
         self._plan = plan.Plan(route, plan.Times(objective, limit))
         self._scope = anyio.CancelScope(deadline=limit)
         self._is_ending = False
@@ -110,7 +110,7 @@
         with self._scope:
             self._incoming.caller.watch(self._scope, self._may_cancel)
             return self._finish(await self._try_targets())
-        has_left = self._incoming.caller.has_left
+        has_left = self._incoming.caller.has_disconnected
         self._why = CALLER_LEFT if has_left else self._find_deadline_reason()
         return self._finish(self._plan.expire())
 
@@ -143,7 +143,7 @@
 
     async def _try_once(self) -> plan.Step:
         self._dependencies.check_suspension()
-        if self._incoming.caller.has_left and self._may_cancel():
+        if self._incoming.caller.has_disconnected and self._may_cancel():
             return self._plan.give_up()
         if self._check_quarantine():
             return self._plan.give_up()
@@ -170,7 +170,7 @@
 
     def _check_quarantine(self) -> bool:
         """Return whether the request is kept from all targets, and note why."""
-        hold = self._dependencies.suspects.find_hold(
+        hold = self._dependencies.suspects.find_hold_end(
             self._fingerprint, anyio.current_time()
         )
         if hold is None:
@@ -205,12 +205,13 @@
         left = self._plan.times.deadline_at - now
         factor = (
             OVERDUE_FACTOR
-            + (OVERDUE_FACTOR_WHEN_FAILING - OVERDUE_FACTOR) * grant.doubt
+            + (OVERDUE_FACTOR_WHEN_FAILING - OVERDUE_FACTOR) * grant.failure_probability
         )
-        overdue = max(MIN_OVERDUE_S, factor * grant.expected)
+        )
+        overdue = max(MIN_OVERDUE_S, factor * grant.expected_duration)
         if not self._plan.may_back_up:
             return math.inf
-        if left - overdue <= MIN_TIME_LEFT_FACTOR * grant.expected:
+        if left - overdue <= MIN_TIME_LEFT_FACTOR * grant.expected_duration:
             return math.inf
         return now + overdue
 
@@ -253,7 +254,7 @@
         started = anyio.current_time()
         outcome, why = messages.Outcome.ABANDONED, CALLER_LEFT
         has_crashed, is_resent, rate_limit = False, False, None
-        self._dependencies.suspects.begin(self._fingerprint, started)
+        self._dependencies.suspects.begin_attempt(self._fingerprint, started)
         try:
             attempt = await self._send(target, started)
             outcome, why = attempt_ends.OUTCOMES[attempt.result], attempt.detail
@@ -263,11 +264,11 @@
                 target, cut_at
             )
             if has_crashed:
-                self._dependencies.suspects.note_crash(
+                self._dependencies.suspects.record_crash(
                     self._fingerprint, target, started
                 )
             elif attempt.is_success:
-                self._dependencies.suspects.note_answered(self._fingerprint)
+                self._dependencies.suspects.record_answer(self._fingerprint)
         finally:
             now = anyio.current_time()
             if outcome is messages.Outcome.ABANDONED:
@@ -334,7 +335,7 @@
     def _finish(self, step: plan.Step) -> calls.Reply:
         now = anyio.current_time()
         reply = self._make_reply(step, now)
-        duration = now - self._incoming.read_at
+        duration = now - self._incoming.first_byte_at
         self._dependencies.recorder.record_answer(
             request_recorder.Answer(
                 self._request_id,
@@ -344,7 +345,7 @@
                 self._plan.attempts,
                 self._service,
                 self._route.name,
-                self._plan.times.objective_at - self._incoming.read_at,
+                self._plan.times.objective_at - self._incoming.first_byte_at,
             )
         )
         return reply
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
@@ -160,30 +160,30 @@
 
     def make_updates(
         self, service: str, now: float, is_whole: bool
-    ) -> list[datagrams.Retries]:
+    ) -> list[datagrams.RetryCounts]:
         """Return what was counted here lately of a service, or all that is known.
 
         Where many VMs decide alone, it does not fit one datagram.
         """
         is_sure = is_whole and self._is_fully_informed(service, now)
-        told: list[datagrams.Retries] = []
+        told: list[datagrams.RetryCounts] = []
         counts: list[retry_window.Count] = []
         for count in self.open(service, now).tell(now, is_whole):
             counts.append(count)
             if sum(len(parts) for _, parts in counts) >= MAX_PARTS_PER_DATAGRAM:
-                told.append(datagrams.Retries(service, tuple(counts)))
+                told.append(datagrams.RetryCounts(service, tuple(counts)))
                 counts = []
         if counts or (is_sure and told):
-            told.append(datagrams.Retries(service, tuple(counts), is_sure))
+            told.append(datagrams.RetryCounts(service, tuple(counts), is_sure))
         return told
 
-    def apply_update(self, told: datagrams.Retries, now: float) -> None:
+    def apply_update(self, told: datagrams.RetryCounts, now: float) -> None:
         """Take in what another VM knows."""
         window = self.open(told.service, now)
         for count in told.counts:
             window.take(count, now)
         self.record_activity(told.service, now)
-        if told.is_sure:
+        if told.is_complete:
             self._fully_informed.add(told.service)
 
     def find_totals(self, service: str, now: float) -> RetryTotals:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_dependencies.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_dependencies.py
@@ -7,7 +7,7 @@
 
 from zinniastand_core.deployment import targets
 
-from . import ports, request_recorder, unreachable_targets, vocabulary
+from . import header_names, ports, request_recorder, unreachable_targets
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     recorder: request_recorder.RequestRecorder
     """Decisions."""
 
-    header_names: vocabulary.Vocabulary
+    header_names: header_names.HeaderNames
     """Headers of the platform."""
 
     make_ticket: collections.abc.Callable[[], str]
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_messages.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_messages.py
@@ -8,6 +8,7 @@
 from zinniastand_core.dispatch import messages, shards
 from zinniastand_core.forwarding import plan
 
+from . import calls, header_names, http_exchange, run_parts
 from . import calls, http_exchange, run_dependencies, vocabulary
 
 MAX_OPEN_TARGETS = 16
@@ -23,10 +24,10 @@
     route: configuration.Route,
     service: str,
     now: float,
-) -> messages.Ask:
+) -> messages.SlotRequest:
     """Return the ask for a target of a service."""
     unreachable = parts.unreachable.list_current(now)
-    return messages.Ask(
+    return messages.SlotRequest(
         ticket=parts.make_ticket(),
         shard=shards.Shard(service),
         kind=route.name,
@@ -37,7 +38,7 @@
         attempt=request_plan.committed + 1,
         data_centre=parts.data_centre,
         excluded=tuple(sorted({*request_plan.excluded, *unreachable})),
-        open_to=tuple(_list_open_targets(parts, route, service, now)),
+        connected_targets=tuple(_list_open_targets(parts, route, service, now)),
         is_first=request_plan.attempts == 0,
     )
 
@@ -51,7 +52,7 @@
     """Return targets of the service that an idle connection leads to."""
     found = [
         target_id
-        for target_id in parts.exchange.list_open(route.work, now)
+        for target_id in parts.exchange.list_connected_targets(route.work, now)
         if (entry := parts.registry.find(target_id)) is not None
         and entry.service == service
     ]
@@ -60,7 +61,7 @@
 
 def make_request(
     original: http_exchange.Request,
-    words: vocabulary.Vocabulary,
+    words: header_names.HeaderNames,
     target: targets.Entry,
     remaining: float,
 ) -> http_exchange.Request:
@@ -74,7 +75,7 @@
 
 
 def read_time_left(
-    incoming: calls.Incoming, words: vocabulary.Vocabulary, default: float
+    incoming: calls.Incoming, words: header_names.HeaderNames, default: float
 ) -> float:
     """Return the seconds that the caller waits; `default` where it does not say."""
     value = http_exchange.find_header(incoming.request.headers, words.time_left)
@@ -83,7 +84,7 @@
     return int(value) / MILLISECONDS
 
 
-def read_request_id(incoming: calls.Incoming, words: vocabulary.Vocabulary) -> str:
+def read_request_id(incoming: calls.Incoming, words: header_names.HeaderNames) -> str:
     """Return the name that the caller gave the request, empty where it gave none."""
     value = http_exchange.find_header(incoming.request.headers, words.request_id)
     return (value or b"").decode("latin-1")
--- a/tests/scripted_run.py
+++ b/tests/scripted_run.py
@@ -75,7 +75,9 @@
         self.names = list(names)
         self.outcomes: list[messages.Outcome] = []
 
-    async def acquire(self, ask: messages.Ask) -> messages.Grant | messages.Refuse:
+    async def acquire(
+        self, ask: messages.SlotRequest
+    ) -> messages.Grant | messages.Refuse:
         """Return the next target."""
         await anyio.sleep(0.001)
         if not self.names:
@@ -95,7 +97,7 @@
         self.scripts = scripts
         self.broken_off: list[str] = []
 
-    def list_open(self, work: services.Work, now: float) -> list[str]:
+    def list_connected_targets(self, work: services.Work, now: float) -> list[str]:
         """Return none: every attempt opens a connection."""
         return []
 
@@ -131,19 +133,19 @@
 class Unsuspected:
     """Knows of no request that crashes its targets."""
 
-    def find_hold(self, fingerprint: str, now: float) -> float | None:
+    def find_hold_end(self, fingerprint: str, now: float) -> float | None:
         """Return that it may go to targets."""
         return None
 
-    def begin(self, fingerprint: str, now: float) -> None:
+    def begin_attempt(self, fingerprint: str, now: float) -> None:
         """Take in that a request is about to be sent."""
 
-    def note_crash(
+    def record_crash(
         self, fingerprint: str, target: targets.Entry, started_at: float
     ) -> None:
         """Take in a crash."""
 
-    def note_answered(self, fingerprint: str) -> None:
+    def record_answer(self, fingerprint: str) -> None:
         """Take in an answer."""
 
 
