--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/caller_connection.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/caller_connection.py
@@ -81,12 +81,12 @@
         handler: calls.Handler,
         may_overlap: calls.MayOverlap,
         read_limits: collections.abc.Callable[[], configuration.Limits],
-        note_error: collections.abc.Callable[[BaseException], None],
+        report_error: collections.abc.Callable[[BaseException], None],
     ) -> None:
         self.handler = handler
         self.may_overlap = may_overlap
         self.read_limits = read_limits
-        self.note_error = note_error
+        self.report_error = report_error
         self.is_stopping = False
         self.in_flight = 0
         self.behind = 0
@@ -141,7 +141,7 @@
         except Exception as error:
             # Without this, a fault met by one request would end the listener and with
             # it every other request of this VM.
-            self._shared.note_error(error)
+            self._shared.report_error(error)
         finally:
             self._release(self._parser.held_bytes)
             while self._series:
@@ -249,7 +249,7 @@
         try:
             return await self._shared.handler.handle(incoming)
         except Exception as error:
-            self._shared.note_error(error)
+            self._shared.report_error(error)
             return exchanges.FAULT_REPLY
 
     async def _answer_all(self) -> bool:
@@ -364,7 +364,7 @@
             data = exchange.encode(reply, must_close)
         except h11.LocalProtocolError as error:
             # The work is done; without an answer its caller could only guess.
-            self._shared.note_error(error)
+            self._shared.report_error(error)
             data = exchanges.FAULT_ANSWER
         with anyio.fail_after(self._parser.limits.idle_timeout):
             await self._stream.send(data)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/desk.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/desk.py
@@ -143,7 +143,7 @@
             service: shards.divide(service, entries)
             for service, entries in by_service.items()
         }
-        self._limits.forget_gone(now)
+        self._limits.remove_expired(now)
         self.retries.forget_gone({*self._divisions, *self.list_services()}, now)
         for shard, known in self._dispatchers.items():
             self._send(known.update_targets(self._list_targets(shard, now), now))
@@ -203,7 +203,7 @@
 
     def note_limit(self, target_id: str, rate: float, now: float) -> None:
         """Take in which limit an answer to this VM has named, infinite for none."""
-        self._limits.note(target_id, rate, now, now)
+        self._limits.record(target_id, rate, now, now)
 
     def _take_limit(self, opinion: datagrams.Opinion, vm: str, now: float) -> None:
         """Take in the limit that another dispatcher knows of.
@@ -215,7 +215,7 @@
             return
         due_at = now + opinion.due_in
         named_at = now - opinion.named_ago
-        self._limits.note(opinion.target_id, opinion.rate_limit, due_at, named_at)
+        self._limits.record(opinion.target_id, opinion.rate_limit, due_at, named_at)
         for shard, known in self._dispatchers.items():
             state = known.pool.find(opinion.target_id)
             if state is not None:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -113,7 +113,7 @@
         self._log.write(
             "stopping",
             in_flight=self._callers.in_flight,
-            reading=self._callers.count_reading(),
+            reading=self._callers.count_receiving(),
             limit_ms=round((answer_by - anyio.current_time()) * MILLISECONDS),
         )
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/forwarder.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/forwarder.py
@@ -189,4 +189,4 @@
     ) -> calls.Reply:
         request_id = run_messages.read_request_id(incoming, self._words)
         self._notes.note_answer(request_notes.Answer(request_id, status, reason))
-        return replies.explain(status, reason, pause)
+        return replies.make_problem_reply(status, reason, pause)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/http_server.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/http_server.py
@@ -40,11 +40,11 @@
         self,
         handler: calls.Handler,
         read_limits: collections.abc.Callable[[], configuration.Limits],
-        note_error: collections.abc.Callable[[BaseException], None],
+        report_error: collections.abc.Callable[[BaseException], None],
         may_overlap: calls.MayOverlap = calls.never_overlap,
     ) -> None:
         self._shared = caller_connection.Shared(
-            handler, may_overlap, read_limits, note_error
+            handler, may_overlap, read_limits, report_error
         )
         self._open = 0
 
@@ -83,7 +83,7 @@
             raw = listener.extra(anyio.abc.SocketAttribute.local_port)
             task_status.started(raw)
             await accepting.accept_all(
-                listener, self._serve_connection, self._shared.note_error
+                listener, self._serve_connection, self._shared.report_error
             )
 
     async def close_idle(self) -> None:
@@ -94,15 +94,15 @@
         for connection in list(self._shared.idle):
             connection.end_idle()
 
-    def is_owing(self) -> bool:
+    def has_unfinished_work(self) -> bool:
         """Return whether a request is being read, answered, or its answer read off."""
         return self._open > len(self._shared.idle)
 
-    def count_open(self) -> int:
+    def count_connections(self) -> int:
         """Return how many connections there are."""
         return self._open
 
-    def count_reading(self) -> int:
+    def count_receiving(self) -> int:
         """Return on how many connections a request has begun and none is whole."""
         shared = self._shared
         settled = len(shared.idle) + len(shared.answering) + len(shared.lingering)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/named_limits.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/named_limits.py
@@ -42,7 +42,9 @@
         self._registry = registry
         self._limits: dict[str, Limit] = {}
 
-    def note(self, target_id: str, rate: float, due_at: float, named_at: float) -> None:
+    def record(
+        self, target_id: str, rate: float, due_at: float, named_at: float
+    ) -> None:
         """Take in the limit of a target, infinite for none."""
         entry = self._registry.find(target_id)
         if entry is None or math.isinf(rate):
@@ -57,7 +59,7 @@
             return None
         return known if now < known.named_at + KEEP_FOR else None
 
-    def forget_gone(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Forget limits that are old, and those of targets that have left."""
         self._limits = {
             name: limit
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/replies.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/replies.py
@@ -10,7 +10,9 @@
 """Problem details (RFC 9457)."""
 
 
-def explain(status: int, reason: str, pause: float | None = None) -> calls.Reply:
+def make_problem_reply(
+    status: int, reason: str, pause: float | None = None
+) -> calls.Reply:
     """Return an answer that gives its reason.
 
     Parameters
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
@@ -290,7 +290,7 @@
         self, attempt: target_client.Attempt, target: targets.Entry, now: float
     ) -> plan.Step:
         if attempt.result is plan.Result.UNREACHABLE:
-            self._parts.unreachable.note(target.target_id, now)
+            self._parts.unreachable.record(target.target_id, now)
         if not self._plan.is_answered:
             self._why = attempt.detail
             self._answer = attempt.answer or self._answer
@@ -337,9 +337,9 @@
             headers = http_exchange.strip_connection_headers(self._answer.headers)
             return calls.Reply(self._answer.status, headers, self._answer.body)
         if step is plan.Step.SAY_NOT_RUN:
-            return replies.explain(503, self._why, self._find_pause(now))
+            return replies.make_problem_reply(503, self._why, self._find_pause(now))
         status = 504 if now >= self._plan.times.deadline_at else 502
-        return replies.explain(status, self._why)
+        return replies.make_problem_reply(status, self._why)
 
     def _find_pause(self, now: float) -> float:
         """Return the seconds after which the caller may come back."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/stopping.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/stopping.py
@@ -54,11 +54,11 @@
         """Requests that were read whole and are not answered yet."""
         ...
 
-    def is_owing(self) -> bool:
+    def has_unfinished_work(self) -> bool:
         """Return whether any caller is owed something."""
         ...
 
-    def count_reading(self) -> int:
+    def count_receiving(self) -> int:
         """Return how many requests have begun and are not whole yet."""
         ...
 
@@ -107,9 +107,9 @@
         await supervision.attempt_async("close idle", served.close_idle, note_fault)
         await _wait_settled(served, answer_by + SETTLE)
     took = anyio.current_time() - began
-    return Ended(served.in_flight, served.count_reading(), took)
+    return Ended(served.in_flight, served.count_receiving(), took)
 
 
 async def _wait_settled(served: Served, end: float) -> None:
-    while served.is_owing() and anyio.current_time() < end:
+    while served.has_unfinished_work() and anyio.current_time() < end:
         await anyio.sleep(POLL)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/unreachable_targets.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/unreachable_targets.py
@@ -13,7 +13,7 @@
     def __init__(self) -> None:
         self._until: dict[str, float] = {}
 
-    def note(self, target_id: str, now: float) -> None:
+    def record(self, target_id: str, now: float) -> None:
         """Leave a target out from now on."""
         self._until[target_id] = now + LEFT_OUT_FOR
 
--- a/soak/plants.py
+++ b/soak/plants.py
@@ -86,7 +86,7 @@
         (
             Change(
                 f"{EDGE}/stopping.py",
-                "while served.is_owing() and anyio.current_time() < end:",
+                "while served.has_unfinished_work() and anyio.current_time() < end:",
                 "while False:",
             ),
         ),
--- a/tests/edge/test_http_server.py
+++ b/tests/edge/test_http_server.py
@@ -309,15 +309,15 @@
         await running.connect() as begun,
     ):
         server = running.server
-        await wait_until(lambda: server.count_open() == 2)
-        await wait_until(lambda: not server.is_owing())
+        await wait_until(lambda: server.count_connections() == 2)
+        await wait_until(lambda: not server.has_unfinished_work())
         await begun.send(make_request(b"abc")[:-1])
-        await wait_until(server.is_owing)
-        assert server.count_reading() == 1
+        await wait_until(server.has_unfinished_work)
+        assert server.count_receiving() == 1
         assert server.in_flight == 0
         await begun.send(b"c")
         assert (await begun.receive()).endswith(b"abc")
-        await wait_until(lambda: not server.is_owing())
+        await wait_until(lambda: not server.has_unfinished_work())
         assert await read_all(idle, 0.01) == b""
 
 
--- a/tests/edge/test_stop_corners.py
+++ b/tests/edge/test_stop_corners.py
@@ -107,13 +107,13 @@
         """Requests under way."""
         return self._server.in_flight
 
-    def is_owing(self) -> bool:
+    def has_unfinished_work(self) -> bool:
         """Return whether anything is owed."""
-        return self._server.is_owing()
+        return self._server.has_unfinished_work()
 
-    def count_reading(self) -> int:
+    def count_receiving(self) -> int:
         """Return how many requests are being read."""
-        return self._server.count_reading()
+        return self._server.count_receiving()
 
     async def close_idle(self) -> None:
         """Let the request come, and close idle connections."""
@@ -137,7 +137,7 @@
             port = await group.start(server.serve, edge_site.HOST, 0)
             raw.connect((edge_site.HOST, port))
             await anyio.sleep(0.05)
-            assert server.count_open() == 1
+            assert server.count_connections() == 1
             request = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
             async def read() -> None:
--- a/tests/edge/test_stopping.py
+++ b/tests/edge/test_stopping.py
@@ -216,10 +216,10 @@
     def in_flight(self) -> int:
         return int(anyio.current_time() < self.answer_by + self.late)
 
-    def is_owing(self) -> bool:
+    def has_unfinished_work(self) -> bool:
         return self.in_flight > 0
 
-    def count_reading(self) -> int:
+    def count_receiving(self) -> int:
         return 0
 
     async def close_idle(self) -> None:
