--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
@@ -143,7 +143,7 @@
             service: shards.divide(service, entries)
             for service, entries in by_service.items()
         }
-        self._limits.forget_gone(now)
+        self._limits.remove_expired(now)
         self.retries.remove_gone_services(
             {*self._divisions, *self.list_services()}, now
         )
@@ -207,7 +207,7 @@
 
     def record_rate_limit(self, target_id: str, rate: float, now: float) -> None:
         """Take in which limit an answer to this VM has named, infinite for none."""
-        self._limits.note(target_id, rate, now, now)
+        self._limits.record(target_id, rate, now, now)
 
     def _take_limit(
         self, opinion: datagrams.TargetEstimate, vm: str, now: float
@@ -221,7 +221,7 @@
             return
         due_at = now + opinion.next_request_in
         named_at = now - opinion.rate_limit_age
-        self._limits.note(opinion.target_id, opinion.rate_limit, due_at, named_at)
+        self._limits.record(opinion.target_id, opinion.rate_limit, due_at, named_at)
         for shard, known in self._dispatchers.items():
             state = known.pool.find(opinion.target_id)
             if state is not None:
