--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
@@ -183,7 +183,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RetryCounts:
+class RetryUsage:
     """What a VM knows of the requests and retries of a service."""
 
     service: str
@@ -221,7 +221,7 @@
     | SlotRequested
     | SlotHeld
     | SuspectRequests
-    | RetryCounts
+    | RetryUsage
     | messages.Grant
     | messages.Refuse
     | messages.Wait
@@ -291,7 +291,7 @@
             return ["k", message.vm, held.target_id, *_pack_ask(held.ask, now)]
         case SuspectRequests():
             return ["s", suspect_codec.pack(message.items, now)]
-        case RetryCounts():
+        case RetryUsage():
             counts = retry_codec.pack(message.counts)
             return ["t", message.service, counts, message.is_complete]
         case messages.Grant():
@@ -334,7 +334,7 @@
             return SuspectRequests(suspect_codec.unpack(rest[0], now))
         case "t":
             counts = retry_codec.unpack(rest[1])
-            return RetryCounts(str(rest[0]), counts, rest[2] is True)
+            return RetryUsage(str(rest[0]), counts, rest[2] is True)
         case "g":
             return messages.Grant(*rest)
         case "r":
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/desk.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/desk.py
@@ -196,7 +196,7 @@
         if known is not None:
             self._tell_heard(known, shard, now)
 
-    def take_retries(self, told: datagrams.RetryCounts, now: float) -> None:
+    def take_retries(self, told: datagrams.RetryUsage, now: float) -> None:
         """Take in what another VM has counted of a service that is known."""
         if told.service in self._divisions:
             self.retries.take(told, now)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_messenger.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_messenger.py
@@ -131,7 +131,7 @@
                 self._hearers.desk.ask(message.vm, message.ask, now)
             case datagrams.SlotHeld():
                 self._hearers.desk.adopt(message.vm, message.held, now)
-            case datagrams.RetryCounts():
+            case datagrams.RetryUsage():
                 self._hearers.desk.take_retries(message, now)
             case datagrams.SuspectRequests():
                 self._hearers.suspects.take(message)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
@@ -160,24 +160,24 @@
 
     def tell(
         self, service: str, now: float, is_whole: bool
-    ) -> list[datagrams.RetryCounts]:
+    ) -> list[datagrams.RetryUsage]:
         """Return what was counted here lately of a service, or all that is known.
 
         Where many VMs decide alone, it does not fit one datagram.
         """
         is_sure = is_whole and self._is_sure(service, now)
-        told: list[datagrams.RetryCounts] = []
+        told: list[datagrams.RetryUsage] = []
         counts: list[retry_window.Count] = []
         for count in self.open(service, now).tell(now, is_whole):
             counts.append(count)
             if sum(len(parts) for _, parts in counts) >= MOST_PARTS:
-                told.append(datagrams.RetryCounts(service, tuple(counts)))
+                told.append(datagrams.RetryUsage(service, tuple(counts)))
                 counts = []
         if counts or (is_sure and told):
-            told.append(datagrams.RetryCounts(service, tuple(counts), is_sure))
+            told.append(datagrams.RetryUsage(service, tuple(counts), is_sure))
         return told
 
-    def take(self, told: datagrams.RetryCounts, now: float) -> None:
+    def take(self, told: datagrams.RetryUsage, now: float) -> None:
         """Take in what another VM knows."""
         window = self.open(told.service, now)
         for count in told.counts:
--- a/tests/edge/test_desk.py
+++ b/tests/edge/test_desk.py
@@ -193,7 +193,7 @@
     made.update_targets(now)
     parts = (retry_window.Part(7, 1.0, 100, 50),)
     counts = (("vm-9:1:0", parts),)
-    made.take_retries(datagrams.RetryCounts("desk", counts, is_complete=True), now)
+    made.take_retries(datagrams.RetryUsage("desk", counts, is_complete=True), now)
     assert count_retries(made, decisions, "vm-1") == 2
     counted = made.retries.find_counted("desk", now)
     assert (counted.requests, counted.spent) == (0, 2)
@@ -206,7 +206,7 @@
     made.update_targets(now)
     parts = (retry_window.Part(7, 1.0, 100, 50),)
     for service in ("desk", "other"):
-        made.take_retries(datagrams.RetryCounts(service, (("vm-9:1:0", parts),)), now)
+        made.take_retries(datagrams.RetryUsage(service, (("vm-9:1:0", parts),)), now)
     assert made.retries.tell("desk", now, is_whole=True)
     assert not made.retries.tell("other", now, is_whole=True)
 
@@ -242,7 +242,7 @@
     parts = tuple(retry_window.Part(n, 10.0 - n / 10, 9, 9) for n in range(100))
     names = [f"a-vm-of-a-long-name-{n}:1791131941936:0" for n in range(291)]
     for name in names:
-        made.take_retries(datagrams.RetryCounts("desk", ((name, parts),)), now)
+        made.take_retries(datagrams.RetryUsage("desk", ((name, parts),)), now)
     told = made.retries.tell("desk", now, is_whole=True)
     sizes = [len(datagrams.encode(one, now)) for one in told]
     assert max(sizes) <= peer_link.MOST_BYTES
@@ -277,7 +277,7 @@
     # Guards against retries that others gave out since this VM heard of them last.
     now = anyio.current_time()
     parts = (retry_window.Part(7, 1.0, 1000, 0),)
-    told = datagrams.RetryCounts("desk", (("vm-9:1:0", parts),), is_complete=True)
+    told = datagrams.RetryUsage("desk", (("vm-9:1:0", parts),), is_complete=True)
     granted: list[int] = []
     for ago in (1.0, 5.0):
         made, decisions = make_desk(vms=20)
