--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
@@ -200,7 +200,7 @@
         if known is not None:
             self._tell_heard(known, shard, now)
 
-    def apply_retry_counts(self, told: datagrams.RetryCounts, now: float) -> None:
+    def apply_retry_counts(self, told: datagrams.RetryUsage, now: float) -> None:
         """Take in what another VM has counted of a service that is known."""
         if told.service in self._divisions:
             self.retries.apply_update(told, now)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
@@ -160,24 +160,24 @@
 
     def make_updates(
         self, service: str, now: float, is_whole: bool
-    ) -> list[datagrams.RetryCounts]:
+    ) -> list[datagrams.RetryUsage]:
         """Return what was counted here lately of a service, or all that is known.
 
         Where many VMs decide alone, it does not fit one datagram.
         """
         is_sure = is_whole and self._is_fully_informed(service, now)
-        told: list[datagrams.RetryCounts] = []
+        told: list[datagrams.RetryUsage] = []
         counts: list[retry_window.CounterHistory] = []
         for count in self.open(service, now).export_counts(now, is_whole):
             counts.append(count)
             if sum(len(parts) for _, parts in counts) >= MAX_PARTS_PER_DATAGRAM:
-                told.append(datagrams.RetryCounts(service, tuple(counts)))
+                told.append(datagrams.RetryUsage(service, tuple(counts)))
                 counts = []
         if counts or (is_sure and told):
-            told.append(datagrams.RetryCounts(service, tuple(counts), is_sure))
+            told.append(datagrams.RetryUsage(service, tuple(counts), is_sure))
         return told
 
-    def apply_update(self, told: datagrams.RetryCounts, now: float) -> None:
+    def apply_update(self, told: datagrams.RetryUsage, now: float) -> None:
         """Take in what another VM knows."""
         window = self.open(told.service, now)
         for count in told.counts:
--- a/tests/edge/test_local_dispatchers.py
+++ b/tests/edge/test_local_dispatchers.py
@@ -202,7 +202,7 @@
     parts = (retry_window.Bucket(7, 1.0, 100, 50),)
     counts = (("vm-9:1:0", parts),)
     made.apply_retry_counts(
-        datagrams.RetryCounts("desk", counts, is_complete=True), now
+        datagrams.RetryUsage("desk", counts, is_complete=True), now
     )
     assert count_retries(made, decisions, "vm-1") == 2
     counted = made.retries.find_totals("desk", now)
@@ -217,7 +217,7 @@
     parts = (retry_window.Bucket(7, 1.0, 100, 50),)
     for service in ("desk", "other"):
         made.apply_retry_counts(
-            datagrams.RetryCounts(service, (("vm-9:1:0", parts),)), now
+            datagrams.RetryUsage(service, (("vm-9:1:0", parts),)), now
         )
     assert made.retries.make_updates("desk", now, is_whole=True)
     assert not made.retries.make_updates("other", now, is_whole=True)
@@ -254,7 +254,7 @@
     parts = tuple(retry_window.Bucket(n, 10.0 - n / 10, 9, 9) for n in range(100))
     names = [f"a-vm-of-a-long-name-{n}:1791131941936:0" for n in range(291)]
     for name in names:
-        made.apply_retry_counts(datagrams.RetryCounts("desk", ((name, parts),)), now)
+        made.apply_retry_counts(datagrams.RetryUsage("desk", ((name, parts),)), now)
     told = made.retries.make_updates("desk", now, is_whole=True)
     sizes = [len(datagrams.encode(one, now)) for one in told]
     assert max(sizes) <= peer_link.MOST_BYTES
@@ -289,7 +289,7 @@
     # Guards against retries that others gave out since this VM heard of them last.
     now = anyio.current_time()
     parts = (retry_window.Bucket(7, 1.0, 1000, 0),)
-    told = datagrams.RetryCounts("desk", (("vm-9:1:0", parts),), is_complete=True)
+    told = datagrams.RetryUsage("desk", (("vm-9:1:0", parts),), is_complete=True)
     granted: list[int] = []
     for ago in (1.0, 5.0):
         made, decisions = make_desk(vms=20)
