--- a/bench/retry_vms.py
+++ b/bench/retry_vms.py
@@ -19,18 +19,18 @@
 from zinniastand_proxy.edge import (
     calls,
     datagrams,
-    desk,
-    fleet_talk,
+    fleet_messenger,
     knowledge_keeper,
+    local_dispatchers,
     log_lines,
     members,
     peer_link,
     placement,
     ports,
-    request_notes,
+    request_recorder,
     request_run,
     retry_counts,
-    run_parts,
+    run_dependencies,
     suspect_exchange,
     unreachable_targets,
 )
@@ -49,7 +49,7 @@
     seed: int
     load: retry_loads.Load
     registry: targets.Registry
-    notes: request_notes.RequestNotes
+    notes: request_recorder.RequestRecorder
     sink: int
 
     def carry(self, message: datagrams.Message, member: ports.Member) -> None:
@@ -164,7 +164,7 @@
         link = _Link(fleet)
         log = log_lines.LogLines(name, fleet.sink)
         bound = fleet.load.bound
-        self.desk = desk.Desk(
+        self.local_dispatchers = local_dispatchers.LocalDispatchers(
             self.members,
             fleet.registry,
             retry_counts.RetryBudget(bound.ratio, bound.slack, bound.span),
@@ -172,25 +172,27 @@
             self._deliver,
             is_new_fleet=born == FIRST_INCARNATION,
         )
-        self.desk.update_targets(now)
+        self.local_dispatchers.update_targets(now)
         self.placement = placement.Placement(self.members, link, log, rng)
-        self.placement.use_desk(self.desk)
-        hearers = fleet_talk.Hearers(
-            self.desk,
+        self.placement.use_local_dispatchers(self.local_dispatchers)
+        hearers = fleet_messenger.Receivers(
+            self.local_dispatchers,
             typing.cast(knowledge_keeper.KnowledgeKeeper, _NothingNew()),
             self.placement,
             typing.cast(suspect_exchange.SuspectExchange, _Unsuspected()),
         )
-        self.talk = fleet_talk.FleetTalk(self.members, link, hearers, log, _fail)
-        self.desk.retries.use_announcer(self.talk.tell_retries)
+        self.talk = fleet_messenger.FleetMessenger(
+            self.members, link, hearers, log, _fail
+        )
+        self.local_dispatchers.retries.use_announcer(self.talk.send_retry_counts)
         self._link = link
         self.parts = self._make_parts(fleet)
 
-    def _make_parts(self, fleet: Surroundings) -> run_parts.Parts:
+    def _make_parts(self, fleet: Surroundings) -> run_dependencies.RunDependencies:
         """Return what the runs of requests work with."""
         own = self.member
         numbers = itertools.count()
-        return run_parts.Parts(
+        return run_dependencies.RunDependencies(
             own.vm,
             own.data_centre,
             self.placement,
@@ -231,34 +233,34 @@
         with self._scope:
             async with anyio.create_task_group() as group:
                 group.start_soon(self.talk.greet)
-                group.start_soon(self.talk.tell_opinions_regularly)
+                group.start_soon(self.talk.send_estimates_periodically)
                 while True:
                     await anyio.sleep(WAKE_PAUSE)
-                    self.desk.wake(anyio.current_time())
+                    self.local_dispatchers.wake(anyio.current_time())
 
     def _deliver(self, vm: str, decision: messages.Decision) -> None:
         if vm == self.member.vm:
-            self.placement.take_decision(decision)
+            self.placement.handle_decision(decision)
             return
         member = self.members.find(vm)
         if member is not None:
             self._link.send(decision, member)
 
 
-class Notes(request_notes.RequestNotes):
+class Notes(request_recorder.RequestRecorder):
     """Counts why requests got no answer of a target."""
 
     def __init__(self, refused: collections.Counter[str]) -> None:
         self._refused = refused
 
-    def note_attempt(self, attempt: request_notes.Attempt) -> None:
+    def record_attempt(self, attempt: request_recorder.Attempt) -> None:
         """Take in an attempt."""
 
-    def note_answer(self, answer: request_notes.Answer) -> None:
+    def record_answer(self, answer: request_recorder.Answer) -> None:
         """Count an answer other than success."""
         if answer.status != 200:
             self._refused[answer.why] += 1
 
-    def note_error(self, request_id: str, error: Exception) -> None:
+    def log_error(self, request_id: str, error: Exception) -> None:
         """Let an error that no part expected end the play."""
         raise error
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/desk.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
@@ -43,7 +43,7 @@
 """Seconds after which the asker of a ticket is forgotten; longer than any deadline."""
 
 
-class Desk:
+class LocalDispatchers:
     """Dispatchers of all shards that were asked about here.
 
     Parameters
@@ -84,7 +84,7 @@
         self._askers: dict[str, tuple[str, float]] = {}
         self._alone_at: dict[shards.Shard, float] = {}
         self._limits = named_limits.NamedLimits(registry)
-        self._heard: dict[str, tuple[datagrams.Opinion, float]] = {}
+        self._heard: dict[str, tuple[datagrams.TargetEstimate, float]] = {}
         self._divisions: dict[str, tuple[shards.Shard, ...]] = {}
 
     def list_services(self) -> list[str]:
@@ -110,29 +110,29 @@
         """Return whether any target of a shard may get work, as far as known."""
         return bool(self._list_targets(shard, now))
 
-    def ask(self, vm: str, ask: messages.Ask, now: float) -> None:
+    def request_slot(self, vm: str, ask: messages.SlotRequest, now: float) -> None:
         """Take in an ask of a VM; decisions go out through `deliver`."""
         self._askers[ask.ticket] = (vm, now + KEEP_ASKER)
         self._used_at[ask.shard] = now
         known = self._open(ask.shard, now)
-        self.retries.note_active(ask.shard.service, now)
+        self.retries.record_activity(ask.shard.service, now)
         if vm != self._fleet.own.vm:
             if self._find_share(ask.shard) < 1.0:
                 _use_whole_limits(known, now)
             self._alone_at[ask.shard] = now + ALONE_AFTER
-        self._send(known.ask(ask, now))
-        self.retries.announce_untold(ask.shard.service)
+        self._send(known.request_slot(ask, now))
+        self.retries.announce_unsent(ask.shard.service)
 
     def report(self, report: messages.Report, now: float) -> None:
         """Take in how an attempt went."""
         self._askers.pop(report.ticket, None)
-        self._send(self._open(report.shard, now).report(report, now))
-        self.retries.announce_untold(report.shard.service)
+        self._send(self._open(report.shard, now).handle_report(report, now))
+        self.retries.announce_unsent(report.shard.service)
 
-    def adopt(self, vm: str, held: messages.Held, now: float) -> None:
+    def adopt(self, vm: str, held: messages.HeldSlot, now: float) -> None:
         """Take over a slot that another dispatcher gave to a VM."""
-        self._askers[held.ask.ticket] = (vm, now + KEEP_ASKER)
-        self._open(held.ask.shard, now).adopt(held, now)
+        self._askers[held.slot_request.ticket] = (vm, now + KEEP_ASKER)
+        self._open(held.slot_request.shard, now).adopt_slot(held, now)
 
     def update_targets(self, now: float) -> None:
         """Use the targets that the registry knows now."""
@@ -143,18 +143,20 @@
             service: shards.divide(service, entries)
             for service, entries in by_service.items()
         }
-        self._limits.forget_gone(now)
-        self.retries.forget_gone({*self._divisions, *self.list_services()}, now)
+        self._limits.remove_expired(now)
+        self.retries.remove_gone_services(
+            {*self._divisions, *self.list_services()}, now
+        )
         for shard, known in self._dispatchers.items():
             self._send(known.update_targets(self._list_targets(shard, now), now))
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Forget all slots, waits and beliefs, as a process that starts does.
 
         After a suspension other VMs have long placed these requests.
         """
         self._dispatchers.clear()
-        self.retries.forget()
+        self.retries.reset()
         self._askers.clear()
         self._heard.clear()
 
@@ -169,16 +171,18 @@
             if is_idle and self._used_at.get(shard, now) < now - KEEP_IDLE:
                 del self._dispatchers[shard]
 
-    def summarize(self, shard: shards.Shard, now: float) -> datagrams.Opinions:
+    def summarize_estimates(
+        self, shard: shards.Shard, now: float
+    ) -> datagrams.TargetEstimates:
         """Return what the dispatcher of a shard thinks of its targets."""
         known = self._dispatchers.get(shard)
         states = known.pool.list_states() if known is not None else []
         items = tuple(_make_opinion(state, now) for state in states)
         times = self._times.get(shard.service)
         means = tuple(times.means.items()) if times is not None else ()
-        return datagrams.Opinions(shard, items, means, self._fleet.own.vm)
+        return datagrams.TargetEstimates(shard, items, means, self._fleet.own.vm)
 
-    def take_opinions(self, opinions: datagrams.Opinions, now: float) -> None:
+    def apply_estimates(self, opinions: datagrams.TargetEstimates, now: float) -> None:
         """Take in what another dispatcher thinks.
 
         One that is at work here knows better by what it sees itself.
@@ -196,16 +200,18 @@
         if known is not None:
             self._tell_heard(known, shard, now)
 
-    def take_retries(self, told: datagrams.Retries, now: float) -> None:
+    def apply_retry_counts(self, told: datagrams.RetryUsage, now: float) -> None:
         """Take in what another VM has counted of a service that is known."""
         if told.service in self._divisions:
-            self.retries.take(told, now)
+            self.retries.apply_update(told, now)
 
-    def note_limit(self, target_id: str, rate: float, now: float) -> None:
+    def record_rate_limit(self, target_id: str, rate: float, now: float) -> None:
         """Take in which limit an answer to this VM has named, infinite for none."""
-        self._limits.note(target_id, rate, now, now)
+        self._limits.record(target_id, rate, now, now)
 
-    def _take_limit(self, opinion: datagrams.Opinion, vm: str, now: float) -> None:
+    def _take_limit(
+        self, opinion: datagrams.TargetEstimate, vm: str, now: float
+    ) -> None:
         """Take in the limit that another dispatcher knows of.
 
         One that dispatches here as well shares it. Only an answer lifts a limit here:
@@ -213,15 +219,15 @@
         """
         if opinion.rate_limit is None:
             return
-        due_at = now + opinion.due_in
-        named_at = now - opinion.named_ago
-        self._limits.note(opinion.target_id, opinion.rate_limit, due_at, named_at)
+        due_at = now + opinion.next_request_in
+        named_at = now - opinion.rate_limit_age
+        self._limits.record(opinion.target_id, opinion.rate_limit, due_at, named_at)
         for shard, known in self._dispatchers.items():
             state = known.pool.find(opinion.target_id)
             if state is not None:
                 self._give_limit(state, shard, now)
                 if state.limit is not None and known.in_flight:
-                    state.limit.note_other(vm, now)
+                    state.limit.record_other_dispatcher(vm, now)
 
     def _give_limit(
         self, state: pool.TargetState, shard: shards.Shard, now: float
@@ -235,7 +241,7 @@
             return
         share = self._find_share(shard)
         if share < 1.0:
-            state.limit = rate_limit.begin(
+            state.limit = rate_limit.start_rate_limit(
                 limit.rate, now, share, self._rng, limit.named_at
             )
         else:
@@ -275,7 +281,9 @@
             self._give_limit(state, shard, now)
             heard = self._heard.get(state.entry.target_id)
             if heard is not None:
-                state.set_opinion(heard[0].failing, heard[0].slowness, heard[1])
+                state.set_estimates(
+                    heard[0].failure_probability, heard[0].slowness, heard[1]
+                )
 
     def _is_alone(self, service: str) -> bool:
         """Return whether no other VM asks here for targets of a service."""
@@ -306,14 +314,14 @@
     """Let a dispatcher that decides for others as well use what its targets take."""
     for state in known.pool.list_states():
         if state.limit is not None:
-            state.limit.use_whole(now)
+            state.limit.claim_full_rate(now)
 
 
-def _make_opinion(state: pool.TargetState, now: float) -> datagrams.Opinion:
+def _make_opinion(state: pool.TargetState, now: float) -> datagrams.TargetEstimate:
     """Return what a dispatcher thinks of a target."""
-    opinion = datagrams.Opinion(
+    opinion = datagrams.TargetEstimate(
         state.entry.target_id,
-        round(state.belief.find_failing(now), 3),
+        round(state.failure_estimate.find_failing_probability(now), 3),
         round(state.slowness.find(now), 2),
     )
     if state.limit is None:
@@ -321,6 +329,6 @@
     return dataclasses.replace(
         opinion,
         rate_limit=state.limit.rate,
-        due_in=round(max(0.0, state.limit.due_at - now), 2),
-        named_ago=round(max(0.0, now - state.limit.named_at), 2),
+        next_request_in=round(max(0.0, state.limit.due_at - now), 2),
+        rate_limit_age=round(max(0.0, now - state.limit.announced_at), 2),
     )
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_exchange.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_exchange.py
@@ -125,7 +125,7 @@
             self._log.write("quarantine_cleared", fingerprint=fingerprint)
             self._gossip([fingerprint])
 
-    def apply(self, message: datagrams.Suspects) -> None:
+    def apply(self, message: datagrams.SuspectRequests) -> None:
         """Merge the records that another VM has sent."""
         now = anyio.current_time()
         for fingerprint, received in message.items:
@@ -175,7 +175,7 @@
         if found is None or quarantine.is_shared(found):
             return
         number = int(fingerprint[:8], 16) % COUNTING_TASKS
-        ranked = self._fleet.rank_heard(f"count crashes {number}", now)
+        ranked = self._fleet.rank_reachable(f"count crashes {number}", now)
         counting = [self._fleet.find(vm) for vm in ranked[:COUNTING_VMS]]
         own = self._fleet.own.vm
         others = [one for one in counting if one is not None and one.vm != own]
@@ -196,4 +196,4 @@
             for name in fingerprints
             if (found := self._quarantine.find(name)) is not None
         )
-        self._link.send_many(datagrams.Suspects(items), receivers)
+        self._link.send_many(datagrams.SuspectRequests(items), receivers)
--- a/tests/edge/test_suspect_exchange.py
+++ b/tests/edge/test_suspect_exchange.py
@@ -44,7 +44,7 @@
     def send_many(
         self,
         sender: str,
-        message: datagrams.Suspects,
+        message: datagrams.SuspectRequests,
         receivers: collections.abc.Sequence[ports.Member],
     ) -> None:
         data = datagrams.encode(message, anyio.current_time())
@@ -57,7 +57,7 @@
     async def _deliver(self, data: bytes, vm: str) -> None:
         await anyio.sleep(self._rng.uniform(0.001, 0.02))
         message = datagrams.decode(data, anyio.current_time())
-        assert isinstance(message, datagrams.Suspects)
+        assert isinstance(message, datagrams.SuspectRequests)
         self.vms[vm].apply(message)
 
 
@@ -70,7 +70,7 @@
 
     def send_many(
         self,
-        message: datagrams.Suspects,
+        message: datagrams.SuspectRequests,
         receivers: collections.abc.Sequence[ports.Member],
     ) -> None:
         self.network.send_many(self.vm, message, receivers)
@@ -84,7 +84,7 @@
         fleet = members.Members(member, 0.0)
         for other in everybody:
             fleet.add(other)
-            fleet.note_heard(other.vm, 0.0)
+            fleet.record_contact(other.vm, 0.0)
         link = typing.cast(peer_link.PeerLink, Link(member.vm, network))
         network.vms[member.vm] = suspect_exchange.SuspectExchange(
             quarantine.Quarantine(), fleet, link, log, random.Random(member.vm)
--- a/tests/edge/test_suspension.py
+++ b/tests/edge/test_suspension.py
@@ -29,7 +29,7 @@
     lost, gaps = LostTime(), []
     watch = suspension.SuspensionWatch(gaps.append, lost.read)
     watch.check()
-    lost.seconds += suspension.LEAST_GAP / 2
+    lost.seconds += suspension.MIN_SUSPENSION_S / 2
     watch.check()
     assert gaps == []
     lost.seconds += 3.0
@@ -40,7 +40,7 @@
 
 def test_clocks_of_this_machine_can_be_read() -> None:
     first = suspension.read_lost_time()
-    assert abs(suspension.read_lost_time() - first) < suspension.LEAST_GAP
+    assert abs(suspension.read_lost_time() - first) < suspension.MIN_SUSPENSION_S
 
 
 async def start(site: edge_site.Site) -> tuple[edge_site.Vm, LostTime]:
@@ -132,10 +132,10 @@
         await edge_site.call(vm, method="GET", body=b"")
         client = vm.daemon._client
         now = anyio.current_time()
-        assert client.list_open(services.Work.IDEMPOTENT, now) == ["t1"]
+        assert client.list_connected_targets(services.Work.IDEMPOTENT, now) == ["t1"]
         lost.seconds = 2.0
         await anyio.sleep(0.1)
         now = anyio.current_time()
-        assert client.list_open(services.Work.IDEMPOTENT, now) == []
+        assert client.list_connected_targets(services.Work.IDEMPOTENT, now) == []
         assert (await edge_site.call(vm, request_id="id-2")).status_code == 200
-        assert client.opened == 2
+        assert client.opened_connections == 2
--- a/tests/scripted_run.py
+++ b/tests/scripted_run.py
@@ -19,9 +19,9 @@
     calls,
     http_exchange,
     log_lines,
-    request_notes,
+    request_recorder,
     request_run,
-    run_parts,
+    run_dependencies,
     target_client,
     unreachable_targets,
 )
@@ -75,7 +75,9 @@
         self.names = list(names)
         self.outcomes: list[messages.Outcome] = []
 
-    async def acquire(self, ask: messages.Ask) -> messages.Grant | messages.Refuse:
+    async def acquire(
+        self, ask: messages.SlotRequest
+    ) -> messages.Grant | messages.Refuse:
         """Return the next target."""
         await anyio.sleep(0.001)
         if not self.names:
@@ -95,7 +97,7 @@
         self.scripts = scripts
         self.broken_off: list[str] = []
 
-    def list_open(self, work: services.Work, now: float) -> list[str]:
+    def list_connected_targets(self, work: services.Work, now: float) -> list[str]:
         """Return none: every attempt opens a connection."""
         return []
 
@@ -163,7 +165,7 @@
 
 def make_parts(
     slots: ScriptedSlots, exchange: ScriptedTargets, names: list[str]
-) -> run_parts.Parts:
+) -> run_dependencies.RunDependencies:
     registry = targets.Registry()
     entries = [
         targets.Entry(
@@ -182,10 +184,10 @@
     ]
     registry.replace(entries, 1, 0.0)
     log = log_lines.LogLines("vm-1", os.open(os.devnull, os.O_WRONLY))
-    notes = request_notes.RequestNotes(
+    notes = request_recorder.RequestRecorder(
         log, metrics.Metrics(), configuration.ConfigurationState()
     )
-    return run_parts.Parts(
+    return run_dependencies.RunDependencies(
         "vm-1",
         "a",
         slots,
