--- a/tests/deployment/test_configuration.py
+++ b/tests/deployment/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force never goes back."""
+"""The version of the configuration in force never decreases."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 @hypothesis.given(st.lists(st.integers(1, 50)))
-def test_version_only_grows_whatever_is_offered(versions: list[int]) -> None:
-    # A peer that was cut off offers an old version after the store gave a new one.
-    # Taking it would serve routes that operators have dropped.
+def test_version_never_decreases_whatever_is_offered(versions: list[int]) -> None:
+    # A peer that was cut off offers an old version after the store returned a new one.
+    # Accepting it would serve routes that operators have removed.
     state = configuration.ConfigurationState()
     highest = 0
     for version in versions:
--- a/tests/deployment/test_routing.py
+++ b/tests/deployment/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, and the shares of split routes."""
+"""Routes are found by host and longest prefix, and split by weight."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     )
 
 
-def test_longest_prefix_of_the_host_wins() -> None:
+def test_longest_matching_prefix_of_the_host_wins() -> None:
     short, long = make_route("/a/"), make_route("/a/b/")
     other = make_route("/a/b/c/", host="b.example")
     table = routing.RouteTable((short, long, other))
@@ -51,11 +51,11 @@
     vms=st.integers(1, 40),
     seed=st.integers(0, 10_000),
 )
-def test_split_stays_close_to_its_weights_over_few_requests_of_many_vms(
+def test_split_keeps_its_weights_over_few_requests_of_many_vms(
     weights: list[int], vms: int, seed: int
 ) -> None:
-    # A fleet of 36 VMs sees a few requests each on a split route. Drawn at random,
-    # the shares wander; here each VM is within one request of its due for each part.
+    # Each of 36 VMs gets a few requests of a route with several services. Random draws
+    # would deviate from the shares; here each VM stays within one request per service.
     rng = random.Random(seed)
     parts = tuple(
         configuration.WeightedService(f"s{n}", float(weight))
@@ -75,7 +75,7 @@
 
 
 def test_fleet_of_vms_keeps_a_split_of_nine_to_one() -> None:
-    # 36 VMs, 8 requests each: a part of 10% must get within 3 in 100 of its share.
+    # 36 VMs, 8 requests each: a service with 10% must get within 3 in 100 of its share.
     rng = random.Random(5)
     parts = (
         configuration.WeightedService("a", 90.0),
@@ -88,7 +88,7 @@
     assert abs(counts["b"] / counts.total() - 0.1) < 0.03
 
 
-def test_router_keeps_a_split_through_a_change_of_another_route() -> None:
+def test_router_keeps_split_state_when_another_route_changes() -> None:
     split = make_route("/s/", parts=(("a", 1.0), ("b", 1.0)))
     router = routing.Router(random.Random(1))
     limits = configuration.Limits()
--- a/tests/deployment/test_targets.py
+++ b/tests/deployment/test_targets.py
@@ -1,4 +1,4 @@
-"""What the registry makes of entries, removals and old news."""
+"""How the registry applies entries, removals and outdated changes."""
 
 from __future__ import annotations
 
@@ -47,9 +47,9 @@
     assert list_names(registry) == {"b"}
 
 
-def test_old_page_does_not_bring_a_leaving_target_back() -> None:
-    # A VM hears from a peer that a target drains. The store then serves it a page
-    # that is seconds old, in which the target is still ready. Sending work there
+def test_stale_page_does_not_restore_a_draining_target() -> None:
+    # A VM receives from a peer that a target drains. The store then serves it a page
+    # that is seconds old, in which the target is still ready. Sending requests there
     # would break the bound on leaving targets.
     registry = targets.Registry()
     registry.apply([make_entry("a", 1), make_entry("b", 2)], 0.0)
@@ -59,7 +59,7 @@
     assert list_names(registry) == {"b"}
 
 
-def test_removed_target_is_not_brought_back_by_old_news() -> None:
+def test_removed_target_is_not_restored_by_an_outdated_entry() -> None:
     registry = targets.Registry()
     registry.apply([make_entry(name, n) for n, name in enumerate("abcdefgh")], 0.0)
     registry.apply([targets.Removal("a", 20)], 0.0)
@@ -69,21 +69,21 @@
     assert "a" in list_names(registry)
 
 
-def test_held_up_heartbeat_of_an_earlier_start_is_ignored() -> None:
-    # A target restarts under its id; a heartbeat of its former self arrives late.
+def test_delayed_heartbeat_of_an_earlier_incarnation_is_ignored() -> None:
+    # A target restarts under its ID; a heartbeat of its earlier incarnation is late.
     registry = targets.Registry()
     registry.apply([make_entry("a", 1, born=100)], 0.0)
     registry.apply([make_entry("a", 2, born=50, service="other")], 0.0)
     assert list_names(registry) == {"a"}
 
 
-def test_many_that_vanish_at_once_stay_in_use_for_a_moment() -> None:
-    # The store was away and the leases of live targets ran out with it. Dropping all
+def test_targets_that_vanish_together_stay_in_use_for_the_grace_time() -> None:
+    # The store was unavailable and the leases of running targets expired. Dropping all
     # at once would refuse every request until they have registered again.
     registry = targets.Registry()
     registry.apply([make_entry(name, n) for n, name in enumerate("abcdef")], 0.0)
     gone = [targets.Removal(name, 10 + n) for n, name in enumerate("abcde")]
-    # The removals are news all the same: other VMs must hear of them.
+    # The removals still count as changes: other VMs must receive them.
     assert registry.apply(gone, 100.0) == gone
     assert list_names(registry, 100.0) == set("abcdef")
     registry.apply([make_entry("a", 30)], 100.5)
@@ -93,14 +93,14 @@
     assert list_names(registry, later) == {"a", "f"}
 
 
-def test_single_one_that_vanishes_is_dropped_at_once() -> None:
+def test_single_target_that_vanishes_is_dropped_at_once() -> None:
     registry = targets.Registry()
     registry.apply([make_entry(name, n) for n, name in enumerate("abcdef")], 0.0)
     registry.apply([targets.Removal("a", 10)], 0.0)
     assert list_names(registry) == set("bcdef")
 
 
-def test_heartbeat_that_changes_nothing_is_no_news() -> None:
+def test_heartbeat_without_changes_is_not_returned_as_a_change() -> None:
     registry = targets.Registry()
     entry = make_entry("a", 1)
     assert registry.apply([entry], 0.0) == [entry]
@@ -108,9 +108,9 @@
     assert registry.apply([again], 0.0) == []
 
 
-def test_late_word_of_a_target_does_not_bring_it_back_after_a_listing() -> None:
-    # Guards against a VM that starts while a target leaves, and then hears a peer that
-    # stood still tell of it as ready.
+def test_late_entry_does_not_restore_a_target_after_a_listing() -> None:
+    # Guards against a VM that starts while a target leaves, and then receives from a
+    # peer that was suspended that the target is ready.
     registry = targets.Registry()
     registry.replace([make_entry("t1", position=3)], 9, 0.0)
     assert registry.apply([make_entry("t2", position=8)], 0.0) == []
@@ -119,9 +119,9 @@
     assert registry.find_usable("t3") is not None
 
 
-def test_targets_that_have_vanished_are_not_handed_on() -> None:
-    # Guards against a VM that starts in the grace of vanished targets and never hears
-    # that they are gone.
+def test_vanished_targets_are_not_listed_as_registered() -> None:
+    # Guards against a VM that starts in the grace time of vanished targets and never
+    # receives their removals.
     registry = targets.Registry()
     names = ["t1", "t2", "t3"]
     registry.apply([make_entry(name, position=1) for name in names], 0.0)
@@ -130,8 +130,8 @@
     assert [one.target_id for one in registry.list_registered()] == ["t3"]
 
 
-def test_copy_of_a_store_does_not_bring_a_leaving_target_back() -> None:
-    # A store returns from a copy: its entries stand in a later era, and tell of before.
+def test_restored_store_does_not_restore_leaving_targets() -> None:
+    # A store restored from a copy lists older entries at positions of a later era.
     registry = targets.Registry()
     registry.apply([make_entry("a", 40, targets.Phase.DRAINING, sequence=9)], 0.0)
     registry.apply([make_entry("b", 41, sequence=5)], 0.0)
@@ -143,25 +143,25 @@
     assert list_names(registry, 1.0) == {"b"}
 
 
-def test_next_start_of_a_target_counts_whatever_its_sequence() -> None:
+def test_entry_of_the_next_incarnation_applies_whatever_its_sequence() -> None:
     registry = targets.Registry()
     registry.apply([make_entry("a", 40, targets.Phase.DRAINING, sequence=9)], 0.0)
     registry.apply([make_entry("a", NEXT_ERA + 1, born=2, sequence=1)], 0.0)
     assert list_names(registry) == {"a"}
 
 
-def test_entries_of_a_later_era_count_at_lower_offsets() -> None:
+def test_entries_of_a_later_era_apply_at_lower_offsets() -> None:
     registry = targets.Registry()
     registry.replace([make_entry("a", 90, sequence=4)], 95, 0.0)
     drained = make_entry("a", NEXT_ERA + 2, targets.Phase.DRAINING, sequence=5)
     registry.apply([drained, make_entry("c", NEXT_ERA + 3, sequence=1)], 0.0)
     assert list_names(registry) == {"c"}
-    # Late news of the era before.
+    # A late change of the previous era.
     registry.apply([make_entry("a", 97, sequence=4)], 0.0)
     assert list_names(registry) == {"c"}
 
 
-def test_targets_that_a_copy_lacks_stay_until_they_could_have_written_again() -> None:
+def test_targets_missing_from_a_restored_store_stay_for_the_grace_time() -> None:
     registry = targets.Registry()
     registry.replace([make_entry("a", 90), make_entry("b", 91)], 95, 0.0)
     registry.replace([make_entry("a", NEXT_ERA + 1)], NEXT_ERA + 2, 10.0)
@@ -169,7 +169,7 @@
     assert list_names(registry, 10.0 + targets.REWRITE_GRACE_S + 0.1) == {"a"}
 
 
-def test_target_whose_lost_entry_is_written_again_as_it_was_stays() -> None:
+def test_target_that_rewrites_its_lost_entry_unchanged_stays() -> None:
     registry = targets.Registry()
     registry.replace([make_entry("a", 90), make_entry("b", 91, sequence=7)], 95, 0.0)
     registry.replace([make_entry("a", NEXT_ERA + 1)], NEXT_ERA + 2, 10.0)
@@ -178,12 +178,12 @@
 
 
 @hypothesis.given(st.randoms(use_true_random=False), st.integers(1, 3))
-def test_any_order_of_what_a_store_says_ends_with_the_newest(
+def test_entries_in_any_order_end_with_the_newest(
     rng: random.Random, eras: int
 ) -> None:
-    # A target writes with each heartbeat; the store returns from a copy at times, and
-    # what it has said is heard late, twice and from several VMs.
-    said: list[targets.Entry] = []
+    # A target writes with each heartbeat; the store is restored from a copy at times,
+    # and its entries are received late, twice and from several VMs.
+    written: list[targets.Entry] = []
     sequence, offset, last = 0, 0, 0
     for era in range(eras):
         offset = rng.randrange(offset + 1)
@@ -193,14 +193,14 @@
             sequence += not is_copied
             number = rng.randrange(sequence + 1) if is_copied else sequence
             place = positions.make_position(era, offset)
-            said.append(make_entry("a", place, sequence=number))
+            written.append(make_entry("a", place, sequence=number))
             last = max(last, number)
     registry = targets.Registry()
-    heard = [*said, *rng.sample(said, len(said) // 2)]
-    rng.shuffle(heard)
-    for entry in heard:
+    received = [*written, *rng.sample(written, len(written) // 2)]
+    rng.shuffle(received)
+    for entry in received:
         registry.apply([entry], 0.0)
-    own_era = [one for one in said if positions.find_era(one.position) == eras - 1]
+    own_era = [one for one in written if positions.find_era(one.position) == eras - 1]
     newest = registry.find("a")
     assert newest is not None
     assert newest.sequence >= max(one.sequence for one in own_era[-1:])
--- a/tests/edge/test_crash_check.py
+++ b/tests/edge/test_crash_check.py
@@ -1,4 +1,4 @@
-"""Telling a crashed target from one that broke off an answer."""
+"""Distinguishes a crashed target from one that broke off an answer."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
         assert await crash_check.CrashCheck().is_down(target, now)
 
 
-async def test_one_check_serves_all_that_a_crash_breaks() -> None:
+async def test_one_check_serves_all_attempts_that_a_crash_breaks() -> None:
     connections = 0
 
     async def count(stream: anyio.abc.SocketStream) -> None:
@@ -70,8 +70,8 @@
     assert connections == 1
 
 
-async def test_check_of_before_says_nothing_of_a_later_crash() -> None:
-    # A target resets a connection and lives on; soon after it crashes.
+async def test_result_of_an_earlier_check_is_not_used_for_a_later_crash() -> None:
+    # A target resets a connection and keeps running; soon after it crashes.
     check = crash_check.CrashCheck()
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
     target = make_target(listener.extra(anyio.abc.SocketAttribute.local_port))
--- a/tests/edge/test_crashing_requests.py
+++ b/tests/edge/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Requests that crash each target that runs them."""
+"""Requests that crash every target that runs them."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 pytestmark = pytest.mark.anyio
 
 FRAGILE = "/fragile"
-SETTLED = 0.3
-MOST_CRASHES = 6
-"""Targets that may crash before all VMs know: three, and those that the same request
-has reached at the same time."""
+SETTLE_TIME_S = 0.3
+MAX_CRASHED_TARGETS = 6
+"""Targets that may crash before all VMs know the request: three, and those that it has
+reached at the same time."""
 
 
 async def start(site: edge_site.Site, *names: str) -> list[edge_site.Vm]:
@@ -35,15 +35,15 @@
     return sum(1 for one in site.targets.values() if one.crash_scope.cancel_called)
 
 
-async def test_request_that_crashes_its_targets_is_kept_from_them_by_all_vms() -> None:
-    # Each VM sees a crash or two; only together do they see what crashes the targets.
+async def test_request_that_crashes_its_targets_is_quarantined_by_all_vms() -> None:
+    # Each VM sees only a crash or two; the VMs must combine them to quarantine it.
     async with edge_site.run_site() as site:
         vms = await start(site, "vm-1", "vm-2", "vm-3", "vm-4")
         for number in range(8):
             await send(vms[number % 4], f"r{number}")
-        await anyio.sleep(SETTLED)
+        await anyio.sleep(SETTLE_TIME_S)
         before = count_crashes(site)
-        assert before <= MOST_CRASHES
+        assert before <= MAX_CRASHED_TARGETS
         statuses = {await send(vms[n % 4], f"s{n}") for n in range(12)}
         assert statuses == {503}
         assert count_crashes(site) == before
@@ -51,7 +51,7 @@
         assert answer.status_code == 200
 
 
-async def test_vm_that_starts_later_knows_what_crashes_targets() -> None:
+async def test_vm_that_starts_later_quarantines_known_requests() -> None:
     async with edge_site.run_site() as site:
         vms = await start(site, "vm-1", "vm-2", "vm-3")
         for number in range(8):
@@ -59,14 +59,16 @@
         before = count_crashes(site)
         late = await site.start_vm("vm-late")
         await edge_site.wait_ready(late)
-        await anyio.sleep(SETTLED)
+        await anyio.sleep(SETTLE_TIME_S)
         assert [await send(late, f"s{n}") for n in range(4)] == [503] * 4
         assert count_crashes(site) == before
 
 
-async def test_request_is_not_denied_because_targets_crash_by_themselves() -> None:
-    # Many callers ask the same; targets crash under it one after the other, and in
-    # between it is answered.
+async def test_request_is_not_quarantined_when_targets_crash_for_other_reasons() -> (
+    None
+):
+    # Many callers send the same request; targets crash one after the other while they
+    # hold it, and in between it is answered.
     async with edge_site.run_site() as site:
         vms = await start(site, "vm-1", "vm-2")
         served = 0
--- a/tests/edge/test_fingerprints.py
+++ b/tests/edge/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""Knowing a request again when it returns."""
+"""Recognises a request when a caller repeats it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     return fingerprints.make_fingerprint(request, host, words.HEADERS)
 
 
-def test_request_that_returns_under_another_id_is_known() -> None:
+def test_repeated_request_with_another_id_has_the_same_fingerprint() -> None:
     again = [(b"x-request-id", b"2"), (b"x-deadline-ms", b"9"), HEADERS[1]]
     assert find(dataclasses.replace(REQUEST, headers=again)) == find(REQUEST)
 
--- a/tests/edge/test_suspect_exchange.py
+++ b/tests/edge/test_suspect_exchange.py
@@ -1,4 +1,4 @@
-"""The fleet learns within its bound which requests crash their targets."""
+"""All VMs learn within a time limit which requests crash their targets."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 )
 
 FINGERPRINT = "00112233aabbccdd"
-SIZE = 36
-BOUND = 3.0
-"""Seconds within which all VMs must know."""
+FLEET_SIZE = 36
+SPREAD_LIMIT_S = 3.0
+"""Seconds within which all VMs must hold a request that crashes its targets."""
 
 
 class Network:
-    """Carries datagrams between the VMs of a test, and loses some."""
+    """Delivers datagrams between the VMs of a test, with random delay and loss."""
 
     def __init__(self, loss: float, group: anyio.abc.TaskGroup) -> None:
         self.group = group
@@ -79,7 +79,7 @@
 def build(loss: float, group: anyio.abc.TaskGroup) -> Network:
     network = Network(loss, group)
     log = log_lines.LogLines("vm", os.open(os.devnull, os.O_WRONLY))
-    everybody = [ports.Member(f"vm-{n}", "a", "h", n, 1) for n in range(SIZE)]
+    everybody = [ports.Member(f"vm-{n}", "a", "h", n, 1) for n in range(FLEET_SIZE)]
     for member in everybody:
         fleet = members.Members(member, 0.0)
         for other in everybody:
@@ -122,47 +122,47 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
-def test_crashes_at_three_vms_are_known_to_all(loss: float) -> None:
+def test_crashes_at_three_vms_quarantine_the_request_at_all_vms(loss: float) -> None:
     async def steps(network: Network) -> None:
         for number in range(3):
             crash(network, f"vm-{number * 7}", number)
             await anyio.sleep(0.2)
-        await anyio.sleep(BOUND)
-        assert count_holding(network) == SIZE
+        await anyio.sleep(SPREAD_LIMIT_S)
+        assert count_holding(network) == FLEET_SIZE
 
     play(loss, steps)
 
 
-def test_crashes_are_counted_while_those_that_count_die() -> None:
+def test_crashes_are_counted_while_counting_vms_fail() -> None:
     async def steps(network: Network) -> None:
         crash(network, "vm-1", 1)
-        network.cut = {f"vm-{n}" for n in range(SIZE) if n % 3 == 0}
+        network.cut = {f"vm-{n}" for n in range(FLEET_SIZE) if n % 3 == 0}
         await anyio.sleep(0.5)
         for number in (2, 3):
             crash(network, f"vm-{number * 8 - 5}", number)
             await anyio.sleep(0.5)
-        await anyio.sleep(BOUND)
-        assert count_holding(network) >= SIZE - len(network.cut)
+        await anyio.sleep(SPREAD_LIMIT_S)
+        assert count_holding(network) >= FLEET_SIZE - len(network.cut)
 
     play(0.1, steps)
 
 
-def test_vm_that_was_cut_off_learns_within_the_bound() -> None:
+def test_vm_that_was_cut_off_learns_within_the_limit() -> None:
     async def steps(network: Network) -> None:
         network.cut = {"vm-5"}
         for number in range(3):
             crash(network, f"vm-{number}", number)
             await anyio.sleep(0.2)
         await anyio.sleep(10.0)
-        assert count_holding(network) == SIZE - 1
+        assert count_holding(network) == FLEET_SIZE - 1
         network.cut = set()
-        await anyio.sleep(BOUND)
-        assert count_holding(network) == SIZE
+        await anyio.sleep(SPREAD_LIMIT_S)
+        assert count_holding(network) == FLEET_SIZE
 
     play(0.1, steps)
 
 
-def test_vm_that_decides_alone_counts_what_it_sees() -> None:
+def test_vm_that_is_cut_off_counts_the_crashes_that_it_sees() -> None:
     async def steps(network: Network) -> None:
         network.cut = {"vm-5"}
         for number in range(3):
@@ -173,30 +173,33 @@
     play(0.0, steps)
 
 
-def test_answer_at_one_vm_clears_the_request_at_all() -> None:
+def test_answer_at_one_vm_clears_the_request_at_all_vms() -> None:
     async def steps(network: Network) -> None:
         for number in range(3):
             crash(network, f"vm-{number}", number)
             await anyio.sleep(0.2)
-        await anyio.sleep(BOUND)
+        await anyio.sleep(SPREAD_LIMIT_S)
         network.vms["vm-9"].record_answer(FINGERPRINT)
-        await anyio.sleep(BOUND)
+        await anyio.sleep(SPREAD_LIMIT_S)
         assert count_holding(network) == 0
 
     play(0.1, steps)
 
 
-def test_telling_comes_to_rest() -> None:
-    # What each VM passes on at once must not go round for ever.
+def test_forwarding_ends_and_leaves_regular_announcements() -> None:
+    # Records that VMs forward at once must not circulate for ever.
     async def steps(network: Network) -> None:
         for number in range(4):
             crash(network, f"vm-{number}", number)
             await anyio.sleep(0.2)
-        await anyio.sleep(BOUND)
+        await anyio.sleep(SPREAD_LIMIT_S)
         before = network.sent
         await anyio.sleep(6.0)
         regular = (
-            SIZE * suspect_exchange.FANOUT * 6.0 / suspect_exchange.ANNOUNCE_INTERVAL_S
+            FLEET_SIZE
+            * suspect_exchange.FANOUT
+            * 6.0
+            / suspect_exchange.ANNOUNCE_INTERVAL_S
         )
         assert network.sent - before <= 1.1 * regular
 
--- a/tests/forwarding/test_plan.py
+++ b/tests/forwarding/test_plan.py
@@ -1,4 +1,4 @@
-"""The promises of a request's plan: never twice, and "not run" only with proof."""
+"""A plan never sends once-only work twice and says "not run" only with proof."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
 
 @pytest.mark.parametrize("result", [Result.BROKEN, Result.ERROR])
 def test_work_that_may_have_run_goes_to_no_second_target(result: plan.Result) -> None:
-    # The target took the request and gave no whole answer, or an error of its own.
-    # A second target could run it again: one order would become two.
+    # The target accepted the request and gave no complete answer, or a failure.
+    # A second target could run it again, and one order would become two.
     one = make_plan(services.Work.AT_MOST_ONCE)
     step = attempt(one, result)
     assert step in (Step.ANSWER_UNKNOWN, Step.RELAY)
@@ -74,7 +74,7 @@
     assert attempt(one, Result.BROKEN) is Step.RELAY
 
 
-def test_no_attempt_begins_when_the_time_is_over() -> None:
+def test_no_attempt_starts_just_before_the_deadline() -> None:
     one = make_plan(services.Work.IDEMPOTENT)
     assert attempt(one, Result.BROKEN, now=0.99) is Step.ANSWER_UNKNOWN
 
@@ -84,7 +84,7 @@
     most=st.integers(1, 4),
     results=st.lists(st.sampled_from(list(Result)), min_size=1, max_size=12),
 )
-def test_promises_hold_whatever_targets_do(
+def test_promises_hold_for_any_results(
     work: services.Work, most: int, results: list[plan.Result]
 ) -> None:
     one = make_plan(work, most)
@@ -111,11 +111,11 @@
 @pytest.mark.parametrize(
     "result", [Result.TURNED_AWAY, Result.MISPLACED, Result.BROKEN, Result.ERROR]
 )
-def test_attempt_under_way_is_waited_for_when_its_backup_fails(
+def test_plan_waits_for_the_first_attempt_when_its_backup_fails(
     result: plan.Result,
 ) -> None:
-    # Idempotent work is overdue at one target, and the next one fails it. The first is
-    # still at work: an error given now would be false, since its answer may come.
+    # Idempotent work is overdue at one target, and the backup fails. The first target
+    # still works on it: an error now would be wrong, since its answer may come.
     one = make_plan(services.Work.IDEMPOTENT, attempts=2)
     start(one)
     start(one)
@@ -123,7 +123,7 @@
     assert one.end_attempt(Result.ANSWERED, now=0.4) is Step.RELAY
 
 
-def test_attempt_under_way_is_waited_for_when_no_backup_is_to_be_had() -> None:
+def test_plan_waits_for_an_attempt_when_no_backup_is_available() -> None:
     one = make_plan(services.Work.IDEMPOTENT, attempts=2)
     start(one)
     assert one.give_up() is Step.WAIT
@@ -138,7 +138,7 @@
     assert one.end_attempt(Result.BROKEN, now=0.3) is Step.RELAY
 
 
-def test_deadline_ends_a_request_with_an_attempt_under_way() -> None:
+def test_deadline_ends_a_request_with_an_attempt_in_flight() -> None:
     one = make_plan(services.Work.IDEMPOTENT)
     start(one)
     assert one.decide_final() is Step.ANSWER_UNKNOWN
@@ -159,13 +159,13 @@
         max_size=16,
     ),
 )
-def test_no_answer_of_our_own_while_an_attempt_is_under_way(
+def test_no_final_error_while_an_attempt_is_in_flight(
     most: int, moves: list[tuple[int, plan.Result] | None]
 ) -> None:
-    # A move without a result starts one more attempt, the others end one of those that
-    # are under way, in any order.
+    # A move without a result starts one more attempt; the others end one of those in
+    # flight, in any order.
     one = make_plan(services.Work.IDEMPOTENT, most)
-    under_way = 0
+    in_flight = 0
     runs = 0
     for move in moves:
         if one.is_answered:
@@ -173,16 +173,16 @@
         if move is None:
             if one.sent < most:
                 start(one)
-                under_way += 1
+                in_flight += 1
                 runs += 1
-            step = one.give_up() if under_way else Step.TRY_AGAIN
-        elif under_way:
-            under_way -= 1
+            step = one.give_up() if in_flight else Step.TRY_AGAIN
+        elif in_flight:
+            in_flight -= 1
             runs -= move[1] in NOT_RUN
             step = one.end_attempt(move[1], now=0.1)
         else:
             continue
-        if under_way and not one.is_answered:
+        if in_flight and not one.is_answered:
             assert step in (Step.WAIT, Step.TRY_AGAIN)
         if step is Step.ANSWER_NOT_RUN:
             assert runs == 0
--- a/tests/forwarding/test_suspended_plan.py
+++ b/tests/forwarding/test_suspended_plan.py
@@ -1,4 +1,4 @@
-"""One request through suspensions at every step: never run twice, told only truth."""
+"""A request whose VM is suspended at any step: never run twice, answered truthfully."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class SuspendedRequest(stateful.RuleBasedStateMachine):
-    """A VM that tries targets, stands still at any moment, and takes up again.
+    """A VM that tries targets and is suspended and resumed at any moment.
 
-    A target may begin with the work at any time after it was sent, also after the VM
-    has given up, and its answer may come late or never.
+    A target may start the work at any time after it was sent, even after the VM has
+    given up, and its answer may come late or never.
     """
 
     @stateful.initialize(
@@ -67,11 +67,11 @@
         name = self.at_work
         assert name is not None
         if result is plan.Result.UNREACHABLE:
-            return  # Nothing was sent then; it is no end of one that was.
+            return  # Nothing was sent, so a sent attempt can't end so.
         proves_not_run = result in plan.PROVED_NOT_RUN
         has_run = name in self.ran
         if proves_not_run and has_run:
-            return  # A target does not turn away what it has run.
+            return  # A target doesn't refuse what it has run.
         if result in (plan.Result.ANSWERED, plan.Result.ERROR) and not has_run:
             self.ran.append(name)
         if proves_not_run:
--- a/tests/quarantine/test_suspect.py
+++ b/tests/quarantine/test_suspect.py
@@ -1,4 +1,4 @@
-"""Telling requests that crash their targets from those that were at them by chance."""
+"""Distinguishes requests that crash their targets from those held by chance."""
 
 from __future__ import annotations
 
@@ -10,84 +10,86 @@
 
 from zinniastand_core.quarantine import quarantine, suspect
 
-TOOK = 0.1
+DURATION_S = 0.1
 
 
-def crash(ended_at: float, number: int, took: float = TOOK) -> suspect.Suspect:
-    one = suspect.Crash(ended_at, took, f"t{number}:1")
+def crash(
+    ended_at: float, number: int, duration: float = DURATION_S
+) -> suspect.Suspect:
+    one = suspect.Crash(ended_at, duration, f"t{number}:1")
     return suspect.Suspect((one,))
 
 
-def merge_all(*records: suspect.Suspect) -> suspect.Suspect:
+def merge_all(*partial_records: suspect.Suspect) -> suspect.Suspect:
     merged = suspect.Suspect()
-    for record in records:
+    for record in partial_records:
         merged = merged.merge(record)
     return merged
 
 
-def crash_in_turn(count: int, first: float = 100.0) -> suspect.Suspect:
+def crash_consecutively(count: int, first: float = 100.0) -> suspect.Suspect:
     return merge_all(*(crash(first + number * 0.5, number) for number in range(count)))
 
 
-def test_three_crashes_in_turn_quarantine_a_request() -> None:
-    assert not crash_in_turn(2).is_quarantined(101.1)
-    assert crash_in_turn(3).is_quarantined(101.1)
+def test_three_consecutive_crashes_quarantine_a_request() -> None:
+    assert not crash_consecutively(2).is_quarantined(101.1)
+    assert crash_consecutively(3).is_quarantined(101.1)
 
 
-def test_targets_that_fail_in_one_moment_count_once() -> None:
+def test_targets_that_fail_at_the_same_moment_count_once() -> None:
     # A rack fails while equal requests of many callers are at all of its targets.
     rng = random.Random(1)
-    parts = [crash(100.0, n, took=rng.uniform(0.005, 0.5)) for n in range(30)]
+    parts = [crash(100.0, n, duration=rng.uniform(0.005, 0.5)) for n in range(30)]
     assert merge_all(*parts).count_consecutive() == 1
 
 
 def test_crashes_that_overlap_let_one_request_through_at_a_time() -> None:
-    # The same request reaches many targets before the first of them crashes. Counted
-    # in turn these are one crash, and the next ones would again go out side by side.
-    kept = quarantine.Quarantine()
+    # The same request reaches many targets before the first of them crashes. These
+    # count as one consecutive crash, and later attempts would overlap again.
+    records = quarantine.Quarantine()
     for number in range(5):
-        kept.merge("a", crash(102.0 + number / 10, number, took=2.0))
-    assert kept.find_hold_end("a", 102.5) is None
-    assert kept.begin_trial("a", 102.5)
-    assert kept.find_hold_end("a", 102.6) is not None
-    kept.merge("a", crash(104.5, 9, took=2.0))
-    assert kept.find_hold_end("a", 104.6) is None
-    assert kept.begin_trial("a", 104.6)
-    kept.merge("a", crash(106.6, 10, took=2.0))
-    assert kept.find_hold_end("a", 106.7) is not None
-    kept.record_answer("a", 106.8)
-    assert kept.find_hold_end("a", 106.9) is None
+        records.merge("a", crash(102.0 + number / 10, number, duration=2.0))
+    assert records.find_hold_end("a", 102.5) is None
+    assert records.begin_trial("a", 102.5)
+    assert records.find_hold_end("a", 102.6) is not None
+    records.merge("a", crash(104.5, 9, duration=2.0))
+    assert records.find_hold_end("a", 104.6) is None
+    assert records.begin_trial("a", 104.6)
+    records.merge("a", crash(106.6, 10, duration=2.0))
+    assert records.find_hold_end("a", 106.7) is not None
+    records.record_answer("a", 106.8)
+    assert records.find_hold_end("a", 106.9) is None
 
 
 def test_equal_requests_at_a_rack_that_fails_wait_for_one_of_them() -> None:
-    # None was answered lately, so that nothing clears them; one that is answered does.
-    kept = quarantine.Quarantine()
+    # None was answered recently, so nothing clears them until a trial is answered.
+    records = quarantine.Quarantine()
     for number in range(30):
-        kept.merge("a", crash(100.0, number, took=0.3))
-    assert kept.find_hold_end("a", 100.1) is None
-    assert kept.begin_trial("a", 100.1)
-    assert kept.find_hold_end("a", 100.2) == 100.1 + suspect.SHORT_TRIAL_DURATION_S
-    kept.record_answer("a", 100.4)
-    assert kept.find_hold_end("a", 100.5) is None
+        records.merge("a", crash(100.0, number, duration=0.3))
+    assert records.find_hold_end("a", 100.1) is None
+    assert records.begin_trial("a", 100.1)
+    assert records.find_hold_end("a", 100.2) == 100.1 + suspect.SHORT_TRIAL_DURATION_S
+    records.record_answer("a", 100.4)
+    assert records.find_hold_end("a", 100.5) is None
 
 
 def test_request_answered_between_crashes_is_not_quarantined() -> None:
     answered = suspect.Suspect(answered_at=100.4)
-    assert crash_in_turn(6).merge(answered).count_consecutive() == 0
+    assert crash_consecutively(6).merge(answered).count_consecutive() == 0
     soon = merge_all(*(crash(101.0 + n * 0.2, n) for n in range(6)))
     assert soon.merge(answered).count_consecutive() == 0
 
 
 def test_hold_ends_and_doubles_with_each_crash_after_it() -> None:
-    held = crash_in_turn(3)
+    held = crash_consecutively(3)
     assert not held.is_quarantined(101.0 + suspect.INITIAL_HOLD_S)
     again = held.merge(crash(170.0, 9))
     assert again.find_hold_end() == 170.0 + 2 * suspect.INITIAL_HOLD_S
 
 
-def test_trial_keeps_others_of_the_same_request_back() -> None:
+def test_trial_holds_other_attempts_of_the_same_request() -> None:
     at = 101.0 + suspect.INITIAL_HOLD_S
-    tried = crash_in_turn(3).merge(suspect.Suspect(tried_at=at))
+    tried = crash_consecutively(3).merge(suspect.Suspect(tried_at=at))
     assert tried.is_quarantined(at + 0.1)
     assert not tried.is_quarantined(at + suspect.TRIAL_DURATION_S)
 
@@ -105,10 +107,12 @@
     assert merged == merge_all(*parts)
 
 
-def test_record_that_comes_back_by_other_ways_is_no_news() -> None:
-    # Each VM that passes it on makes it some milliseconds later; taken for news, it
-    # would be passed on for ever.
-    known = crash_in_turn(3).merge(suspect.Suspect(tried_at=200.0, answered_at=10.0))
+def test_forwarded_record_with_shifted_times_adds_nothing() -> None:
+    # Each VM that forwards a record makes its times some milliseconds later. If that
+    # counted as an update, the record would be forwarded for ever.
+    known = crash_consecutively(3).merge(
+        suspect.Suspect(tried_at=200.0, answered_at=10.0)
+    )
     assert not known.merge(known.age(-0.02)).adds_to(known)
 
 
@@ -116,77 +120,79 @@
     assert crash(100.02, 1).merge(crash(100.0, 1)).crashes[0].ended_at == 100.0
 
 
-def test_one_crash_concerns_few_and_two_concern_all() -> None:
-    kept = quarantine.Quarantine()
-    kept.merge("a", crash(100.0, 1))
-    assert kept.list_shared() == []
-    kept.merge("a", crash(101.0, 2))
-    assert kept.list_shared() == ["a"]
+def test_record_is_shared_with_all_vms_from_the_second_crash() -> None:
+    records = quarantine.Quarantine()
+    records.merge("a", crash(100.0, 1))
+    assert records.list_shared() == []
+    records.merge("a", crash(101.0, 2))
+    assert records.list_shared() == ["a"]
 
 
 def test_vm_that_saw_an_answer_clears_what_others_suspect() -> None:
-    kept = quarantine.Quarantine()
-    kept.record_answer("a", 99.0)
-    assert kept.merge("a", crash_in_turn(4))
-    assert kept.find_hold_end("a", 102.0) is None
-    assert kept.list_shared() == ["a"]
+    records = quarantine.Quarantine()
+    records.record_answer("a", 99.0)
+    assert records.merge("a", crash_consecutively(4))
+    assert records.find_hold_end("a", 102.0) is None
+    assert records.list_shared() == ["a"]
 
 
 def test_request_answered_after_one_crash_is_forgotten() -> None:
-    kept = quarantine.Quarantine()
-    kept.merge("a", crash(100.0, 1))
-    assert not kept.record_answer("a", 100.5)
-    assert len(kept) == 0
+    records = quarantine.Quarantine()
+    records.merge("a", crash(100.0, 1))
+    assert not records.record_answer("a", 100.5)
+    assert len(records) == 0
 
 
-def test_thousands_of_different_requests_do_not_drive_out_one_that_crashes() -> None:
-    # Targets crash by themselves, and each request there has one crash to its name.
-    kept = quarantine.Quarantine()
-    kept.merge("worst", crash_in_turn(2))
+def test_thousands_of_other_requests_do_not_evict_one_that_crashes() -> None:
+    # Targets crash for other reasons, and each request that they hold has one crash.
+    records = quarantine.Quarantine()
+    records.merge("worst", crash_consecutively(2))
     for number in range(5000):
-        kept.merge(f"r{number}", crash(101.0 + number / 1000, number))
-        kept.record_answer(f"s{number}", 101.0)
-    assert len(kept) <= quarantine.MAX_SUSPECTS
-    kept.merge("worst", crash(107.0, 6000))
-    assert kept.find_hold_end("worst", 107.1) is not None
-
-
-def test_popular_request_that_was_cleared_is_told_no_more() -> None:
-    # It is answered all the time. Told with each answer, it would be told for ever.
-    kept = quarantine.Quarantine()
-    kept.merge("a", crash_in_turn(2))
-    assert kept.record_answer("a", 102.0)
-    told = sum(kept.record_answer("a", 102.0 + number / 10) for number in range(400))
-    assert told == 0
-    kept.drop_expired(145.0)
-    assert kept.list_shared() == []
-
-
-def test_request_that_begins_to_crash_its_targets_is_known_soon() -> None:
-    # Its answers of before count for less than the time in which all VMs must know.
-    kept = quarantine.Quarantine()
-    kept.record_answer("a", 100.0)
+        records.merge(f"r{number}", crash(101.0 + number / 1000, number))
+        records.record_answer(f"s{number}", 101.0)
+    assert len(records) <= quarantine.MAX_SUSPECTS
+    records.merge("worst", crash(107.0, 6000))
+    assert records.find_hold_end("worst", 107.1) is not None
+
+
+def test_popular_request_that_was_cleared_is_announced_once() -> None:
+    # It is answered all the time. Announced with each answer, it would never stop.
+    records = quarantine.Quarantine()
+    records.merge("a", crash_consecutively(2))
+    assert records.record_answer("a", 102.0)
+    announced = sum(
+        records.record_answer("a", 102.0 + number / 10) for number in range(400)
+    )
+    assert announced == 0
+    records.drop_expired(145.0)
+    assert records.list_shared() == []
+
+
+def test_answered_request_that_begins_to_crash_targets_is_quarantined() -> None:
+    # Earlier answers count for less than the time in which all VMs must know.
+    records = quarantine.Quarantine()
+    records.record_answer("a", 100.0)
     for number in range(20):
-        kept.merge("a", crash(100.2 + 0.2 * number, number, took=0.1))
-        kept.record_answer("b", 100.0)
-    assert kept.find_hold_end("a", 103.0) is not None
+        records.merge("a", crash(100.2 + 0.2 * number, number, duration=0.1))
+        records.record_answer("b", 100.0)
+    assert records.find_hold_end("a", 103.0) is not None
 
 
 def test_only_one_trial_follows_a_hold() -> None:
-    kept = quarantine.Quarantine()
-    kept.merge("a", crash_in_turn(3))
+    records = quarantine.Quarantine()
+    records.merge("a", crash_consecutively(3))
     over = 101.0 + suspect.INITIAL_HOLD_S
-    assert kept.find_hold_end("a", over) is None
-    assert kept.begin_trial("a", over)
-    assert kept.find_hold_end("a", over + 0.1) is not None
-    assert not kept.begin_trial("other", over)
-
-
-def test_records_are_forgotten_and_age_while_the_vm_stands_still() -> None:
-    kept = quarantine.Quarantine()
-    kept.merge("a", crash_in_turn(3))
-    kept.compensate_suspension(suspect.INITIAL_HOLD_S)
-    assert kept.find_hold_end("a", 101.5) is None
-    kept.drop_expired(101.0 + quarantine.RETENTION_S)
-    assert len(kept) == 0
+    assert records.find_hold_end("a", over) is None
+    assert records.begin_trial("a", over)
+    assert records.find_hold_end("a", over + 0.1) is not None
+    assert not records.begin_trial("other", over)
+
+
+def test_records_age_during_a_suspension_and_expire() -> None:
+    records = quarantine.Quarantine()
+    records.merge("a", crash_consecutively(3))
+    records.compensate_suspension(suspect.INITIAL_HOLD_S)
+    assert records.find_hold_end("a", 101.5) is None
+    records.drop_expired(101.0 + quarantine.RETENTION_S)
+    assert len(records) == 0
     assert math.isinf(suspect.Suspect().find_hold_end())
