--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/__init__.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/__init__.py
@@ -1,6 +1,6 @@
-"""How work is placed, waits and is refused: one dispatcher a shard.
+"""Assigns requests to targets, queues and refuses them: one dispatcher a shard.
 
-Pure decisions: a dispatcher takes typed messages and the time, and returns typed
-decisions. `shards` divides a service, `dispatcher` is the way in, `pool` holds the
-targets of a shard, `beliefs` what is thought of each.
+Pure decision logic: a dispatcher takes typed messages and the time, and returns typed
+decisions. `shards` divides a service, `dispatcher` is the entry point, `pool` holds the
+targets of a shard and `failure_estimates` the probability that each of them is failing.
 """
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/failure_estimates.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/failure_estimates.py
@@ -1,11 +1,11 @@
-"""What is thought of a target: a two-state filter over the outcomes of real work.
-
-Targets fail for seconds at a time, at once and fully, while their health endpoint says
-that all is well. A target is therefore modelled as good or failing, with a rate at
-which it changes from one to the other (a two-state hidden Markov model; Rabiner, 1989,
-"A tutorial on hidden Markov models"). One outcome moves the belief by Bayes' rule, and
-time without outcomes lets it drift back to what is usual. Rates are learned, since the
-next deployment differs.
+"""Estimates whether a target is failing, from the outcomes of real requests.
+
+Targets fail abruptly and for seconds at a time while their health endpoint still
+reports success. A target is therefore modelled as healthy or failing, with a rate of
+change between the two states (a two-state hidden Markov model; Rabiner, 1989, "A
+tutorial on hidden Markov models"). Each outcome updates the probability by Bayes' rule;
+without outcomes it decays towards the usual share of time spent failing. The rates are
+learned at run time, since deployments differ.
 """
 
 from __future__ import annotations
@@ -13,39 +13,41 @@
 import math
 
 FAILING_THRESHOLD = 0.7
-"""Belief above which a target counts as failing when rates are learned."""
+"""Probability above which a target counts as failing when rates are learned."""
 
 HEALTHY_THRESHOLD = 0.25
-"""Belief below which it counts as good when rates are learned."""
+"""Probability below which a target counts as healthy when rates are learned."""
 
 NEW_TARGET_FAILING_PROBABILITY = 0.1
-"""Belief of a target that joins a service at work. Low, since a fresh process is more
-often sound than one picked at random, and a target without work earns nothing."""
+"""Initial probability that a target which joins a running service is failing. Low,
+since a new process is more often healthy than a target picked at random, and a target
+that gets no requests contributes nothing."""
 
 
 class FailureRates:
-    """How targets of a service fail, learned from what happens.
+    """How targets of a service fail and recover, learned from outcomes.
 
-    Each rate starts from a guess that weighs as much as a few events, so the first
-    minute of a new deployment is steered by the guess and the rest by what is seen.
+    Each rate starts from a prior that weighs as much as a few events, so that the prior
+    governs the first minute of a new deployment and observations govern the rest.
     """
 
     def __init__(self) -> None:
-        # Guesses: one onset in 12 s and one recovery in 3 s of a target's time.
+        # Priors: one onset in 12 s of healthy time, one recovery in 3 s of failing
+        # time.
         self._onsets, self._good_time = 3.0, 36.0
         self._recoveries, self._failing_time = 3.0, 9.0
-        # Guesses: three of four fail while failing, one in 100 otherwise.
+        # Priors: a failing target fails three of four requests, a healthy one 1 in 100.
         self._failed_failing, self._all_failing = 3.0, 4.0
         self._failed_good, self._all_good = 0.5, 50.0
 
     @property
     def onset_per_s(self) -> float:
-        """Changes from good to failing, per second."""
+        """Changes from healthy to failing, per second."""
         return self._onsets / self._good_time
 
     @property
     def recovery_per_s(self) -> float:
-        """Changes from failing to good, per second."""
+        """Changes from failing to healthy, per second."""
         return self._recoveries / self._failing_time
 
     @property
@@ -60,29 +62,29 @@
 
     @property
     def fails_when_good(self) -> float:
-        """Share of requests that a good target fails."""
+        """Share of requests that a healthy target fails."""
         return min(0.2, self._failed_good / self._all_good)
 
     def add_time(self, seconds: float, is_failing: bool) -> None:
-        """Count time that a target spent in a state."""
+        """Add time in seconds that a target spent in a state."""
         if is_failing:
             self._failing_time += seconds
         else:
             self._good_time += seconds
 
     def add_change(self, is_failing: bool) -> None:
-        """Count a change of a target's state."""
+        """Count a change to the given state."""
         if is_failing:
             self._onsets += 1
         else:
             self._recoveries += 1
 
-    def add_outcome(self, belief: float, failed: bool) -> None:
-        """Count an outcome of a target, where its state is clear."""
-        if belief > FAILING_THRESHOLD:
+    def add_outcome(self, failing_probability: float, failed: bool) -> None:
+        """Count an outcome if it is clear whether the target is failing."""
+        if failing_probability > FAILING_THRESHOLD:
             self._all_failing += 1
             self._failed_failing += failed
-        elif belief < HEALTHY_THRESHOLD:
+        elif failing_probability < HEALTHY_THRESHOLD:
             self._all_good += 1
             self._failed_good += failed
 
@@ -92,12 +94,12 @@
 
     Parameters
     ----------
-    rates : Rates
-        Rates of its service.
+    rates : FailureRates
+        Rates of the target's service.
     now : float
-        Seconds of any steady clock.
+        Seconds of a monotonic clock, as in all methods.
     failing : float
-        What is believed at first.
+        Initial probability that the target is failing.
     """
 
     def __init__(
@@ -113,11 +115,11 @@
 
     @property
     def failing_time(self) -> float:
-        """Seconds for which targets of its service usually fail."""
+        """Mean duration of a failure of this service's targets, in seconds."""
         return 1.0 / self._rates.recovery_per_s
 
     def find_failing_probability(self, now: float) -> float:
-        """Return the probability that it is failing."""
+        """Return the probability that the target is failing."""
         rates = self._rates
         elapsed = max(0.0, now - self._at)
         fade = math.exp(-(rates.onset_per_s + rates.recovery_per_s) * elapsed)
@@ -127,7 +129,7 @@
         )
 
     def find_request_failure_probability(self, now: float) -> float:
-        """Return the probability that it fails a request sent now."""
+        """Return the probability that the target fails a request sent now."""
         failing = self.find_failing_probability(now)
         rates = self._rates
         return (
@@ -135,7 +137,7 @@
         )
 
     def record_outcome(self, failed: bool, now: float) -> None:
-        """Move the belief by one outcome."""
+        """Update the probability by the outcome of one request."""
         prior = self.find_failing_probability(now)
         rates = self._rates
         rates.add_outcome(prior, failed)
@@ -149,7 +151,7 @@
         self._at = max(self._at, now)
 
     def set_failing_probability(self, failing: float, now: float) -> None:
-        """Take over what another VM believes."""
+        """Set the probability to the estimate of another VM."""
         self._failing = failing
         self._at = now
 
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/rate_limit.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/rate_limit.py
@@ -1,25 +1,26 @@
-"""Paces the requests to a target that names how many it takes a second.
+"""Paces the requests to a target that announces a rate limit.
 
-Such a target is in need, and what all VMs send it counts together. The dispatcher of
-its shard sees all of it. Where several dispatch for a while, since VMs do not hear each
-other or a task moves, each takes a part.
+Such a target is overloaded, and the requests of all VMs count together against its
+limit. The dispatcher of its shard sees all of them. Where several dispatchers are
+active for a time, because VMs do not hear each other or a task moves, each takes a
+share.
 """
 
 from __future__ import annotations
 
 import random
 
-BURST = 0.5
-"""Seconds by which requests may come before they are due: those of a service come in
-clumps, and held to the mean at any moment a target would get less than it takes."""
+BURST_S = 0.5
+"""Seconds by which requests may come before they are due: the requests of a service
+arrive in bursts, and strict pacing would give a target less than it accepts."""
 
-LEAST_RATE = 0.1
-"""Least requests a second that a target gets: with none at all, nobody would learn that
-its limit has lifted."""
+MIN_RATE_PER_S = 0.1
+"""Minimum rate to a target: without any requests, nobody would learn that its limit has
+been lifted."""
 
-OTHERS_FOR = 1.5
-"""Seconds for which another dispatcher that was heard of counts. Each tells all others
-every second."""
+OTHER_DISPATCHER_TIMEOUT_S = 1.5
+"""Seconds for which another dispatcher counts after its last message. Each dispatcher
+sends one to all others every second."""
 
 
 class RateLimit:
@@ -30,22 +31,22 @@
     Parameters
     ----------
     rate : float
-        Requests a second from all VMs together.
+        Requests per second from all VMs together.
     due_at : float
-        When the next request is due.
+        When the next request is due, in seconds of a monotonic clock.
     announced_at : float
-        When an answer has last named it.
+        When an answer last announced the limit, in seconds of the same clock.
     """
 
     def __init__(self, rate: float, due_at: float, announced_at: float) -> None:
-        self._rate = max(LEAST_RATE, rate)
+        self._rate = max(MIN_RATE_PER_S, rate)
         self._due_at = due_at
         self._others_until: dict[str, float] = {}
         self.announced_at = announced_at
 
     @property
     def rate(self) -> float:
-        """Requests a second from all VMs together."""
+        """Requests per second from all VMs together."""
         return self._rate
 
     @property
@@ -54,32 +55,32 @@
         return self._due_at
 
     def set_rate(self, rate: float, now: float) -> None:
-        """Take in that the target names this rate now."""
-        self._rate = max(LEAST_RATE, rate)
+        """Set the rate that the target announces now."""
+        self._rate = max(MIN_RATE_PER_S, rate)
         self.announced_at = now
 
     def allows_request(self, now: float) -> bool:
         """Return whether a request may go to the target."""
-        return now >= self._due_at - BURST
+        return now >= self._due_at - BURST_S
 
     def record_request(self, share: float, now: float) -> None:
-        """Count a request; `share` is this dispatcher's part of the rate."""
+        """Count a request; `share` is this dispatcher's share of the rate."""
         self._others_until = {
             vm: until for vm, until in self._others_until.items() if until > now
         }
         own = share * self._rate / (1 + len(self._others_until))
-        self._due_at = max(self._due_at, now) + 1 / max(LEAST_RATE * share, own)
+        self._due_at = max(self._due_at, now) + 1 / max(MIN_RATE_PER_S * share, own)
 
     def claim_full_rate(self, now: float) -> None:
-        """Take in that this dispatcher may use the whole rate from now on.
+        """Use the whole rate from now on.
 
-        The next request may be due only after the long turn of a small part.
+        With a small share, the next request may be due only after a long interval.
         """
-        self._due_at = min(self._due_at, now + BURST + 1 / self._rate)
+        self._due_at = min(self._due_at, now + BURST_S + 1 / self._rate)
 
     def record_other_dispatcher(self, vm: str, now: float) -> None:
-        """Take in that another VM dispatches for the target as well."""
-        self._others_until[vm] = now + OTHERS_FOR
+        """Record that another VM also dispatches to the target."""
+        self._others_until[vm] = now + OTHER_DISPATCHER_TIMEOUT_S
 
 
 def start_rate_limit(
@@ -87,8 +88,8 @@
 ) -> RateLimit:
     """Return the limit of a target from now on.
 
-    The first request is due at a random time within its turn: VMs that each use a small
-    part of a rate would otherwise all send at the same moment.
+    The first request is due at a random time within one interval: VMs that each use a
+    small share of a rate would otherwise all send at the same moment.
     """
-    turn = 1 / (max(LEAST_RATE, rate) * share)
-    return RateLimit(rate, now + BURST + rng.random() * turn, announced_at)
+    interval = 1 / (max(MIN_RATE_PER_S, rate) * share)
+    return RateLimit(rate, now + BURST_S + rng.random() * interval, announced_at)
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/work_times.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/work_times.py
@@ -1,105 +1,112 @@
-"""How long work takes: by kind over all targets, and by target against the others."""
+"""Measures how long work takes: by kind, and by target compared with the others."""
 
 from __future__ import annotations
 
 import math
 
 INITIAL_MEAN_S = 0.2
-"""Seconds that a kind of work is taken to last until one was seen."""
+"""Mean duration assumed for a kind of work without samples."""
 
-KIND_WEIGHT = 0.05
-"""Least weight of a new sample in a kind's mean: the last twenty or so count."""
+MIN_SAMPLE_WEIGHT = 0.05
+"""Minimum weight of a new sample in the mean of its kind: about the last twenty
+count."""
 
-GUESS_WEIGHT = 3
-"""Samples that the first guess counts for, so that one long piece of work at the start
-is not taken for the usual."""
+INITIAL_MEAN_SAMPLES = 3
+"""Samples that the initial mean counts for, so that one long piece of work at the start
+does not dominate the mean."""
 
-KNOWN_AFTER = 8
-"""Samples from which the mean of a kind of work is known well enough to judge the speed
-of a target by it."""
+MIN_KNOWN_SAMPLES = 8
+"""Samples after which the mean of a kind is known well enough to judge a target's speed
+by it."""
 
-SPEED_WEIGHT = 0.2
+SLOWNESS_SAMPLE_WEIGHT = 0.2
 """Weight of a new sample in a target's slowness: four slow answers in a row show."""
 
-SLOWNESS_FADES = 8.0
-"""Seconds in which a target's slowness fades by a factor of e without new samples, so
-that one that has recovered is tried again."""
+SLOWNESS_DECAY_TIME_S = 8.0
+"""Seconds in which a target's slowness decays by a factor of e without new samples, so
+that a target that has recovered is tried again."""
 
-SLOWEST = 20.0
-"""Largest slowness that is kept."""
+MAX_SLOWNESS = 20.0
+"""Upper bound of the slowness; its reciprocal is the lower bound of a sample."""
 
 
 class KindTimes:
-    """Mean time of each kind of work at targets of usual speed."""
+    """Mean duration of each kind of work at targets of usual speed."""
 
     def __init__(self) -> None:
         self._means: dict[str, float] = {}
         self._samples: dict[str, int] = {}
 
     def find_mean(self, kind: str) -> float:
-        """Return the mean time in seconds."""
+        """Return the mean duration in seconds."""
         return self._means.get(kind, INITIAL_MEAN_S)
 
     def find_overall_mean(self) -> float:
-        """Return the mean time over all kinds, each counted alike."""
+        """Return the mean duration in seconds over all kinds, each weighted equally."""
         if not self._means:
             return INITIAL_MEAN_S
         return sum(self._means.values()) / len(self._means)
 
     def is_known(self, kind: str) -> bool:
-        """Return whether the mean rests on enough samples to judge a target by it."""
-        return self._samples.get(kind, 0) >= GUESS_WEIGHT + KNOWN_AFTER
+        """Return whether there are enough samples to judge a target's speed by the
+        mean.
+        """
+        return self._samples.get(kind, 0) >= INITIAL_MEAN_SAMPLES + MIN_KNOWN_SAMPLES
 
     @property
     def means(self) -> dict[str, float]:
-        """Mean seconds of each kind seen so far."""
+        """Mean duration in seconds of each kind seen so far."""
         return dict(self._means)
 
     def set(self, kind: str, seconds: float) -> None:
-        """Take over a mean that another VM has learned."""
+        """Set a mean in seconds that another VM has learned."""
         self._means[kind] = seconds
-        self._samples[kind] = round(1 / KIND_WEIGHT)
+        self._samples[kind] = round(1 / MIN_SAMPLE_WEIGHT)
 
     def add(self, kind: str, seconds: float) -> None:
-        """Take in how long one piece of work took."""
+        """Record the duration in seconds of one piece of work."""
         known = self.find_mean(kind)
-        samples = self._samples.get(kind, GUESS_WEIGHT) + 1
+        samples = self._samples.get(kind, INITIAL_MEAN_SAMPLES) + 1
         self._samples[kind] = samples
-        weight = max(KIND_WEIGHT, 1 / samples)
+        weight = max(MIN_SAMPLE_WEIGHT, 1 / samples)
         self._means[kind] = known + weight * (seconds - known)
 
 
 class Slowness:
-    """How many times longer a target takes than is usual.
+    """How many times longer than usual a target takes.
 
-    Kept as a logarithm, since times of work are skewed: one long piece of work must
-    not weigh as much as many short ones.
+    Kept as a logarithm, since durations are skewed: one long piece of work must not
+    weigh as much as many short ones.
     """
 
     def __init__(self, now: float) -> None:
         self._log = 0.0
-        self._at = now
+        self._updated_at = now
 
     def find(self, now: float) -> float:
         """Return the factor; 1 is usual."""
-        return math.exp(self._fade(now))
+        return math.exp(self._find_decayed_log(now))
 
     def add(self, ratio: float, now: float) -> None:
-        """Take in that one piece of work took `ratio` times the usual."""
-        current = self._fade(now)
-        sample = math.log(min(SLOWEST, max(1 / SLOWEST, ratio)))
-        self._log = current + SPEED_WEIGHT * (sample - current)
-        self._at = now
+        """Record that one piece of work took `ratio` times the usual duration."""
+        current = self._find_decayed_log(now)
+        sample = math.log(min(MAX_SLOWNESS, max(1 / MAX_SLOWNESS, ratio)))
+        self._log = current + SLOWNESS_SAMPLE_WEIGHT * (sample - current)
+        self._updated_at = now
 
     def set(self, ratio: float, now: float) -> None:
-        """Take over what another VM has learned."""
-        self._log = math.log(min(SLOWEST, max(1 / SLOWEST, ratio)))
-        self._at = now
+        """Set the factor to what another VM has learned."""
+        self._log = math.log(min(MAX_SLOWNESS, max(1 / MAX_SLOWNESS, ratio)))
+        self._updated_at = now
 
     def raise_to(self, ratio: float, now: float) -> None:
-        """Take in that work under way takes at least `ratio` times the usual."""
-        self._log = max(self._fade(now), math.log(min(SLOWEST, max(1.0, ratio))))
-        self._at = now
-
-    def _fade(self, now: float) -> float:
-        return self._log * math.exp(-max(0.0, now - self._at) / SLOWNESS_FADES)
+        """Record that unfinished work takes at least `ratio` times the usual."""
+        self._log = max(
+            self._find_decayed_log(now), math.log(min(MAX_SLOWNESS, max(1.0, ratio)))
+        )
+        self._updated_at = now
+
+    def _find_decayed_log(self, now: float) -> float:
+        return self._log * math.exp(
+            -max(0.0, now - self._updated_at) / SLOWNESS_DECAY_TIME_S
+        )
--- a/soak/plants.py
+++ b/soak/plants.py
@@ -149,7 +149,7 @@
         (
             Change(
                 f"{CORE}/dispatch/rate_limit.py",
-                "return now >= self._due_at - BURST",
+                "return now >= self._due_at - BURST_S",
                 "return True",
             ),
         ),
