--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
@@ -104,13 +104,13 @@
         self._rng = rng
         self._read_share = read_share
         self._grants: dict[str, _Grant] = {}
-        self._line = waiting.WaitingLine(self.pool, kinds, policy)
+        self._queue = waiting.RequestQueue(self.pool, kinds, policy)
         self._level = service_level.ServiceLevel()
 
     @property
     def queue_length(self) -> int:
         """Requests that wait."""
-        return len(self._line)
+        return len(self._queue)
 
     @property
     def in_flight(self) -> int:
@@ -134,14 +134,14 @@
         granted = self._grants.get(ask.ticket)
         if granted is not None:
             return [self._repeat(granted, now)]
-        if self._line.holds(ask.ticket):
+        if self._queue.holds(ask.ticket):
             return [messages.Wait(ask.ticket)]
         if self.pool.is_empty():
             return [self._refuse(ask, messages.RefusalReason.NO_TARGET, now)]
         if ask.attempt > 1 and not self._retries.reserve(now):
             return [self._refuse(ask, messages.RefusalReason.RETRY_BUDGET, now)]
-        entry = waiting.Waiting(self._find_rank(ask, now), now, ask.ticket, ask)
-        if not self._line.enter(entry, now):
+        entry = waiting.QueuedRequest(self._find_rank(ask, now), now, ask.ticket, ask)
+        if not self._queue.enter(entry, now):
             self._take_back(entry)
             return [self._refuse(ask, messages.RefusalReason.OVERLOADED, now)]
         decisions = self._serve_queue(now)
@@ -157,7 +157,7 @@
         An ask that still waits is forgotten: its caller has left or was answered.
         """
         granted = self._grants.pop(report.ticket, None)
-        withdrawn = self._line.remove(report.ticket) if granted is None else None
+        withdrawn = self._queue.remove(report.ticket) if granted is None else None
         if withdrawn is not None:
             self._take_back(withdrawn)
         if granted is not None and granted.is_retry and report.outcome in UNSENT:
@@ -199,10 +199,10 @@
         wait, each event would otherwise cost a hundred searches over all targets.
         """
         decisions: list[messages.Decision] = []
-        left: list[waiting.Waiting] = []
+        left: list[waiting.QueuedRequest] = []
         without: set[tuple[str, bool]] = set()
-        has_free = len(self._line) > 0 and self.pool.has_free(now)
-        for one in self._line:
+        has_free = len(self._queue) > 0 and self.pool.has_free(now)
+        for one in self._queue:
             ask = one.ask
             group = (ask.kind, ask.may_retry)
             decision: messages.Decision | None = None
@@ -217,14 +217,16 @@
                 left.append(one)
             else:
                 decisions.append(decision)
-        self._line.keep(left)
+        self._queue.keep(left)
         return decisions
 
-    def _place(self, one: waiting.Waiting, now: float) -> messages.Decision | None:
+    def _place(
+        self, one: waiting.QueuedRequest, now: float
+    ) -> messages.Decision | None:
         ask = one.ask
         ease = self._find_ease(now)
         offer = self.pool.find_best(ask, ease, now, self._level.find_unserved(now))
-        if offer is None or self._line.is_better_late(one, offer, ease, now):
+        if offer is None or self._queue.should_wait(one, offer, ease, now):
             return None
         state = self.pool.find(offer.target_id)
         if state is None:
@@ -329,7 +331,7 @@
     ) -> messages.Refuse:
         """Refuse, and spread the returns over the time that the queue needs."""
         self._level.add(is_served=False, now=now)
-        pause = max(RETURN_PAUSE, self._line.find_backlog(now))
+        pause = max(RETURN_PAUSE, self._queue.find_backlog(now))
         return messages.Refuse(
             ask.ticket,
             reason,
@@ -337,7 +339,7 @@
             self._find_pressure(now),
         )
 
-    def _take_back(self, one: waiting.Waiting) -> None:
+    def _take_back(self, one: waiting.QueuedRequest) -> None:
         """Give back the retry of a request that gets no target.
 
         Load pattern: targets turn work away, and more second attempts are asked for
@@ -355,7 +357,7 @@
         long queue it keeps its rank, or it would crowd out work that may run only once.
         """
         goes_up = ask.attempt > 1 and self._policy.second_rank
-        if goes_up and self._line.find_backlog(now) < SHORT_BACKLOG:
+        if goes_up and self._queue.find_backlog(now) < SHORT_BACKLOG:
             return ask.priority - 1
         return ask.priority
 
@@ -366,8 +368,8 @@
         look idle.
         """
         slots = self.pool.count_proven_slots(now)
-        return (len(self._grants) + len(self._line) + 1) / max(
-            waiting.LEAST_SLOTS, slots
+        return (len(self._grants) + len(self._queue) + 1) / max(
+            waiting.MIN_SLOTS, slots
         )
 
     def _repeat(self, granted: _Grant, now: float) -> messages.Grant:
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/mechanisms.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/mechanisms.py
@@ -1,6 +1,6 @@
-"""Parts of the dispatcher's policy that can be switched off, one by one.
+"""Parts of the dispatcher's policy that can be switched off individually.
 
-They are switched off to measure what each is worth, in tests and models only; a daemon
+Only tests and load models switch them off, to measure what each contributes; a daemon
 runs with all of them.
 """
 
@@ -11,22 +11,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mechanisms:
-    """Which parts of the policy are at work."""
+    """Which parts of the policy are enabled."""
 
     trials: bool = True
-    """Idempotent work finds out about targets in doubt."""
+    """Idempotent requests test targets that may be failing."""
 
     patience: bool = True
-    """Work waits for a proved target while its answer can still be in time."""
+    """Work waits for a proven healthy target while its answer can still be in time."""
 
     short_queue: bool = True
-    """A queue that stands is kept short, so that answers are in time."""
+    """A standing queue is kept short, so that answers are in time."""
 
     second_rank: bool = True
-    """Second attempts go one rank up while the queue is short."""
+    """Second attempts go one priority up while the queue is short."""
 
     scarcity: bool = True
-    """Retries get dearer as they run out."""
+    """Retries become more expensive as the budget runs out."""
 
     load_price: bool = True
     """Full targets cost more than idle ones."""
@@ -35,8 +35,8 @@
     """New connections cost more than idle ones."""
 
     idle_work: bool = True
-    """Idle sound targets get work while the service fails its callers."""
+    """Idle healthy targets get work while many requests of the shard are not served."""
 
 
 ALL = Mechanisms()
-"""The policy as it runs."""
+"""The complete policy."""
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/messages.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/messages.py
@@ -1,4 +1,7 @@
-"""Messages between a VM that holds a request and the dispatcher of its service."""
+"""Messages between a VM that holds a request and the dispatcher of its shard.
+
+All times are seconds of a monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -10,72 +13,73 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotRequest:
-    """A request wants a target."""
+    """Asks for a slot of a target for a request."""
 
     ticket: str
-    """Unique name of this ask over the fleet; an ask sent again has the same."""
+    """Identifier of this slot request, unique in the fleet; kept when it is sent
+    again."""
 
     shard: shards.Shard
-    """Targets that may do the work."""
+    """Shard whose targets may do the work."""
 
     kind: str
-    """Name under which times of work are learned; requests of a kind are alike."""
+    """Kind of work by which durations are learned; requests of a kind are alike."""
 
     may_retry: bool
-    """Whether a failed attempt may be followed by another: the work is idempotent, and
-    it has attempts left."""
+    """Whether a failed attempt may be followed by another: the work is idempotent and
+    has attempts left."""
 
     priority: int
-    """Rank among the requests of the service; 0 goes first."""
+    """Priority among the requests of the service; 0 goes first."""
 
     objective_at: float
-    """Until when an answer is in time."""
+    """Time until which an answer is on time."""
 
     deadline_at: float
-    """When nobody waits for an answer any more."""
+    """Time after which nobody waits for an answer."""
 
     attempt: int
-    """1 for the first target of a request."""
+    """Number of the attempt; 1 for the first target of a request."""
 
     data_centre: str
-    """Where the asking VM runs."""
+    """Data centre of the requesting VM."""
 
     excluded: tuple[str, ...] = ()
     """Targets that this request or this VM must not use."""
 
     connected_targets: tuple[str, ...] = ()
-    """Targets to which the VM has an idle connection that may carry the work."""
+    """Targets to which the VM has an idle connection that can carry the work."""
 
     is_first: bool = True
-    """Whether no dispatcher was asked for this request before. Only then does it earn
-    retries: another dispatcher may have counted it."""
+    """Whether this is the first slot request for the request. Only then does it earn
+    retries: another dispatcher may have counted it before."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
-    """A target's slot is the asker's."""
+    """Gives the requester a slot of a target."""
 
     ticket: str
-    """The ask."""
+    """Ticket of the slot request."""
 
     target_id: str
     """The target."""
 
     failure_probability: float
-    """Believed probability that the target fails the request, for the log."""
+    """Estimated probability that the target fails the request, for the log."""
 
     expected_duration: float
-    """Seconds that the work is expected to take there."""
+    """Seconds that the work is expected to take at the target."""
 
     pressure: float = shards.USUAL_PRESSURE
-    """How full the shard is; 1 is a request for each proven slot."""
+    """Load of the shard; 1 is one request for each proven healthy slot."""
 
     dispatcher: str = ""
-    """VM that gave it, for the log; empty until the asker has taken it in."""
+    """VM that granted the slot, for the log; set by the requester."""
 
 
 class RefusalReason(enum.StrEnum):
-    """Why an ask got no target."""
+    """Why a slot request got no target."""
 
     OVERLOADED = "overloaded"
     """The wait for a slot would outlast the request."""
@@ -84,51 +88,51 @@
     """No target of the service may be used."""
 
     RETRY_BUDGET = "retry-budget"
-    """The service has had all the retries that it may get for now."""
+    """The retry budget of the service is used up."""
 
     TOO_LATE = "too-late"
-    """A slot did not come free in time."""
+    """No slot became free in time."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """No target for this ask."""
+    """Tells the requester that it gets no target."""
 
     ticket: str
-    """The ask."""
+    """Ticket of the slot request."""
 
     reason: RefusalReason
-    """Why."""
+    """Why it was refused."""
 
     retry_at: float
-    """When it makes sense to come back."""
+    """Earliest time at which the caller should come back."""
 
     pressure: float = shards.USUAL_PRESSURE
-    """How full the shard is; 1 is a request for each proven slot."""
+    """Load of the shard; 1 is one request for each proven healthy slot."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wait:
-    """The ask is queued; the answer follows."""
+    """Tells the requester that it is queued; a grant or refusal follows."""
 
     ticket: str
-    """The ask."""
+    """Ticket of the slot request."""
 
 
 Decision = Grant | Refuse | Wait
 
 
 class Outcome(enum.StrEnum):
-    """How an attempt at a target went."""
+    """How an attempt at a target ended."""
 
     GOOD = "good"
-    """A whole answer that the target does not mean as an error of its own."""
+    """A complete answer that is not an error of the target itself."""
 
     FAILED = "failed"
-    """An error of the target, a cut or foreign answer, a reset."""
+    """An error of the target, an answer cut off or from another target, a reset."""
 
     SILENT = "silent"
-    """No answer until the request was given up or tried elsewhere."""
+    """No answer until the request was given up or tried at another target."""
 
     SHED = "shed"
     """Turned away before it ran, since the target was full."""
@@ -137,10 +141,10 @@
     """No connection could be made."""
 
     MISPLACED = "misplaced"
-    """Another target has this address by now."""
+    """Another target now has this address."""
 
     ABANDONED = "abandoned"
-    """Nothing can be told: the caller left, or another target answered."""
+    """Inconclusive: the caller left, or another target answered."""
 
     UNUSED = "unused"
     """Nothing was sent."""
@@ -148,40 +152,40 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """The slot of a grant is free again."""
+    """Returns the slot of a grant, with the outcome of the attempt."""
 
     ticket: str
-    """The ask that was granted."""
+    """Ticket of the grant."""
 
     shard: shards.Shard
-    """Its shard."""
+    """Shard of the grant."""
 
     target_id: str
     """The target."""
 
     outcome: Outcome
-    """How it went."""
+    """How the attempt ended."""
 
     took: float
     """Seconds from sending to the end of the attempt."""
 
     vm: str
-    """The VM that tried."""
+    """VM that made the attempt."""
 
     rate_limit: float | None = None
-    """Requests a second that the target takes, infinite where its answer names none;
-    None where no answer tells."""
+    """Requests per second that the target accepts, infinite where its answer announces
+    no limit; None where no answer tells."""
 
     is_resent: bool = False
-    """Whether it was sent twice, since a kept connection broke under it."""
+    """Whether the request was sent twice, because a reused connection broke."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeldSlot:
-    """A grant that its VM still uses, told to a dispatcher that takes over."""
+    """A granted slot that its VM still uses, sent to a dispatcher that takes over."""
 
     slot_request: SlotRequest
-    """The ask."""
+    """The slot request that was granted."""
 
     target_id: str
     """The target."""
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/shards.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/shards.py
@@ -1,11 +1,11 @@
-"""Shards of a service: its targets in groups, each placed by a dispatcher of its own.
+"""Shards of a service: groups of its targets, each with a dispatcher of its own.
 
 Load pattern: a service of hundreds of targets and more requests a second than one
-processor decides. A shard has few enough targets that any VM can place its requests,
+processor can decide. A shard has few enough targets that any VM can dispatch for it,
 and enough of them that a third may fail at once.
 
-A large service is divided by data centre first. Requests, answers and what dispatchers
-are told then stay where they are, unless targets elsewhere are clearly better off.
+A large service is divided by data centre first. Requests, answers and the messages to
+dispatchers then stay in their data centre, unless targets elsewhere are clearly better.
 """
 
 from __future__ import annotations
@@ -20,27 +20,30 @@
 
 from ..deployment import targets
 
-MOST_TARGETS = 40
-"""Targets of a service from which it is divided. Smaller shards differ more in how many
-of their slots work while targets fail, larger ones cost a small VM its processor."""
+MAX_UNDIVIDED_TARGETS = 40
+"""Targets above which a service or data centre is divided. Smaller shards differ more
+in how many of their slots work while targets fail; larger ones use up the processor of
+a small VM."""
 
-LEAST_TARGETS = 16
-"""Mean targets of a data centre from which a service is divided by data centre. With
-fewer, a few failing ones leave a data centre without a proven slot."""
+MIN_MEAN_TARGETS = 16
+"""Mean targets per data centre from which a service is divided by data centre. With
+fewer, a few failing targets leave a data centre without a slot that is proven
+healthy."""
 
-FADE = 2.0
-"""Seconds in which the known pressure of a shard fades by a factor of e: a VM that
-sees a request a second and shard would otherwise act on a burst that is over."""
+PRESSURE_DECAY_TIME_S = 2.0
+"""Seconds in which the known pressure of a shard decays towards the usual one by a
+factor of e: a VM that sees one request per second and shard would otherwise act on a
+burst that is over."""
 
 USUAL_PRESSURE = 0.5
-"""Pressure of a shard of which nothing is known."""
+"""Pressure assumed for a shard of which nothing is known."""
 
 HIGH_PRESSURE = 0.8
-"""Pressure of the shards nearby from which others are considered: below it, a proven
-slot is free nearly always, and leaving the data centre gains nothing."""
+"""Pressure of the local shards above which others are considered: below it, a proven
+slot is nearly always free, and leaving the data centre gains nothing."""
 
-GAP = 0.2
-"""Pressure by which a shard elsewhere must be lower than the one nearby."""
+MIN_PRESSURE_GAP = 0.2
+"""Amount by which a remote shard's pressure must be below the local shard's."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -51,13 +54,14 @@
     """The service."""
 
     data_centre: str = ""
-    """Where its targets are; empty for a service that is not divided by place."""
+    """Data centre of its targets; empty where the service is not divided by data
+    centre."""
 
     index: int = 0
-    """Which of the shards there, from 0."""
+    """Index among the shards of the data centre, from 0."""
 
     count: int = 1
-    """How many shards there are there."""
+    """Number of shards in the data centre."""
 
     @property
     def is_whole(self) -> bool:
@@ -66,7 +70,7 @@
 
     @property
     def task(self) -> str:
-        """Name of the task of dispatching this shard."""
+        """Name of the task of dispatching for this shard."""
         if self.is_whole:
             return self.service
         return f"{self.service}@{self.data_centre}#{self.index}/{self.count}"
@@ -91,12 +95,12 @@
 ) -> tuple[Shard, ...]:
     """Return the shards of a service with these targets.
 
-    VMs that know of other targets for a moment run more dispatchers than needed, as
-    they do while they disagree on who dispatches.
+    VMs that briefly know of different targets run more dispatchers than needed, as they
+    do while they disagree on which VM dispatches.
     """
     sizes = collections.Counter(entry.data_centre for entry in entries)
     total = sizes.total()
-    if total <= MOST_TARGETS or total < LEAST_TARGETS * len(sizes):
+    if total <= MAX_UNDIVIDED_TARGETS or total < MIN_MEAN_TARGETS * len(sizes):
         return _split(service, "", total)
     return tuple(
         shard
@@ -106,27 +110,29 @@
 
 
 def _split(service: str, data_centre: str, size: int) -> tuple[Shard, ...]:
-    """Return a power of two of shards, so that a few targets more change nothing."""
+    """Return a power of two of shards, so that a few more targets rarely change the
+    count.
+    """
     count = 1
-    if size > MOST_TARGETS:
-        count = 1 << math.ceil(math.log2(size / MOST_TARGETS))
+    if size > MAX_UNDIVIDED_TARGETS:
+        count = 1 << math.ceil(math.log2(size / MAX_UNDIVIDED_TARGETS))
     return tuple(Shard(service, data_centre, index, count) for index in range(count))
 
 
 class ShardChooser:
-    """Chooses the shard that a request is placed in.
+    """Chooses the shard in which a request asks for a slot.
 
-    Load pattern: targets of one shard fail together by chance, or its requests come
-    in a clump, while others have slots to spare. A shard nearby is taken unless it is
-    pressed and one drawn from the others is clearly less so; among several nearby the
-    less pressed of two drawn at random. Without any message of its own this keeps
+    Load pattern: targets of one shard fail together by chance, or its requests come in
+    a burst, while others have free slots. A local shard is chosen unless its pressure
+    is high and that of a remote shard clearly lower; among several shards, the better
+    of two drawn at random. Without messages of its own this keeps the pressures of
     shards close to each other (Mitzenmacher, 2001, "The power of two choices in
     randomized load balancing"). The pressure comes with each answer of a dispatcher.
 
     Parameters
     ----------
     data_centre : str
-        Where the requests come from.
+        Data centre where the requests arrive.
     rng : random.Random
         Draws the shards.
     """
@@ -137,7 +143,7 @@
         self._pressures: dict[Shard, tuple[float, float]] = {}
 
     def record_pressure(self, shard: Shard, pressure: float, now: float) -> None:
-        """Take in how pressed a shard is."""
+        """Record the pressure of a shard."""
         self._pressures[shard] = (pressure, now)
 
     def choose(
@@ -146,7 +152,7 @@
         now: float,
         refused: collections.abc.Collection[Shard] = (),
     ) -> Shard | None:
-        """Return one of the shards, or None where all of them have refused."""
+        """Return one of the shards, or None if all of them have refused."""
         left = [shard for shard in shards if shard not in refused]
         near = [shard for shard in left if shard.data_centre == self._data_centre]
         others = [shard for shard in left if shard.data_centre != self._data_centre]
@@ -157,12 +163,17 @@
         if pressure <= HIGH_PRESSURE:
             return best
         other = self._draw(others, now)
-        if other is not None and self._find_pressure(other, now) < pressure - GAP:
+        if (
+            other is not None
+            and self._find_pressure(other, now) < pressure - MIN_PRESSURE_GAP
+        ):
             return other
         return best
 
     def _draw(self, shards: list[Shard], now: float) -> Shard | None:
-        """Return the less pressed of two shards drawn at random."""
+        """Return the shard with lower pressure of two drawn at random, or None if
+        empty.
+        """
         if len(shards) < 2:
             return shards[0] if shards else None
         drawn = self._rng.sample(shards, 2)
@@ -170,5 +181,5 @@
 
     def _find_pressure(self, shard: Shard, now: float) -> float:
         pressure, at = self._pressures.get(shard, (USUAL_PRESSURE, now))
-        fade = math.exp(-max(0.0, now - at) / FADE)
+        fade = math.exp(-max(0.0, now - at) / PRESSURE_DECAY_TIME_S)
         return USUAL_PRESSURE + (pressure - USUAL_PRESSURE) * fade
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/waiting.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/waiting.py
@@ -1,8 +1,8 @@
-"""Who waits for a target, in which order, and for how long.
+"""The queue of a shard: which requests wait, in which order, and for how long.
 
-Load pattern: a burst, or half of the targets lost. Waiting costs the caller time and
-frees nothing, so a request waits only where its turn comes while it is of use, and the
-queue is bounded by time and not by length.
+Load pattern: a burst, or half of the targets lost. QueuedRequest costs the caller time
+and frees no slot, so a request waits only if its turn comes while an answer is still
+useful, and the queue is bounded by time and not by length.
 """
 
 from __future__ import annotations
@@ -15,48 +15,49 @@
 
 WAIT_SHARE = 0.5
 """Share of the time between a request's objective and its deadline that its wait may
-take from it while the queue is short-lived: a burst is served late rather than not."""
+use while the queue is short-lived: a burst is served late rather than refused."""
 
-WORK_MARGIN = 2.0
-"""Times the mean time of work that a standing queue must leave until the objective:
-five of six pieces of work end within it. In a standing queue everybody waits as long as
-it allows: with room for one mean time, hardly any answer would be in time."""
+WORK_TIME_MARGIN = 2.0
+"""Multiple of the mean duration of work that a standing queue must leave until the
+objective: five of six pieces of work end within it. In a standing queue everybody waits
+as long as it allows: with time for one mean duration, hardly any answer would be on
+time."""
 
-STANDING_AFTER = 1.0
-"""Seconds from which a queue that makes answers late counts as standing. A standing
-queue serves nobody more, since the targets are busy anyway (Nichols and Jacobson, 2012,
-"Controlling queue delay")."""
+STANDING_QUEUE_AFTER_S = 1.0
+"""Seconds after which a queue that makes answers late counts as standing. A standing
+queue increases no throughput, since the targets are busy anyway (Nichols and Jacobson,
+2012, "Controlling queue delay")."""
 
-LEAST_PATIENCE = 0.05
-"""Least seconds that a request may wait, where its objective is close to the time of
-its work."""
+MIN_WAIT_S = 0.05
+"""Wait that is always allowed, for requests whose objective is close to the duration of
+their work."""
 
-OUTWAIT = 0.25
-"""Share of the time until its objective for which idempotent work waits for a proved
-target instead of trying a failing one."""
+PROVEN_TARGET_WAIT_SHARE = 0.25
+"""Share of the time until its objective for which idempotent work waits for a proven
+healthy target instead of trying a failing one."""
 
-LEAST_SLOTS = 0.5
-"""Slots that a shard without any proven one counts for, as a divisor."""
+MIN_SLOTS = 0.5
+"""Slots that a shard without any proven healthy slot counts for, as a divisor."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
-class Waiting:
-    """A request in the queue; the order is that of the queue."""
+class QueuedRequest:
+    """A request in the queue; comparison gives the order of the queue."""
 
     priority: int
-    """Its rank here; 0 goes first."""
+    """Effective priority in this queue; 0 goes first."""
 
     arrived_at: float
-    """When it was asked for."""
+    """When the slot request arrived."""
 
     ticket: str
-    """Names the ask."""
+    """Ticket of the slot request."""
 
     ask: messages.SlotRequest = dataclasses.field(compare=False)
-    """The ask."""
+    """The slot request."""
 
 
-class WaitingLine:
+class RequestQueue:
     """The requests of a shard that wait for a target.
 
     Parameters
@@ -64,9 +65,9 @@
     targets : pool.Pool
         The targets of the shard.
     kinds : work_times.KindTimes
-        How long work takes.
+        Mean durations of work.
     policy : mechanisms.Mechanisms
-        Which parts of the policy are at work.
+        Which parts of the policy are enabled.
     """
 
     def __init__(
@@ -78,69 +79,69 @@
         self._pool = targets
         self._kinds = kinds
         self._policy = policy
-        self._queue: list[Waiting] = []
-        self._standing_at: float | None = None
+        self._queue: list[QueuedRequest] = []
+        self._standing_from: float | None = None
 
     def __len__(self) -> int:
         return len(self._queue)
 
-    def __iter__(self) -> collections.abc.Iterator[Waiting]:
+    def __iter__(self) -> collections.abc.Iterator[QueuedRequest]:
         return iter(self._queue)
 
     def holds(self, ticket: str) -> bool:
-        """Return whether an ask waits here."""
+        """Return whether a slot request with this ticket waits here."""
         return any(one.ticket == ticket for one in self._queue)
 
-    def remove(self, ticket: str) -> Waiting | None:
-        """Let an ask wait no longer; return it if it did."""
-        for index, waiting in enumerate(self._queue):
-            if waiting.ticket == ticket:
+    def remove(self, ticket: str) -> QueuedRequest | None:
+        """Remove and return a waiting slot request, or None if it does not wait."""
+        for index, queued in enumerate(self._queue):
+            if queued.ticket == ticket:
                 return self._queue.pop(index)
         return None
 
-    def enter(self, waiting: Waiting, now: float) -> bool:
-        """Let a request wait for its turn, if that comes while it is of use."""
-        wait = self._find_wait(waiting, now)
+    def enter(self, queued: QueuedRequest, now: float) -> bool:
+        """Add a request if its turn comes while an answer is useful; return whether."""
+        wait = self._find_wait(queued, now)
         if wait <= 0 or self._pool.has_free(now):
-            # A free slot, if only of a target in doubt, will take work from the queue
-            # before it makes answers late.
-            self._standing_at = None
-        if wait > 0 and not self._may_wait(waiting.ask, wait, now):
+            # A free slot, even of a target that may be failing, takes work from the
+            # queue before the queue makes answers late.
+            self._standing_from = None
+        if wait > 0 and not self._may_wait(queued.ask, wait, now):
             return False
-        bisect.insort(self._queue, waiting)
+        bisect.insort(self._queue, queued)
         return True
 
-    def keep(self, left: list[Waiting]) -> None:
-        """Let only these wait on."""
+    def keep(self, left: list[QueuedRequest]) -> None:
+        """Keep only these requests in the queue."""
         self._queue = left
 
     def find_backlog(self, now: float) -> float:
-        """Return the seconds that the proven slots need for all that waits."""
+        """Return the seconds that the proven healthy slots need for all queued work."""
         work = sum(self._kinds.find_mean(one.ask.kind) for one in self._queue)
         return work / max(1.0, self._pool.find_capacity(now))
 
-    def is_better_late(
-        self, waiting: Waiting, offer: pool.Offer, ease: float, now: float
+    def should_wait(
+        self, queued: QueuedRequest, offer: pool.Offer, ease: float, now: float
     ) -> bool:
         """Return whether to wait for a better target than the best free one.
 
-        A failed request is lost; one that waits is at worst late. While proven targets
-        are busy, their next free slot is a fraction of the time of one piece of work
-        away. Load pattern: half of the slots belong to failing targets, which are free
-        since they answer at once.
+        A failed request is lost; one that waits is at worst late. While proven healthy
+        targets are busy, their next free slot is a fraction of the duration of one
+        piece of work away. Load pattern: half of the slots belong to failing targets,
+        which are free because they fail at once.
 
         Parameters
         ----------
-        waiting : Waiting
+        queued : QueuedRequest
             The request.
         offer : pool.Offer
             The best free target.
         ease : float
             How freely retries may be spent, from 0 for none to 1.
         now : float
-            Seconds.
+            Seconds of a monotonic clock.
         """
-        ask = waiting.ask
+        ask = queued.ask
         if (
             offer.failure_probability <= pool.MAX_HEALTHY_FAILURE_PROBABILITY
             or not self._policy.patience
@@ -148,54 +149,56 @@
             return False
         if ask.may_retry and ease > 0.0:
             is_useful = offer.is_trial and ease >= 1.0
-            return not is_useful and self._may_outwait(waiting, now)
-        proved = self._pool.count_proven_slots(now)
-        if not proved:
+            return not is_useful and self._may_wait_for_proven(queued, now)
+        proven = self._pool.count_proven_slots(now)
+        if not proven:
             return False
         mean = self._kinds.find_mean(ask.kind)
         ahead = sum(1 for one in self._queue if one.priority <= ask.priority)
-        # Only while the answer can still be in time. Waiting on until the deadline
-        # keeps the queue as long as that, and makes every answer late.
-        return now + mean + mean * max(1, ahead) / proved < ask.objective_at
+        # Only while the answer can still be on time. Waiting until the deadline would
+        # let the queue grow as long as that, and make every answer late.
+        return now + mean + mean * max(1, ahead) / proven < ask.objective_at
 
-    def _may_outwait(self, waiting: Waiting, now: float) -> bool:
-        """Return whether idempotent work waits a little for a proved target.
+    def _may_wait_for_proven(self, queued: QueuedRequest, now: float) -> bool:
+        """Return whether idempotent work waits a little for a proven healthy target.
 
-        Sent to a failing one it would need a retry, and the wait for a proved slot is
-        often a fraction of the time until the objective. Behind a long queue it does
-        not wait: work of a higher rank would keep it from any target.
+        Sent to a failing target it would need a retry, and the wait for a proven slot
+        is often a fraction of the time until the objective. Behind a long queue it does
+        not wait: work of a higher priority would keep it from any target.
         """
-        ask = waiting.ask
+        ask = queued.ask
         if not self._pool.count_proven_slots(now):
             return False
-        if now - waiting.arrived_at > OUTWAIT * (ask.objective_at - waiting.arrived_at):
+        if now - queued.arrived_at > PROVEN_TARGET_WAIT_SHARE * (
+            ask.objective_at - queued.arrived_at
+        ):
             return False
         ahead = [one for one in self._queue if one.priority <= ask.priority]
         work = sum(self._kinds.find_mean(one.ask.kind) for one in ahead)
-        capacity = max(LEAST_SLOTS, self._pool.find_capacity(now))
-        return work / capacity < OUTWAIT * (ask.objective_at - now)
+        capacity = max(MIN_SLOTS, self._pool.find_capacity(now))
+        return work / capacity < PROVEN_TARGET_WAIT_SHARE * (ask.objective_at - now)
 
-    def _find_wait(self, waiting: Waiting, now: float) -> float:
-        """Return how long a request would wait for its turn."""
+    def _find_wait(self, queued: QueuedRequest, now: float) -> float:
+        """Return how many seconds a request would wait for its turn."""
         capacity = self._pool.find_capacity(now)
         if capacity <= 0:
             return 0.0
         if not self._queue and self._pool.has_free(now):
             return 0.0
-        ahead = self._queue[: bisect.bisect_left(self._queue, waiting)]
+        ahead = self._queue[: bisect.bisect_left(self._queue, queued)]
         work = sum(self._kinds.find_mean(one.ask.kind) for one in ahead)
-        return (work + self._kinds.find_mean(waiting.ask.kind)) / capacity
+        return (work + self._kinds.find_mean(queued.ask.kind)) / capacity
 
     def _may_wait(self, ask: messages.SlotRequest, wait: float, now: float) -> bool:
-        """Return whether a request may wait that long for its turn."""
+        """Return whether a request may wait `wait` seconds for its turn."""
         mean = self._kinds.find_mean(ask.kind)
         left = ask.objective_at - now
-        short = max(LEAST_PATIENCE, left - WORK_MARGIN * mean)
+        short = max(MIN_WAIT_S, left - WORK_TIME_MARGIN * mean)
         if wait <= short:
             return True
-        if self._standing_at is None:
-            self._standing_at = now + STANDING_AFTER
-        if now >= self._standing_at and self._policy.short_queue:
+        if self._standing_from is None:
+            self._standing_from = now + STANDING_QUEUE_AFTER_S
+        if now >= self._standing_from and self._policy.short_queue:
             return False
         beyond = max(0.0, ask.deadline_at - ask.objective_at)
         return wait <= left + WAIT_SHARE * beyond - mean
