--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
@@ -1,15 +1,15 @@
-"""Places the requests of one shard: who goes where, who waits, who is refused.
+"""Assigns the requests of one shard to targets: who goes where, waits, or is refused.
 
-One VM does this for a whole shard, since many VMs that share a few slots and each see
-a few requests a second can neither count slots in use nor tell a failing target. Every
-VM can do it: the one that does is only a matter of rank, and a VM that reaches nobody
-places its own requests by the same rules. Two dispatchers of one shard therefore
-cost some efficiency, never a promise: slots may be given twice, and targets turn away
-what they cannot take.
+One VM dispatches for a whole shard, since many VMs that share a few slots and each see
+a few requests a second can neither count the slots in use nor detect a failing target.
+Every VM can dispatch: which one does depends only on its rank, and a VM that reaches no
+other assigns its own requests by the same rules. Two dispatchers of one shard therefore
+cost some efficiency but break no guarantee: slots may be granted twice, and targets
+turn away what they cannot accept.
 
-Waiting. Requests wait here and not at targets: a queue at a target is fixed once sent,
-and work that waits behind a target that turns bad is lost with it. Rank is by priority,
-then by arrival.
+Waiting. Requests wait here and not at targets: a queue at a target cannot be changed
+once sent, and work that waits behind a target that starts failing is lost with it. The
+order is by priority, then by arrival.
 
 Refusing. A request whose turn would come too late is refused on arrival, because a
 later refusal costs its caller the wait and frees nothing; see `waiting`.
@@ -35,25 +35,27 @@
 )
 
 LOST_REPORT_GRACE_S = 0.3
-"""Seconds after a request's deadline at which its slot is taken back when no report has
-come: reports travel in datagrams, and one may be lost."""
+"""Seconds after a request's deadline at which its slot is freed if no report has come:
+reports travel in datagrams, and one may be lost."""
 
-RETURN_PAUSE = 0.25
-"""Least seconds that a refused caller is asked to stay away."""
+MIN_RETURN_DELAY_S = 0.25
+"""Minimum seconds that a refused caller is asked to stay away."""
 
-LEAST_MEAN = 0.001
-"""Least seconds that a kind of work is taken to last, as a divisor."""
+MIN_MEAN_S = 0.001
+"""Minimum mean duration of a kind of work, as a divisor."""
 
-SHORT_BACKLOG = 0.06
-"""Seconds of work in the queue up to which a second attempt goes one rank up: ten
-requests of 0.2 s before 35 proven slots."""
+SHORT_BACKLOG_S = 0.06
+"""Seconds of queued work up to which a second attempt goes one priority up: ten
+requests of 0.2 s before 35 proven healthy slots."""
 
-LEAST_WORK = 0.5
-"""Times the mean time of work below which a waiting request is refused before its
-deadline: hardly any work ends sooner, and its caller may still come back in time."""
+MIN_WORK_FACTOR = 0.5
+"""Multiple of the mean duration of work; a waiting request with less time before its
+deadline is refused: hardly any work ends sooner, and its caller may still come back in
+time."""
 
-SLOW_AFTER = 2.5
-"""Times the expected time after which work under way tells that its target is slow."""
+SLOW_FACTOR = 2.5
+"""Multiple of the expected duration after which unfinished work shows that its target
+is slow."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -65,10 +67,10 @@
     started_at: float
     expected: float
     is_retry: bool
-    """Whether a retry was spent on it here."""
+    """Whether a retry of this dispatcher's budget was spent on it."""
 
 
-UNSENT = frozenset({messages.Outcome.UNUSED, messages.Outcome.UNREACHABLE})
+UNSENT_OUTCOMES = frozenset({messages.Outcome.UNUSED, messages.Outcome.UNREACHABLE})
 """Outcomes of attempts that reached no target."""
 
 
@@ -78,15 +80,15 @@
     Parameters
     ----------
     kinds : work_times.KindTimes
-        How long work takes.
+        Mean durations of work.
     retries : retry_window.RetryWindow
         Bounds attempts after the first.
     rng : random.Random
         Spreads the times at which refused callers come back.
     policy : mechanisms.Mechanisms, optional
-        Which parts of the policy are at work.
+        Which parts of the policy are enabled.
     read_share : callable, optional
-        Returns which part of a target's rate limit this dispatcher may use.
+        Returns the share of a target's rate limit that this dispatcher may use.
     """
 
     def __init__(
@@ -105,62 +107,70 @@
         self._read_share = read_share
         self._grants: dict[str, _Grant] = {}
         self._queue = waiting.RequestQueue(self.pool, kinds, policy)
-        self._level = service_level.ServiceLevel()
+        self._service_level = service_level.ServiceLevel()
 
     @property
     def queue_length(self) -> int:
-        """Requests that wait."""
+        """Number of waiting requests."""
         return len(self._queue)
 
     @property
     def in_flight(self) -> int:
-        """Slots in use."""
+        """Number of slots in use."""
         return len(self._grants)
 
     def update_targets(
         self, entries: collections.abc.Iterable[targets.Entry], now: float
     ) -> list[messages.Decision]:
-        """Use these targets from now on."""
+        """Replace the targets, and return decisions for waiting requests."""
         self.pool.update(entries, now)
         return self._serve_queue(now)
 
     def request_slot(
         self, ask: messages.SlotRequest, now: float
     ) -> list[messages.Decision]:
-        """Take in a request; an ask that came before gets its first answer again."""
+        """Decide on a slot request; one received before gets its current state
+        again.
+        """
         if ask.is_first:
-            # Also one that is refused: it is a request for the service all the same.
+            # Refused requests count too: they are requests for the service.
             self._retries.add_request(now)
         granted = self._grants.get(ask.ticket)
         if granted is not None:
-            return [self._repeat(granted, now)]
+            return [self._make_repeated_grant(granted, now)]
         if self._queue.holds(ask.ticket):
             return [messages.Wait(ask.ticket)]
         if self.pool.is_empty():
             return [self._refuse(ask, messages.RefusalReason.NO_TARGET, now)]
         if ask.attempt > 1 and not self._retries.reserve(now):
             return [self._refuse(ask, messages.RefusalReason.RETRY_BUDGET, now)]
-        entry = waiting.QueuedRequest(self._find_rank(ask, now), now, ask.ticket, ask)
+        entry = waiting.QueuedRequest(
+            self._find_effective_priority(ask, now), now, ask.ticket, ask
+        )
         if not self._queue.enter(entry, now):
-            self._take_back(entry)
+            self._release_retry(entry)
             return [self._refuse(ask, messages.RefusalReason.OVERLOADED, now)]
         decisions = self._serve_queue(now)
-        if any(one.ticket == ask.ticket for one in decisions):
+        if any(decision.ticket == ask.ticket for decision in decisions):
             return decisions
         return [*decisions, messages.Wait(ask.ticket)]
 
     def handle_report(
         self, report: messages.Report, now: float
     ) -> list[messages.Decision]:
-        """Take in how an attempt went; its slot is free again.
+        """Record the outcome of an attempt and free its slot.
 
-        An ask that still waits is forgotten: its caller has left or was answered.
+        A slot request that still waits is removed: its caller has left or was answered.
         """
         granted = self._grants.pop(report.ticket, None)
         withdrawn = self._queue.remove(report.ticket) if granted is None else None
         if withdrawn is not None:
-            self._take_back(withdrawn)
-        if granted is not None and granted.is_retry and report.outcome in UNSENT:
+            self._release_retry(withdrawn)
+        if (
+            granted is not None
+            and granted.is_retry
+            and report.outcome in UNSENT_OUTCOMES
+        ):
             self._retries.refund(granted.started_at, now)
         if report.is_resent and granted is not None:
             self._retries.charge(now)
@@ -168,23 +178,23 @@
         state = self.pool.find(target_id)
         if state is not None:
             state.tickets.discard(report.ticket)
-            self._learn_limit(state, granted, report.rate_limit, now)
-            self._learn(state, granted, report, now)
+            self._update_limit(state, granted, report.rate_limit, now)
+            self._apply_outcome(state, granted, report, now)
         return self._serve_queue(now)
 
     def adopt_slot(self, held: messages.HeldSlot, now: float) -> None:
-        """Take over a slot that another dispatcher gave."""
+        """Take over a slot that another dispatcher granted."""
         state = self.pool.find(held.target_id)
         if state is not None and held.slot_request.ticket not in self._grants:
             self._start(held.slot_request, state, now, is_retry=False)
 
     def wake(self, now: float) -> list[messages.Decision]:
-        """Act on the time: notice slow targets, take lost slots back, end waits."""
+        """Detect slow targets, free slots without a report, and end waits."""
         for ticket, granted in list(self._grants.items()):
             state = self.pool.find(granted.target_id)
             elapsed = now - granted.started_at
-            if state is not None and elapsed > SLOW_AFTER * granted.expected:
-                state.note_overdue(elapsed / granted.expected, now)
+            if state is not None and elapsed > SLOW_FACTOR * granted.expected:
+                state.record_overdue(elapsed / granted.expected, now)
             if now > granted.ask.deadline_at + LOST_REPORT_GRACE_S:
                 del self._grants[ticket]
                 if state is not None:
@@ -192,47 +202,49 @@
         return self._serve_queue(now)
 
     def _serve_queue(self, now: float) -> list[messages.Decision]:
-        """Place those that wait, in their order.
+        """Assign waiting requests to targets, in their order.
 
         Requests of a kind differ only in their age. When one of them finds no target,
-        those behind it find none either, and are not looked at: with a hundred that
-        wait, each event would otherwise cost a hundred searches over all targets.
+        those behind it find none either and are skipped: with a hundred that wait, each
+        event would otherwise cost a hundred searches over all targets.
         """
         decisions: list[messages.Decision] = []
         left: list[waiting.QueuedRequest] = []
         without: set[tuple[str, bool]] = set()
         has_free = len(self._queue) > 0 and self.pool.has_free(now)
-        for one in self._queue:
-            ask = one.ask
+        for queued in self._queue:
+            ask = queued.ask
             group = (ask.kind, ask.may_retry)
             decision: messages.Decision | None = None
-            least = LEAST_WORK * self._kinds.find_mean(ask.kind)
+            least = MIN_WORK_FACTOR * self._kinds.find_mean(ask.kind)
             if now + least >= ask.deadline_at:
-                self._take_back(one)
+                self._release_retry(queued)
                 decision = self._refuse(ask, messages.RefusalReason.TOO_LATE, now)
             elif has_free and (group not in without or ask.excluded):
-                decision = self._place(one, now)
+                decision = self._place(queued, now)
             if decision is None:
                 without.add(group)
-                left.append(one)
+                left.append(queued)
             else:
                 decisions.append(decision)
         self._queue.keep(left)
         return decisions
 
     def _place(
-        self, one: waiting.QueuedRequest, now: float
+        self, queued: waiting.QueuedRequest, now: float
     ) -> messages.Decision | None:
-        ask = one.ask
+        ask = queued.ask
         ease = self._find_ease(now)
-        offer = self.pool.find_best(ask, ease, now, self._level.find_unserved(now))
-        if offer is None or self._queue.should_wait(one, offer, ease, now):
+        offer = self.pool.find_best(
+            ask, ease, now, self._service_level.find_unserved(now)
+        )
+        if offer is None or self._queue.should_wait(queued, offer, ease, now):
             return None
         state = self.pool.find(offer.target_id)
         if state is None:
             return None
         if ask.may_retry and offer.failure_probability > 0:
-            state.note_trial(now)
+            state.record_trial(now)
         granted = self._start(ask, state, now, is_retry=ask.attempt > 1)
         if granted.is_retry:
             self._retries.spend(now)
@@ -261,12 +273,12 @@
         is_retry: bool,
     ) -> _Grant:
         expected = self._kinds.find_mean(ask.kind) * state.find_slowness(now)
-        state.note_granted(ask.ticket, now)
+        state.record_grant(ask.ticket, now)
         granted = _Grant(ask, state.entry.target_id, now, expected, is_retry)
         self._grants[ask.ticket] = granted
         return granted
 
-    def _learn(
+    def _apply_outcome(
         self,
         state: pool.TargetState,
         granted: _Grant | None,
@@ -275,31 +287,31 @@
     ) -> None:
         match report.outcome:
             case messages.Outcome.GOOD:
-                state.note_outcome(failed=False, now=now)
-                self._level.add(is_served=True, now=now)
+                state.update_failure_estimate(failed=False, now=now)
+                self._service_level.add(is_served=True, now=now)
                 if granted is not None:
-                    self._learn_time(state, granted.ask.kind, report.took, now)
+                    self._update_durations(state, granted.ask.kind, report.took, now)
             case messages.Outcome.FAILED | messages.Outcome.SILENT:
-                state.note_outcome(failed=True, now=now)
+                state.update_failure_estimate(failed=True, now=now)
                 if granted is None or not granted.ask.may_retry:
-                    self._level.add(is_served=False, now=now)
+                    self._service_level.add(is_served=False, now=now)
             case messages.Outcome.SHED:
-                state.note_shed(now)
+                state.record_shed(now)
             case messages.Outcome.UNREACHABLE:
-                state.note_unreachable(report.vm, now)
+                state.record_unreachable(report.vm, now)
             case messages.Outcome.MISPLACED:
-                state.note_misplaced(now)
+                state.record_misplaced(now)
             case messages.Outcome.ABANDONED | messages.Outcome.UNUSED:
                 pass
 
-    def _learn_limit(
+    def _update_limit(
         self,
         state: pool.TargetState,
         granted: _Grant | None,
         rate: float | None,
         now: float,
     ) -> None:
-        """Learn how many requests a target takes, if its answer tells."""
+        """Update the target's rate limit if its answer tells one."""
         if rate is None:
             return
         if math.isinf(rate):
@@ -311,27 +323,28 @@
         else:
             state.limit.set_rate(rate, now)
 
-    def _learn_time(
+    def _update_durations(
         self, state: pool.TargetState, kind: str, took: float, now: float
     ) -> None:
-        """Learn how long a kind of work takes apart from how slow its target is.
+        """Update the duration of the kind of work separately from the target's
+        slowness.
 
-        Fast first answers of a new kind say nothing of their target: short work, held
-        against the first guess, makes targets look far faster than usual, and other
-        work there is then broken off as overdue.
+        Fast first answers of a new kind reveal nothing about their target: short work,
+        compared with the initial mean, makes targets look far faster than usual, and
+        other work there is then abandoned as overdue.
         """
         slowness = state.find_slowness(now)
-        mean = max(self._kinds.find_mean(kind), LEAST_MEAN)
+        mean = max(self._kinds.find_mean(kind), MIN_MEAN_S)
         if took > mean or self._kinds.is_known(kind):
-            state.note_slowness(took / mean, now)
+            state.record_slowness(took / mean, now)
         self._kinds.add(kind, took / max(1.0, slowness))
 
     def _refuse(
         self, ask: messages.SlotRequest, reason: messages.RefusalReason, now: float
     ) -> messages.Refuse:
         """Refuse, and spread the returns over the time that the queue needs."""
-        self._level.add(is_served=False, now=now)
-        pause = max(RETURN_PAUSE, self._queue.find_backlog(now))
+        self._service_level.add(is_served=False, now=now)
+        pause = max(MIN_RETURN_DELAY_S, self._queue.find_backlog(now))
         return messages.Refuse(
             ask.ticket,
             reason,
@@ -339,30 +352,31 @@
             self._find_pressure(now),
         )
 
-    def _take_back(self, one: waiting.QueuedRequest) -> None:
-        """Give back the retry of a request that gets no target.
+    def _release_retry(self, queued: waiting.QueuedRequest) -> None:
+        """Release the retry of a request that gets no target.
 
-        Load pattern: targets turn work away, and more second attempts are asked for
-        than may be sent. Those that are refused would use up what others may have.
+        Load pattern: targets turn work away, and more second attempts are requested
+        than may be sent. Refused ones would use up the retries of others.
         """
-        if one.ask.attempt > 1:
+        if queued.ask.attempt > 1:
             self._retries.release()
 
-    def _find_rank(self, ask: messages.SlotRequest, now: float) -> int:
-        """Return the rank of a request in the queue.
+    def _find_effective_priority(self, ask: messages.SlotRequest, now: float) -> int:
+        """Return the priority of a request in the queue.
 
-        Load pattern: high load, a third of the targets failing. Idempotent work finds
-        out about them for all others, and its second attempt would then wait behind
-        work that has not failed. So it goes one rank up while the queue is short. In a
-        long queue it keeps its rank, or it would crowd out work that may run only once.
+        Load pattern: high load, a third of the targets failing. Idempotent work tests
+        targets on behalf of all others, and its second attempt would then wait behind
+        work that has not failed. So it goes one priority up while the queue is short.
+        In a long queue it keeps its priority, or it would crowd out work that may run
+        only once.
         """
         goes_up = ask.attempt > 1 and self._policy.second_rank
-        if goes_up and self._queue.find_backlog(now) < SHORT_BACKLOG:
+        if goes_up and self._queue.find_backlog(now) < SHORT_BACKLOG_S:
             return ask.priority - 1
         return ask.priority
 
     def _find_pressure(self, now: float) -> float:
-        """Return the requests here for each slot of a target that is little in doubt.
+        """Return the requests here for each slot that is proven healthy.
 
         One request more is counted, so that a shard without any proven slot does not
         look idle.
@@ -372,8 +386,8 @@
             waiting.MIN_SLOTS, slots
         )
 
-    def _repeat(self, granted: _Grant, now: float) -> messages.Grant:
-        """Return a grant again, since its first telling may have been lost."""
+    def _make_repeated_grant(self, granted: _Grant, now: float) -> messages.Grant:
+        """Return a grant again, since the first message may have been lost."""
         return messages.Grant(
             granted.ask.ticket,
             granted.target_id,
