--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
@@ -10,9 +10,10 @@
 
 import anyio
 
-from zinniastand_core.deployment import configuration, places
+from zinniastand_core.deployment import configuration, positions
 
 from . import (
+    broadcasting,
     configuration_keeper,
     datagrams,
     fleet_entry,
@@ -20,17 +21,16 @@
     knowledge_exchange,
     log_lines,
     members,
-    news_teller,
     peer_link,
     ports,
     reading_turn,
     resignation,
-    spreading,
     start_fetcher,
     start_turn,
     store_contact,
     target_reader,
     target_record,
+    target_update_sender,
 )
 
 HOLD_AT_START = 1.0
@@ -48,7 +48,7 @@
     ----------
     store : ports.Store
         The platform's store.
-    knowledge : forwarder.Knowledge
+    knowledge : forwarder.RoutingState
         What is kept up to date.
     fleet : members.Members
         The VMs.
@@ -67,7 +67,7 @@
     def __init__(
         self,
         store: ports.Store,
-        knowledge: forwarder.Knowledge,
+        knowledge: forwarder.RoutingState,
         fleet: members.Members,
         link: peer_link.PeerLink,
         log: log_lines.LogLines,
@@ -75,7 +75,7 @@
         rng: random.Random,
         resign: resignation.Resignation,
     ) -> None:
-        self._configured = knowledge.configured
+        self._configured = knowledge.configuration_state
         self._registry = knowledge.registry
         self._fleet = fleet
         self._link = link
@@ -83,7 +83,7 @@
         self._resignation = resign
         self._hold_until = anyio.current_time() + HOLD_AT_START
         self._store = store
-        self._spreader = spreading.Spreader(fleet, link)
+        self._broadcaster = broadcasting.Broadcaster(fleet, link)
         self._record = target_record.TargetRecord(knowledge.registry, log, on_targets)
         self._starter = start_fetcher.StartFetcher(
             fleet, lambda: self.is_complete, self._fetch_from, rng
@@ -93,7 +93,7 @@
     def _build_followers(
         self,
         store: ports.Store,
-        knowledge: forwarder.Knowledge,
+        knowledge: forwarder.RoutingState,
         log: log_lines.LogLines,
     ) -> None:
         """Build what reads the store, and what tells of it."""
@@ -104,16 +104,16 @@
             configuration_keeper.Source(store, turn, start, self._fetch_from),
             knowledge,
             fleet,
-            self._spreader,
+            self._broadcaster,
             link,
             log,
             rng,
         )
-        self._teller = news_teller.NewsTeller(
+        self._teller = target_update_sender.TargetUpdateSender(
             self._record,
             turn,
-            knowledge.configured,
-            self._spreader,
+            knowledge.configuration_state,
+            self._broadcaster,
             fleet.own.vm,
             self._configuration.has_read_lately,
         )
@@ -145,7 +145,7 @@
 
     def _read_era(self) -> int:
         """Return the newest era of the store that this VM has seen or heard of."""
-        return max(self._store.era, places.find_era(self._record.position))
+        return max(self._store.era, positions.find_era(self._record.position))
 
     @property
     def position(self) -> int:
@@ -167,7 +167,7 @@
             self._configured.current,
             self._record.position,
             self._record.heard_at,
-            tuple(self._registry.list_lasting()),
+            tuple(self._registry.list_registered()),
         )
 
     async def run(self) -> None:
@@ -186,10 +186,10 @@
         self._configuration.lose_time(seconds)
         self._reader.read_anew()
 
-    def take_news(self, news: datagrams.News) -> None:
+    def take_news(self, news: datagrams.TargetUpdate) -> None:
         """Take in what another VM has read."""
         now = anyio.current_time()
-        self._spreader.pass_on(news)
+        self._broadcaster.relay(news)
         self.take_version(news.vm, news.version)
         self._record.take_news(news, now)
 
@@ -198,7 +198,7 @@
         if position >= 0:
             self._starter.note_holder(vm)
 
-    def take_published(self, published: datagrams.Published) -> None:
+    def take_published(self, published: datagrams.ConfigurationUpdate) -> None:
         """Take in a configuration that another VM has read.
 
         Raises
--- a/soak/plants.py
+++ b/soak/plants.py
@@ -86,7 +86,7 @@
         (
             Change(
                 f"{EDGE}/stopping.py",
-                "while served.is_owing() and anyio.current_time() < end:",
+                "while served.has_unfinished_work() and anyio.current_time() < end:",
                 "while False:",
             ),
         ),
@@ -98,8 +98,8 @@
         (
             Change(
                 f"{EDGE}/request_run.py",
-                "limit = incoming.read_at + min(",
-                "limit = incoming.read_at + 0.3 * min(",
+                "limit = incoming.first_byte_at + min(",
+                "limit = incoming.first_byte_at + 0.3 * min(",
             ),
         ),
     ),
@@ -124,8 +124,8 @@
         "draining",
         (
             Change(
-                f"{CORE}/deployment/places.py",
-                "return era * OFFSETS + offset",
+                f"{CORE}/deployment/positions.py",
+                "return era * OFFSETS_PER_ERA + offset",
                 "return offset",
             ),
         ),
--- a/tests/edge/test_stopping.py
+++ b/tests/edge/test_stopping.py
@@ -21,9 +21,9 @@
 from zinniastand_platform import encoding, words
 from zinniastand_proxy.edge import (
     datagrams,
-    desk,
     forwarder,
     knowledge_keeper,
+    local_dispatchers,
     log_lines,
     members,
     stopping,
@@ -113,8 +113,8 @@
 @pytest.mark.parametrize(
     ("owner", "function", "task"),
     [
-        (desk.Desk, "wake", "wake desk"),
-        (desk.Desk, "list_busy", "tell opinions"),
+        (local_dispatchers.LocalDispatchers, "wake", "wake desk"),
+        (local_dispatchers.LocalDispatchers, "list_busy", "tell opinions"),
         (members.Members, "list_suspects", "greet"),
         (target_client.TargetClient, "close_idle", "close idle"),
         (log_lines.LogLines, "flush", "write log"),
@@ -161,12 +161,12 @@
     async with edge_site.run_site() as site:
         taken: list[str] = []
 
-        def note_leaving(_: members.Members, vm: str, *rest: object) -> None:
+        def record_leaving(_: members.Members, vm: str, *rest: object) -> None:
             taken.append(vm)
             fail()
 
         def break_it(vm: edge_site.Vm) -> None:
-            monkeypatch.setattr(members.Members, "note_leaving", note_leaving)
+            monkeypatch.setattr(members.Members, "record_leaving", record_leaving)
             address = vm.settings.peers
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
                 for name in ("vm-8", "vm-9"):
@@ -206,20 +206,20 @@
     def begin_stop(self, answer_by: float) -> None:
         self.answer_by = answer_by
 
-    def tell_opinions(self) -> None:
+    def send_estimates(self) -> None:
         raise RuntimeError("a fault")
 
-    def tell_leaving(self) -> None:
+    def announce_leaving(self) -> None:
         raise RuntimeError("a fault")
 
     @property
     def in_flight(self) -> int:
         return int(anyio.current_time() < self.answer_by + self.late)
 
-    def is_owing(self) -> bool:
+    def has_unfinished_work(self) -> bool:
         return self.in_flight > 0
 
-    def count_reading(self) -> int:
+    def count_receiving(self) -> int:
         return 0
 
     async def close_idle(self) -> None:
@@ -237,7 +237,7 @@
     faults: list[str] = []
     with anyio.fail_after(10.0):
         ended = await stopping.stop(
-            vm, vm, stopping.Times(0.6, 0.05), lambda name, _: faults.append(name)
+            vm, vm, stopping.StopTimes(0.6, 0.05), lambda name, _: faults.append(name)
         )
     assert ended.cut_off == cut_off
     assert faults[:3] == ["tell opinions", "tell leaving", "close idle"]
