--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
@@ -207,7 +207,6 @@
             OVERDUE_FACTOR
             + (OVERDUE_FACTOR_WHEN_FAILING - OVERDUE_FACTOR) * grant.failure_probability
         )
-        )
         overdue = max(MIN_OVERDUE_S, factor * grant.expected_duration)
         if not self._plan.may_send_backup:
             return math.inf
@@ -355,7 +354,9 @@
             headers = http_exchange.strip_connection_headers(self._answer.headers)
             return calls.Reply(self._answer.status, headers, self._answer.body)
         if step is plan.Step.ANSWER_NOT_RUN:
-            return replies.make_problem_reply(503, self._why, self._find_retry_after(now))
+            return replies.make_problem_reply(
+                503, self._why, self._find_retry_after(now)
+            )
         status = 504 if now >= self._plan.deadlines.deadline_at else 502
         return replies.make_problem_reply(status, self._why)
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_messages.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_messages.py
@@ -8,8 +8,12 @@
 from zinniastand_core.dispatch import messages, shards
 from zinniastand_core.forwarding import plan
 
-from . import calls, header_names, http_exchange, run_parts
-from . import calls, http_exchange, run_dependencies, vocabulary
+from . import (
+    calls,
+    header_names,
+    http_exchange,
+    run_dependencies,
+)
 
 MAX_OPEN_TARGETS = 16
 """Targets with an idle connection that an ask names at most; a name takes a dozen
--- a/tests/dispatch/test_rate_limit.py
+++ b/tests/dispatch/test_rate_limit.py
@@ -1,4 +1,4 @@
-"""Rates that targets name, as dispatchers keep them."""
+"""Rate limits that targets announce, as dispatchers apply them."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
     return targets.Entry(name, "desk", "h", 80, "a", slots, phase, 1, 0.0, 1)
 
 
-def take_all(
+def send_all(
     limits: list[rate_limit.RateLimit], begin: float, end: float, share: float = 1.0
 ) -> list[float]:
-    """Let each dispatcher send whenever there is room; return when."""
+    """Let each dispatcher send whenever its limit allows; return the times."""
     times: list[float] = []
     for number in range(int(begin / STEP), int(end / STEP)):
         now = number * STEP
@@ -49,41 +49,41 @@
     return max(sum(begin <= at < begin + WINDOW for at in times) for begin in times)
 
 
-def find_most(rate: float) -> float:
+def find_max_requests(rate: float) -> float:
     return 1.5 * rate * WINDOW + 5
 
 
 @hypothesis.given(st.sampled_from([0.0, 0.1, 0.5, 1.0, 3.8, 20.0]))
 def test_busiest_window_stays_within_what_the_target_takes(rate: float) -> None:
     limit = rate_limit.RateLimit(rate, 0.0, 0.0)
-    times = take_all([limit], 0.0, 30.0)
-    assert find_busiest(times) <= find_most(rate)
+    times = send_all([limit], 0.0, 30.0)
+    assert find_busiest(times) <= find_max_requests(rate)
     assert len(times) >= 0.9 * rate * 30.0
 
 
 @hypothesis.given(st.sampled_from([1.0, 3.8, 20.0]), st.integers(2, 4))
-def test_dispatchers_that_hear_each_other_share_a_rate(rate: float, count: int) -> None:
+def test_dispatchers_that_know_each_other_share_a_rate(rate: float, count: int) -> None:
     limits = [rate_limit.RateLimit(rate, 0.0, 0.0) for _ in range(count)]
     times: list[float] = []
     for second in range(20):
         for limit, other in itertools.permutations(limits, 2):
             limit.record_other_dispatcher(f"vm-{limits.index(other)}", float(second))
-        times += take_all(limits, second, second + 1)
-    assert find_busiest(times) <= find_most(rate)
+        times += send_all(limits, second, second + 1)
+    assert find_busiest(times) <= find_max_requests(rate)
 
 
-def test_vms_that_decide_alone_share_a_rate() -> None:
+def test_vms_that_dispatch_for_themselves_share_a_rate() -> None:
     rng = random.Random(2)
     limits = [
         rate_limit.start_rate_limit(3.8, 0.0, 1 / 36, rng, 0.0) for _ in range(36)
     ]
-    times = take_all(limits, 0.0, 60.0, share=1 / 36)
-    assert find_busiest(times) <= find_most(3.8)
+    times = send_all(limits, 0.0, 60.0, share=1 / 36)
+    assert find_busiest(times) <= find_max_requests(3.8)
     assert len(times) >= 0.9 * 3.8 * 60.0
 
 
 def test_limit_lifts_only_by_an_answer_to_a_later_request() -> None:
-    # Answers from two VMs are heard in another order than the target gave them.
+    # Answers from two VMs are received in another order than the target gave them.
     state = pool.TargetState(make_entry("t"), failure_estimates.FailureRates(), 0.0)
     state.limit = rate_limit.RateLimit(2.0, 1.0, 1.0)
     state.lift_limit(sent_at=0.9)
@@ -102,7 +102,9 @@
 def serve(
     one: dispatcher.Dispatcher, limits: dict[str, float], rate: float, seconds: float
 ) -> dict[str, list[float]]:
-    """Ask at a steady rate; work takes 0.2 s. Return the times at each target."""
+    """Request slots at a steady rate for work of 0.2 s; return the times at each
+    target.
+    """
     granted: dict[str, list[float]] = {}
     under_way: list[tuple[float, str, str]] = []
     for number in range(int(seconds / STEP)):
@@ -128,24 +130,26 @@
 def test_work_goes_on_to_targets_without_a_limit() -> None:
     one = make_dispatcher("abc")
     granted = serve(one, {"a": 1.0}, rate=50.0, seconds=20.0)
-    assert find_busiest([at for at in granted["a"] if at > 1.0]) <= find_most(1.0)
+    assert find_busiest([at for at in granted["a"] if at > 1.0]) <= find_max_requests(
+        1.0
+    )
     slots = 8
     assert len(granted["b"]) + len(granted["c"]) >= 0.95 * slots / 0.2 * 20.0
 
 
-def test_lowest_limits_are_all_used_where_every_target_names_one() -> None:
-    # Capacity is what the limits allow: what is beyond is refused on arrival, and the
-    # rest is served.
+def test_limits_are_fully_used_where_every_target_announces_one() -> None:
+    # Capacity is what the limits allow: requests beyond it are refused on arrival, and
+    # the rest are served.
     one = make_dispatcher("abc")
     limits = dict.fromkeys("abc", 2.0)
     granted = serve(one, limits, rate=20.0, seconds=20.0)
     for times in granted.values():
-        assert find_busiest([at for at in times if at > 1.0]) <= find_most(2.0)
+        assert find_busiest([at for at in times if at > 1.0]) <= find_max_requests(2.0)
         assert len(times) >= 1.7 * 20.0
     assert one.queue_length <= 6
 
 
-def test_target_that_starts_anew_has_no_limit() -> None:
+def test_restarted_target_has_no_limit() -> None:
     one = make_dispatcher("a")
     serve(one, {"a": 1.0}, rate=5.0, seconds=2.0)
     state = one.pool.find("a")
--- a/tests/dispatch/test_retries_sent.py
+++ b/tests/dispatch/test_retries_sent.py
@@ -1,4 +1,4 @@
-"""Retries of a dispatcher count when they are sent, and only then."""
+"""A dispatcher counts retries when they are sent, and only then."""
 
 from __future__ import annotations
 
@@ -52,7 +52,8 @@
 
 
 def test_retry_that_waits_counts_from_when_it_is_sent() -> None:
-    # Guards against retries that wait together and arrive in a span that has its own.
+    # Guards against retries that wait together and are sent in a window that has
+    # retries of its own.
     one, window = make_dispatcher(retries=1.0)
     one.request_slot(dataclasses.replace(RETRY, ticket="first", attempt=1), 0.0)
     assert one.request_slot(RETRY, 0.1) == [messages.Wait("r")]
@@ -72,25 +73,25 @@
         (messages.Outcome.SILENT, 0.0),
     ],
 )
-def test_retry_that_reached_no_target_is_given_back(
+def test_retry_that_reached_no_target_is_refunded(
     outcome: messages.Outcome, left: float
 ) -> None:
-    # Guards against retries that are used up by targets that cannot be reached.
+    # Guards against a retry budget used up by targets that cannot be reached.
     one, window = make_dispatcher(retries=1.0)
     assert is_granted(one.request_slot(RETRY, 0.0), "r")
     report(one, "r", outcome, 0.2)
     assert window.find_remaining(0.2) == pytest.approx(left)
 
 
-def test_retry_that_another_dispatcher_gave_is_not_given_back_here() -> None:
-    # Guards against retries that are given back by each VM that counts the slot.
+def test_retry_that_another_dispatcher_granted_is_not_refunded_here() -> None:
+    # Guards against retries refunded by every VM that counts the slot.
     one, window = make_dispatcher(retries=1.0)
     one.adopt_slot(messages.HeldSlot(RETRY, "a"), 0.0)
     report(one, "r", messages.Outcome.UNREACHABLE, 0.1)
     assert window.find_remaining(0.1) == pytest.approx(1.0)
 
 
-def test_retry_that_leaves_the_queue_is_given_back() -> None:
+def test_retry_that_leaves_the_queue_is_released() -> None:
     one, window = make_dispatcher(retries=1.0)
     one.request_slot(dataclasses.replace(RETRY, ticket="first", attempt=1), 0.0)
     one.request_slot(RETRY, 0.1)
@@ -100,7 +101,7 @@
 
 @pytest.mark.parametrize("attempt", [1, 2])
 def test_sending_on_a_second_connection_counts_as_a_retry(attempt: int) -> None:
-    # Guards against arrivals that no dispatcher was asked for.
+    # Guards against requests at targets that no dispatcher has granted.
     one, window = make_dispatcher(retries=4.0)
     one.request_slot(dataclasses.replace(RETRY, attempt=attempt), 0.0)
     report(one, "r", messages.Outcome.GOOD, 0.2, is_resent=True)
--- a/tests/dispatch/test_retry_window.py
+++ b/tests/dispatch/test_retry_window.py
@@ -1,4 +1,4 @@
-"""Retries stay a fixed share of requests, whatever fails."""
+"""Retries stay within a fixed share of requests, whatever fails."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
 
 
 @pytest.mark.parametrize(("after", "least"), [(0.1, 13.0), (0.4, 10.0), (0.5, 8.0)])
-def test_retries_that_a_burst_has_earned_are_given_after_it(
+def test_retries_that_a_burst_has_earned_are_granted_after_it(
     after: float, least: float
 ) -> None:
-    # Guards against refusing retries in a storm of failures that follows a burst, and
-    # against giving those that no span around the storm allows.
+    # Guards against refusing retries in a series of failures that follows a burst, and
+    # against granting those that no window around the failures allows.
     window = retry_window.RetryWindow(0.2, lambda: 0.0, SPAN)
     firsts = [number * SPAN / 100 for number in range(100)]
     for at in firsts:
@@ -62,7 +62,7 @@
     assert retry_audit.find_worst(firsts, one_more, bound).excess > 0.0
 
 
-def test_retry_that_was_not_sent_is_given_back() -> None:
+def test_retry_that_was_not_sent_can_be_reserved_again() -> None:
     window = retry_window.RetryWindow(0.0, lambda: 1.0, SPAN)
     assert window.reserve(0.0)
     assert not window.reserve(0.0)
@@ -81,11 +81,11 @@
         max_size=80,
     )
 )
-def test_counters_that_tell_each_other_keep_the_bound_of_one(
+def test_counters_that_exchange_counts_keep_the_bound_of_one(
     steps: list[tuple[float, int, int]],
 ) -> None:
-    # Guards against dispatchers of a service, side by side or in a row, that each give
-    # out the retries of all.
+    # Guards against dispatchers of a service, side by side or one after the other, that
+    # each grant the retries of all.
     windows = [
         retry_window.RetryWindow(0.2, lambda: 4.0, SPAN, str(n)) for n in range(3)
     ]
@@ -107,8 +107,8 @@
     assert retry_audit.find_worst(firsts, retries, bound).excess <= 1e-6
 
 
-def test_counter_that_begins_hears_of_those_that_are_gone() -> None:
-    # Guards against counts that only the VM knew that made them.
+def test_new_counter_receives_counts_of_those_that_are_gone() -> None:
+    # Guards against counts that are lost with the VM that made them.
     first, second, third = (
         retry_window.RetryWindow(0.2, lambda: 0.0, SPAN, name) for name in "abc"
     )
@@ -124,7 +124,7 @@
     assert third.find_remaining(SPAN + 0.1) == pytest.approx(known, abs=0.5)
 
 
-def test_what_is_told_twice_counts_once() -> None:
+def test_counts_received_twice_count_once() -> None:
     first, second = (
         retry_window.RetryWindow(0.2, lambda: 5.0, SPAN, name) for name in "ab"
     )
@@ -134,8 +134,9 @@
     assert second.find_remaining(0.01) == pytest.approx(4.0)
 
 
-def test_counter_that_decides_alone_uses_nothing_of_the_others() -> None:
-    # Guards against VMs cut off from each other that each spend what all have earned.
+def test_counter_that_decides_alone_uses_no_counts_of_others() -> None:
+    # Guards against VMs cut off from each other that each spend what the requests of
+    # all have earned.
     first = retry_window.RetryWindow(0.2, lambda: 0.0, SPAN, "a")
     alone = retry_window.RetryWindow(0.2, lambda: 0.0, SPAN, "b", find_own)
     for _ in range(100):
@@ -146,7 +147,7 @@
 
 
 def test_retry_of_a_waiting_request_counts_until_it_is_sent() -> None:
-    # Guards against retries that are asked for in one span and sent in the next.
+    # Guards against retries that are reserved in one window and sent in the next.
     window = retry_window.RetryWindow(0.0, lambda: 1.0, SPAN)
     assert window.reserve(0.0)
     assert not window.reserve(1.5 * SPAN)
@@ -165,8 +166,9 @@
     assert window.find_remaining(10.1 + 2.1 * SPAN) == pytest.approx(3.0)
 
 
-def test_counts_are_told_once_though_the_span_changes() -> None:
-    # Guards against requests that earn once by the numbers of each span.
+def test_counts_are_merged_once_though_the_span_changes() -> None:
+    # Guards against requests that earn retries once for the bucket numbers of each
+    # window.
     first, second = (
         retry_window.RetryWindow(0.2, lambda: 0.0, SPAN, name) for name in "ab"
     )
--- a/tests/dispatch/test_service_level.py
+++ b/tests/dispatch/test_service_level.py
@@ -1,4 +1,4 @@
-"""How many requests have not been served lately."""
+"""The share of recent requests that were not served."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from zinniastand_core.dispatch import service_level
 
 
-def test_share_is_that_of_the_last_seconds() -> None:
+def test_share_covers_the_last_seconds() -> None:
     level = service_level.ServiceLevel()
     for n in range(20):
         level.add(is_served=n % 4 > 0, now=n * 0.01)
@@ -17,7 +17,7 @@
     assert level.find_unserved(5.4) < 0.02
 
 
-def test_nothing_is_told_from_a_few_requests() -> None:
+def test_share_is_zero_while_there_are_few_requests() -> None:
     level = service_level.ServiceLevel()
     for _ in range(4):
         level.add(is_served=False, now=1.0)
--- a/tests/dispatch/test_shards.py
+++ b/tests/dispatch/test_shards.py
@@ -14,27 +14,27 @@
 
 
 def make_entries(**sizes: int) -> list[targets.Entry]:
-    """Return the targets of a service, so many in each data centre."""
+    """Return the targets of a service, with the given number in each data centre."""
     return [
         targets.Entry(
-            target_id=f"{place}{number}",
+            target_id=f"{data_centre}{number}",
             service="desk",
             host="127.0.0.1",
             port=80,
-            data_centre=place,
+            data_centre=data_centre,
             slots=3,
             phase=targets.Phase.READY,
             born=1,
             cold_until=0.0,
             position=1,
         )
-        for place, size in sizes.items()
+        for data_centre, size in sizes.items()
         for number in range(size)
     ]
 
 
-def make_shards(*places: str) -> list[shards.Shard]:
-    return [shards.Shard("desk", place) for place in places]
+def make_shards(*data_centres: str) -> list[shards.Shard]:
+    return [shards.Shard("desk", data_centre) for data_centre in data_centres]
 
 
 def count_chosen(
@@ -69,7 +69,7 @@
         ({"a": 90, "b": 20}, [("a", 4), ("b", 1)]),
     ],
 )
-def test_large_service_is_divided_by_place_first(
+def test_large_service_is_divided_by_data_centre_first(
     sizes: dict[str, int], expected: list[tuple[str, int]]
 ) -> None:
     divided = shards.divide("desk", make_entries(**sizes))
@@ -83,13 +83,13 @@
 
 
 def test_requests_stay_in_their_data_centre() -> None:
-    # Nothing is wrong. Placing requests elsewhere would send each of them, and its
+    # No target fails. Placing requests elsewhere would send each of them, and its
     # answer, between data centres for nothing.
     chooser = shards.ShardChooser("b", random.Random(1))
     assert count_chosen(chooser, make_shards("a", "b", "c"), 0.0) == {"b": 1000}
 
 
-def test_pressed_shard_gives_work_away() -> None:
+def test_requests_leave_a_shard_with_high_pressure() -> None:
     # Most targets of one data centre fail, or its callers come in a burst. Requests
     # would wait there while slots are free elsewhere.
     chooser = shards.ShardChooser("b", random.Random(1))
@@ -101,8 +101,8 @@
     assert chosen["b"] == 0
 
 
-def test_all_pressed_alike_stay_where_they_are() -> None:
-    # A burst everywhere: sending requests to and fro would help nobody.
+def test_requests_stay_local_when_all_shards_have_high_pressure() -> None:
+    # A burst in all data centres: moving requests between them would help nobody.
     chooser = shards.ShardChooser("b", random.Random(1))
     a, b, c = make_shards("a", "b", "c")
     for shard in (a, b, c):
@@ -110,8 +110,8 @@
     assert count_chosen(chooser, [a, b, c], 0.0) == {"b": 1000}
 
 
-def test_old_pressure_counts_for_little() -> None:
-    # A burst is over, but nobody has asked the shard since: it must get work again.
+def test_old_pressure_decays() -> None:
+    # A burst is over, but the shard has had no request since: it must get work again.
     chooser = shards.ShardChooser("b", random.Random(1))
     a, b = make_shards("a", "b")
     chooser.record_pressure(b, 3.0, 0.0)
--- a/tests/edge/test_datagrams.py
+++ b/tests/edge/test_datagrams.py
@@ -47,7 +47,9 @@
             ("ffff2233aabbccdd", suspect.Suspect(answered_at=-2.0)),
         )
     ),
-    datagrams.RetryUsage("desk", (("vm-1:7:0", (retry_window.Bucket(40, 0.3, 12, 2),)),)),
+    datagrams.RetryUsage(
+        "desk", (("vm-1:7:0", (retry_window.Bucket(40, 0.3, 12, 2),)),)
+    ),
     messages.Grant("vm:1:2", "t1", 0.1, 0.2),
     messages.Refuse("vm:1:2", messages.RefusalReason.OVERLOADED, 2.0),
     messages.Wait("vm:1:2"),
--- a/tests/edge/test_local_dispatchers.py
+++ b/tests/edge/test_local_dispatchers.py
@@ -201,9 +201,7 @@
     made.update_targets(now)
     parts = (retry_window.Bucket(7, 1.0, 100, 50),)
     counts = (("vm-9:1:0", parts),)
-    made.apply_retry_counts(
-        datagrams.RetryUsage("desk", counts, is_complete=True), now
-    )
+    made.apply_retry_counts(datagrams.RetryUsage("desk", counts, is_complete=True), now)
     assert count_retries(made, decisions, "vm-1") == 2
     counted = made.retries.find_totals("desk", now)
     assert (counted.requests, counted.spent) == (0, 2)
