--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
@@ -151,7 +151,7 @@
             self._release_retry(entry)
             return [self._refuse(ask, messages.RefusalReason.OVERLOADED, now)]
         decisions = self._serve_queue(now)
-        if any(decision.ticket == ask.ticket for decision in decisions):
+        if any(answer.ticket == ask.ticket for answer in decisions):
             return decisions
         return [*decisions, messages.Wait(ask.ticket)]
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
@@ -289,7 +289,7 @@
                 shard, held.target_id
             ):
                 ask = dataclasses.replace(held.slot_request, shard=shard)
-                moved = self._held[ticket] = dataclasses.replace(held, ask=ask)
+                moved = self._held[ticket] = dataclasses.replace(held, slot_request=ask)
                 self._granters.setdefault(ticket, []).append(_Granter(vm, shard))
                 self._tell(vm, datagrams.SlotHeld(self._fleet.own.vm, moved))
 
--- a/tests/dispatch/test_shards.py
+++ b/tests/dispatch/test_shards.py
@@ -17,18 +17,18 @@
     """Return the targets of a service, with the given number in each data centre."""
     return [
         targets.Entry(
-            target_id=f"{data_centre}{number}",
+            target_id=f"{name}{number}",
             service="desk",
             host="127.0.0.1",
             port=80,
-            data_centre=data_centre,
+            data_centre=name,
             slots=3,
             phase=targets.Phase.READY,
             born=1,
             cold_until=0.0,
             position=1,
         )
-        for data_centre, size in sizes.items()
+        for name, size in sizes.items()
         for number in range(size)
     ]
 
