--- a/tests/dispatch/test_shards.py
+++ b/tests/dispatch/test_shards.py
@@ -34,7 +34,7 @@
 
 
 def make_shards(*data_centres: str) -> list[shards.Shard]:
-    return [shards.Shard("desk", data_centre) for data_centre in data_centres]
+    return [shards.Shard("desk", name) for name in data_centres]
 
 
 def count_chosen(
