--- a/bench/retry_fleet.py
+++ b/bench/retry_fleet.py
@@ -26,11 +26,11 @@
 from zinniastand_proxy.edge import (
     calls,
     datagrams,
-    desk,
     http_exchange,
+    local_dispatchers,
     members,
     ports,
-    request_notes,
+    request_recorder,
     request_run,
     target_client,
 )
@@ -76,12 +76,12 @@
         self._sent: list[float] = []
         self._arrivals: list[tuple[float, str]] = []
         self._served = 0
-        self._desks: list[desk.Desk] = []
+        self._local_dispatchers: list[local_dispatchers.LocalDispatchers] = []
         self._refused: collections.Counter[str] = collections.Counter()
         self.registry = targets.Registry()
         self.registry.replace(self._make_entries(), 1, 0.0)
         self.sink = os.open(os.devnull, os.O_WRONLY)
-        self.notes: request_notes.RequestNotes = retry_vms.Notes(self._refused)
+        self.notes: request_recorder.RequestRecorder = retry_vms.Notes(self._refused)
 
     def play(self) -> retry_loads.Result:
         """Play the load and return what came of it."""
@@ -100,7 +100,9 @@
 
     def count_requests(self) -> int:
         """Return how many requests all dispatchers together have counted lately."""
-        return sum(one.retries.count_requests(SERVICE) for one in self._desks)
+        return sum(
+            one.retries.count_requests(SERVICE) for one in self._local_dispatchers
+        )
 
     def carry(self, message: datagrams.Message, member: ports.Member) -> None:
         """Deliver a datagram to whichever start of a VM runs by then."""
@@ -188,7 +190,7 @@
             for name, place in names.items():
                 self._start(name, place, retry_vms.FIRST_INCARNATION)
             self._introduce()
-            await anyio.sleep(members.SETTLE_TIME + 1.0)
+            await anyio.sleep(members.SETTLE_TIME_S + 1.0)
             self._begin = self._wire.begin = anyio.current_time()
             for kill in self.load.kills:
                 group.start_soon(self._kill, kill, names)
@@ -199,7 +201,7 @@
 
     def _start(self, name: str, place: str, born: int) -> retry_vms.Vm:
         vm = self._vms[name] = retry_vms.Vm(self, name, place, born)
-        self._desks.append(vm.desk)
+        self._local_dispatchers.append(vm.local_dispatchers)
         self._group.start_soon(vm.run)
         return vm
 
@@ -209,7 +211,7 @@
         for vm in running:
             for other in running:
                 vm.members.add(other.member)
-                vm.members.note_heard(other.member.vm, now)
+                vm.members.record_contact(other.member.vm, now)
 
     async def _kill(self, kill: retry_loads.Kill, places: dict[str, str]) -> None:
         await anyio.sleep(kill.at)
@@ -242,7 +244,7 @@
         for vm in self._vms.values():
             if vm is None:
                 continue
-            for shard in vm.desk.list_shards(SERVICE):
+            for shard in vm.local_dispatchers.list_shards(SERVICE):
                 found += vm.members.rank(shard.task, now, 1, shard.data_centre)
         return [name for name, _ in collections.Counter(found).most_common()][:1]
 
@@ -287,7 +289,7 @@
             objective=1.0,
             max_attempts=3,
             priority=1,
-            parts=(configuration.Part(SERVICE, 1.0),),
+            weighted_services=(configuration.WeightedService(SERVICE, 1.0),),
         )
         run = request_run.Run(vm.parts, incoming, route, SERVICE)
         reply = await vm.call(run)
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
@@ -34,7 +34,7 @@
     work_times,
 )
 
-TICKET_GRACE = 0.3
+LOST_REPORT_GRACE_S = 0.3
 """Seconds after a request's deadline at which its slot is taken back when no report has
 come: reports travel in datagrams, and one may be lost."""
 
@@ -60,7 +60,7 @@
 class _Grant:
     """A slot in use."""
 
-    ask: messages.Ask
+    ask: messages.SlotRequest
     target_id: str
     started_at: float
     expected: float
@@ -124,7 +124,9 @@
         self.pool.update(entries, now)
         return self._serve_queue(now)
 
-    def ask(self, ask: messages.Ask, now: float) -> list[messages.Decision]:
+    def request_slot(
+        self, ask: messages.SlotRequest, now: float
+    ) -> list[messages.Decision]:
         """Take in a request; an ask that came before gets its first answer again."""
         if ask.is_first:
             # Also one that is refused: it is a request for the service all the same.
@@ -147,7 +149,9 @@
             return decisions
         return [*decisions, messages.Wait(ask.ticket)]
 
-    def report(self, report: messages.Report, now: float) -> list[messages.Decision]:
+    def handle_report(
+        self, report: messages.Report, now: float
+    ) -> list[messages.Decision]:
         """Take in how an attempt went; its slot is free again.
 
         An ask that still waits is forgotten: its caller has left or was answered.
@@ -168,11 +172,11 @@
             self._learn(state, granted, report, now)
         return self._serve_queue(now)
 
-    def adopt(self, held: messages.Held, now: float) -> None:
+    def adopt_slot(self, held: messages.HeldSlot, now: float) -> None:
         """Take over a slot that another dispatcher gave."""
         state = self.pool.find(held.target_id)
-        if state is not None and held.ask.ticket not in self._grants:
-            self._start(held.ask, state, now, is_retry=False)
+        if state is not None and held.slot_request.ticket not in self._grants:
+            self._start(held.slot_request, state, now, is_retry=False)
 
     def wake(self, now: float) -> list[messages.Decision]:
         """Act on the time: notice slow targets, take lost slots back, end waits."""
@@ -181,7 +185,7 @@
             elapsed = now - granted.started_at
             if state is not None and elapsed > SLOW_AFTER * granted.expected:
                 state.note_overdue(elapsed / granted.expected, now)
-            if now > granted.ask.deadline_at + TICKET_GRACE:
+            if now > granted.ask.deadline_at + LOST_REPORT_GRACE_S:
                 del self._grants[ticket]
                 if state is not None:
                     state.tickets.discard(ticket)
@@ -225,17 +229,17 @@
         state = self.pool.find(offer.target_id)
         if state is None:
             return None
-        if ask.may_retry and offer.doubt > 0:
+        if ask.may_retry and offer.failure_probability > 0:
             state.note_trial(now)
         granted = self._start(ask, state, now, is_retry=ask.attempt > 1)
         if granted.is_retry:
             self._retries.spend(now)
         if state.limit is not None:
-            state.limit.take(self._read_share(), now)
+            state.limit.record_request(self._read_share(), now)
         return messages.Grant(
             ask.ticket,
             offer.target_id,
-            offer.doubt,
+            offer.failure_probability,
             granted.expected,
             self._find_pressure(now),
         )
@@ -249,7 +253,7 @@
 
     def _start(
         self,
-        ask: messages.Ask,
+        ask: messages.SlotRequest,
         state: pool.TargetState,
         now: float,
         is_retry: bool,
@@ -301,9 +305,9 @@
                 state.lift_limit(granted.started_at)
         elif state.limit is None:
             share = self._read_share()
-            state.limit = rate_limit.begin(rate, now, share, self._rng, now)
+            state.limit = rate_limit.start_rate_limit(rate, now, share, self._rng, now)
         else:
-            state.limit.use(rate, now)
+            state.limit.set_rate(rate, now)
 
     def _learn_time(
         self, state: pool.TargetState, kind: str, took: float, now: float
@@ -321,7 +325,7 @@
         self._kinds.add(kind, took / max(1.0, slowness))
 
     def _refuse(
-        self, ask: messages.Ask, reason: messages.RefusalReason, now: float
+        self, ask: messages.SlotRequest, reason: messages.RefusalReason, now: float
     ) -> messages.Refuse:
         """Refuse, and spread the returns over the time that the queue needs."""
         self._level.add(is_served=False, now=now)
@@ -342,7 +346,7 @@
         if one.ask.attempt > 1:
             self._retries.release()
 
-    def _find_rank(self, ask: messages.Ask, now: float) -> int:
+    def _find_rank(self, ask: messages.SlotRequest, now: float) -> int:
         """Return the rank of a request in the queue.
 
         Load pattern: high load, a third of the targets failing. Idempotent work finds
@@ -361,7 +365,7 @@
         One request more is counted, so that a shard without any proven slot does not
         look idle.
         """
-        slots = self.pool.count_proved_slots(now)
+        slots = self.pool.count_proven_slots(now)
         return (len(self._grants) + len(self._line) + 1) / max(
             waiting.LEAST_SLOTS, slots
         )
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -19,14 +19,14 @@
 from . import (
     calls,
     configuration_keeper,
-    desk,
     edge_settings,
-    fleet_talk,
+    fleet_messenger,
     forwarder,
     header_names,
     http_server,
     knowledge_exchange,
     knowledge_keeper,
+    local_dispatchers,
     log_lines,
     members,
     pages,
@@ -97,7 +97,7 @@
         self._rng = rng
         self._is_stopping = False
         self._stop_wanted = anyio.Event()
-        self._ended: stopping.Ended | None = None
+        self._ended: stopping.StopSummary | None = None
         self.metrics = metrics.Metrics()
 
     def stop(self) -> None:
@@ -138,7 +138,7 @@
         know, and wait for the next start. Settings with findings are refused whole: the
         former ones stay in force.
         """
-        supervision.attempt("reload", self._take_settings, self._note_fault)
+        supervision.attempt("reload", self._take_settings, self._report_fault)
 
     def _take_settings(self) -> None:
         if self._settings_file is None:
@@ -155,7 +155,7 @@
             if getattr(fresh, field.name) != getattr(self._settings, field.name)
         ]
         self._settings = fresh
-        self._desk.retries.use_budget(fresh.retries, anyio.current_time())
+        self._local_dispatchers.retries.use_budget(fresh.retries, anyio.current_time())
         self._store.use_address(fresh.store.host, fresh.store.port)
         waiting = [name for name in changed if name not in CHANGEABLE]
         self._log.write("reload", outcome="in force", changed=changed, waiting=waiting)
@@ -175,7 +175,7 @@
             ("close targets", self._client.close),
             ("close store", self._store.close),
         ):
-            await supervision.attempt_async(name, close, self._note_fault)
+            await supervision.attempt_async(name, close, self._report_fault)
         self._log_stopped()
         self._log.flush()
 
@@ -185,7 +185,7 @@
                 "stopped",
                 cut_off=self._ended.cut_off,
                 cut_reading=self._ended.cut_reading,
-                ms=round(self._ended.took * MILLISECONDS),
+                ms=round(self._ended.duration * MILLISECONDS),
             )
 
     async def _serve(self, task_status: anyio.abc.TaskStatus[None]) -> None:
@@ -200,13 +200,15 @@
             ):
                 await group.start(server.serve, address.host, address.port)
             for name, task in self._list_tasks():
-                group.start_soon(supervision.keep_running, name, task, self._note_fault)
+                group.start_soon(
+                    supervision.keep_running, name, task, self._report_fault
+                )
             task_status.started()
             await self._stop_wanted.wait()
             settings = self._settings
-            times = stopping.Times(settings.stop_limit, settings.unready_after)
+            times = stopping.StopTimes(settings.stop_limit, settings.unready_after)
             self._ended = await stopping.stop(
-                self, self._callers, times, self._note_fault
+                self, self._callers, times, self._report_fault
             )
             group.cancel_scope.cancel()
 
@@ -216,8 +218,8 @@
             ("receive datagrams", lambda: self._link.run(self._talk.receive)),
             ("serve knowledge", self._serve_knowledge),
             ("keep knowledge", self._keeper.run),
-            ("wake desk", self._wake_desk),
-            ("tell opinions", self._talk.tell_opinions_regularly),
+            ("wake desk", self._wake_local_dispatchers),
+            ("tell opinions", self._talk.send_estimates_periodically),
             ("greet", self._talk.greet),
             ("tell suspects", self._suspects.run),
             ("close idle", self._close_idle),
@@ -232,7 +234,7 @@
 
     def _build(self) -> None:
         own = self._build_fleet()
-        knowledge = forwarder.Knowledge(
+        knowledge = forwarder.RoutingState(
             self._configured, routing.Router(self._rng), self._registry
         )
         self._keeper = knowledge_keeper.KnowledgeKeeper(
@@ -245,16 +247,16 @@
             self._rng,
             self._resignation,
         )
-        hearers = fleet_talk.Hearers(
-            self._desk, self._keeper, self._placement, self._suspects
+        hearers = fleet_messenger.Receivers(
+            self._local_dispatchers, self._keeper, self._placement, self._suspects
         )
-        self._talk = fleet_talk.FleetTalk(
-            self._fleet, self._link, hearers, self._log, self._note_fault
+        self._talk = fleet_messenger.FleetMessenger(
+            self._fleet, self._link, hearers, self._log, self._report_fault
         )
-        self._desk.retries.use_announcer(self._talk.tell_retries)
+        self._local_dispatchers.retries.use_announcer(self._talk.send_retry_counts)
         self._client = target_client.TargetClient(self._words)
         self._suspension = suspension.SuspensionWatch(self._take_suspension)
-        tools = forwarder.Tools(
+        tools = forwarder.Dependencies(
             knowledge,
             self._placement,
             self._client,
@@ -286,7 +288,7 @@
         self._resignation = resignation.Resignation(self._fleet, self._link, log)
         self._configured = configuration.ConfigurationState()
         self._registry = targets.Registry()
-        self._desk = desk.Desk(
+        self._local_dispatchers = local_dispatchers.LocalDispatchers(
             self._fleet,
             self._registry,
             settings.retries,
@@ -295,7 +297,7 @@
             settings.is_new_fleet,
         )
         self._placement = placement.Placement(self._fleet, self._link, log, self._rng)
-        self._placement.use_desk(self._desk)
+        self._placement.use_local_dispatchers(self._local_dispatchers)
         self._suspects = suspect_exchange.SuspectExchange(
             quarantine.Quarantine(), self._fleet, self._link, log, self._rng
         )
@@ -317,9 +319,9 @@
         return current.limits if current is not None else configuration.Limits()
 
     def _note_error(self, error: BaseException) -> None:
-        self._note_fault("serve", error)
+        self._report_fault("serve", error)
 
-    def _note_fault(self, task: str, error: BaseException) -> None:
+    def _report_fault(self, task: str, error: BaseException) -> None:
         text = "".join(traceback.format_exception(error))
         self._log.write("unexpected_error", task=task, trace=text[-MOST_TRACE:])
 
@@ -359,8 +361,8 @@
     def _set_retry_metrics(self) -> None:
         """Set what this VM has counted of the retries of each service."""
         now = anyio.current_time()
-        for service in self._desk.list_services():
-            counted = self._desk.retries.find_counted(service, now)
+        for service in self._local_dispatchers.list_services():
+            counted = self._local_dispatchers.retries.find_totals(service, now)
             labels = metrics.label(service=service)
             for field in dataclasses.fields(counted):
                 name = f"zinniastand_retry_{field.name}"
@@ -369,42 +371,42 @@
     def _take_suspension(self, seconds: float) -> None:
         """Take in that this VM stood still for longer than its clock says."""
         self._log.write("suspended", seconds=round(seconds, 3))
-        self._forwarder.lose_time(seconds)
+        self._forwarder.compensate_suspension(seconds)
         self._keeper.lose_time(seconds)
         self._client.expire_idle()
-        self._suspects.lose_time(seconds)
-        self._desk.forget()
-        self._fleet.start_anew(anyio.current_time())
+        self._suspects.compensate_suspension(seconds)
+        self._local_dispatchers.reset()
+        self._fleet.restart_settling(anyio.current_time())
 
     def _use_targets(self) -> None:
-        self._desk.update_targets(anyio.current_time())
+        self._local_dispatchers.update_targets(anyio.current_time())
 
     def _deliver(self, vm: str, decision: messages.Decision) -> None:
         member = self._fleet.find(vm)
         if vm == self._fleet.own.vm:
-            self._placement.take_decision(decision)
+            self._placement.handle_decision(decision)
         elif member is not None:
             self._link.send(decision, member)
 
-    def tell_opinions(self) -> None:
+    def send_estimates(self) -> None:
         """Tell the others what this VM thinks of targets."""
-        self._talk.tell_opinions(to_all=True)
+        self._talk.send_estimates(to_all=True)
 
-    def tell_leaving(self) -> None:
+    def announce_leaving(self) -> None:
         """Tell the others that this VM leaves."""
-        self._talk.tell_leaving()
+        self._talk.announce_leaving()
 
-    async def _wake_desk(self) -> None:
+    async def _wake_local_dispatchers(self) -> None:
         while True:
             due_at = anyio.current_time() + WAKE_PAUSE
             await anyio.sleep_until(due_at)
             self._suspension.check()
             now = anyio.current_time()
-            has_tasks = bool(self._desk.list_busy())
-            self._resignation.note_lateness(now - due_at, has_tasks)
-            if self._registry.drop_lapsed(now):
-                self._desk.update_targets(now)
-            self._desk.wake(now)
+            has_tasks = bool(self._local_dispatchers.list_busy())
+            self._resignation.record_lateness(now - due_at, has_tasks)
+            if self._registry.drop_vanished(now):
+                self._local_dispatchers.update_targets(now)
+            self._local_dispatchers.wake(now)
 
     async def _follow_settings(self) -> None:
         while True:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_talk.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_messenger.py
@@ -11,8 +11,8 @@
 
 from . import (
     datagrams,
-    desk,
     knowledge_keeper,
+    local_dispatchers,
     log_lines,
     members,
     peer_link,
@@ -50,10 +50,10 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Hearers:
+class Receivers:
     """Who takes in what other VMs say."""
 
-    desk: desk.Desk
+    local_dispatchers: local_dispatchers.LocalDispatchers
     """The dispatchers here."""
 
     keeper: knowledge_keeper.KnowledgeKeeper
@@ -66,7 +66,7 @@
     """Requests that crash their targets."""
 
 
-class FleetTalk:
+class FleetMessenger:
     """Talks with the other VMs.
 
     Parameters
@@ -75,11 +75,11 @@
         The VMs.
     link : peer_link.PeerLink
         Datagrams to them.
-    hearers : Hearers
+    hearers : Receivers
         Who takes in what they say.
     log : log_lines.LogLines
         VMs that join.
-    note_fault : supervision.NoteFault
+    report_fault : supervision.ReportFault
         Takes a fault met by a datagram.
     """
 
@@ -87,15 +87,15 @@
         self,
         fleet: members.Members,
         link: peer_link.PeerLink,
-        hearers: Hearers,
+        hearers: Receivers,
         log: log_lines.LogLines,
-        note_fault: supervision.NoteFault,
+        report_fault: supervision.ReportFault,
     ) -> None:
         self._fleet = fleet
         self._link = link
         self._hearers = hearers
         self._log = log
-        self._note_fault = note_fault
+        self._report_fault = report_fault
         self.is_leaving = False
 
     def receive(self, message: datagrams.Message) -> None:
@@ -103,7 +103,7 @@
         try:
             self._take(message)
         except Exception as error:
-            self._note_fault("take datagram", error)
+            self._report_fault("take datagram", error)
 
     def _take(self, message: datagrams.Message) -> None:
         now = anyio.current_time()
@@ -111,48 +111,50 @@
             case datagrams.Hello():
                 self._take_hello(message, now)
             case datagrams.Leaving():
-                self._fleet.note_leaving(message.vm, message.incarnation, now)
+                self._fleet.record_leaving(message.vm, message.incarnation, now)
             case datagrams.Resigned():
-                self._fleet.note_resigned(
+                self._fleet.record_resignation(
                     message.vm, message.incarnation, message.task, message.until, now
                 )
-            case datagrams.News():
-                if self._fleet.is_direct(message.vm, message.is_relayed):
-                    self._fleet.note_heard(message.vm, now)
+            case datagrams.TargetUpdate():
+                if self._fleet.is_direct(message.vm, message.is_for_relay):
+                    self._fleet.record_contact(message.vm, now)
                 self._hearers.keeper.take_news(message)
-            case datagrams.Published():
+            case datagrams.ConfigurationUpdate():
                 self._hearers.keeper.take_published(message)
             case datagrams.VersionNotice():
                 self._hearers.keeper.take_version(message.vm, message.version)
-            case datagrams.Opinions():
-                self._hearers.desk.take_opinions(message, now)
-            case datagrams.Asked():
-                self._fleet.note_heard(message.vm, now)
-                self._hearers.desk.ask(message.vm, message.ask, now)
-            case datagrams.Adopted():
-                self._hearers.desk.adopt(message.vm, message.held, now)
-            case datagrams.Retries():
-                self._hearers.desk.take_retries(message, now)
-            case datagrams.Suspects():
-                self._hearers.suspects.take(message)
+            case datagrams.TargetEstimates():
+                self._hearers.local_dispatchers.apply_estimates(message, now)
+            case datagrams.SlotRequested():
+                self._fleet.record_contact(message.vm, now)
+                self._hearers.local_dispatchers.request_slot(
+                    message.vm, message.ask, now
+                )
+            case datagrams.SlotHeld():
+                self._hearers.local_dispatchers.adopt(message.vm, message.held, now)
+            case datagrams.RetryUsage():
+                self._hearers.local_dispatchers.apply_retry_counts(message, now)
+            case datagrams.SuspectRequests():
+                self._hearers.suspects.apply(message)
             case messages.Report():
-                self._hearers.desk.report(message, now)
+                self._hearers.local_dispatchers.report(message, now)
             case messages.Grant() | messages.Refuse() | messages.Wait():
-                self._hearers.placement.take_decision(message)
+                self._hearers.placement.handle_decision(message)
 
     def _take_hello(self, hello: datagrams.Hello, now: float) -> None:
         if self._fleet.add(hello.member):
             self._log.write("vm_joined", peer=hello.member.vm)
             if self._is_helper(now):
-                self._hearers.suspects.tell(hello.member)
-        self._fleet.note_heard(hello.member.vm, now)
+                self._hearers.suspects.announce_to(hello.member)
+        self._fleet.record_contact(hello.member.vm, now)
         self._hearers.keeper.take_position(hello.member.vm, hello.position)
         if hello.wants_answer:
             self._link.send(self._make_reply(), hello.member)
 
     def _is_helper(self, now: float) -> bool:
         """Return whether this VM is one of those that tell new ones what they lack."""
-        ranked = self._fleet.rank_heard(HELPING_TASK, now)
+        ranked = self._fleet.rank_reachable(HELPING_TASK, now)
         return self._fleet.own.vm in ranked[:HELPERS]
 
     def _make_reply(self) -> datagrams.Hello | datagrams.Leaving:
@@ -167,44 +169,46 @@
         position = self._hearers.keeper.position
         return datagrams.Hello(own, wants_answer=False, position=position)
 
-    async def tell_opinions_regularly(self) -> None:
+    async def send_estimates_periodically(self) -> None:
         """Tell opinions until cancelled."""
         for number in itertools.count():
             await anyio.sleep(OPINIONS_PAUSE)
-            self.tell_opinions(to_all=number % TELL_ALL_EACH == 0)
+            self.send_estimates(to_all=number % TELL_ALL_EACH == 0)
 
-    def tell_opinions(self, to_all: bool) -> None:
+    def send_estimates(self, to_all: bool) -> None:
         """Tell those next in rank, or all, what the dispatchers here think."""
         now = anyio.current_time()
         own = self._fleet.own.vm
-        for shard in self._hearers.desk.list_busy():
-            heard = self._fleet.rank_heard(shard.task, now, shard.data_centre)
+        for shard in self._hearers.local_dispatchers.list_busy():
+            heard = self._fleet.rank_reachable(shard.task, now, shard.data_centre)
             ranked = [vm for vm in heard if vm != own]
             told = ranked[: MOST_TOLD if to_all else SUCCESSORS]
             successors = [self._fleet.find(vm) for vm in told]
             self._link.send_many(
-                self._hearers.desk.summarize(shard, now),
+                self._hearers.local_dispatchers.summarize_estimates(shard, now),
                 [member for member in successors if member is not None],
             )
-        for service in self._hearers.desk.list_services():
-            self.tell_retries(service, is_whole=to_all)
+        for service in self._hearers.local_dispatchers.list_services():
+            self.send_retry_counts(service, is_whole=to_all)
 
-    def tell_retries(self, service: str, is_whole: bool = False) -> None:
+    def send_retry_counts(self, service: str, is_whole: bool = False) -> None:
         """Tell all who dispatch a service, or would next, what was counted here.
 
         The retries of a service are bounded as a whole. A dispatcher that does not know
         what others have given out would give it out once more.
         """
         now = anyio.current_time()
-        desk, fleet = self._hearers.desk, self._fleet
+        dispatchers, fleet = self._hearers.local_dispatchers, self._fleet
         names = {
             vm
-            for shard in desk.list_shards(service)
-            for vm in fleet.rank_heard(shard.task, now, shard.data_centre)[:COUNTING]
+            for shard in dispatchers.list_shards(service)
+            for vm in fleet.rank_reachable(shard.task, now, shard.data_centre)[
+                :COUNTING
+            ]
         }
         names.discard(fleet.own.vm)
         hearers = [fleet.find(vm) for vm in sorted(names)]
-        for told in desk.retries.tell(service, now, is_whole):
+        for told in dispatchers.retries.make_updates(service, now, is_whole):
             self._link.send_many(told, [one for one in hearers if one is not None])
 
     async def greet(self) -> None:
@@ -212,14 +216,14 @@
         while True:
             await anyio.sleep(GREET_PAUSE)
             now = anyio.current_time()
-            self._fleet.forget_gone(now)
+            self._fleet.remove_departed(now)
             if not self.is_leaving:
                 hello = datagrams.Hello(self._fleet.own, wants_answer=True)
                 self._link.send_many(hello, self._fleet.list_suspects(now))
 
-    def tell_leaving(self) -> None:
+    def announce_leaving(self) -> None:
         """Tell all others that this VM leaves, and leave its tasks to them."""
         own = self._fleet.own
-        self._fleet.note_leaving(own.vm, own.incarnation, anyio.current_time())
+        self._fleet.record_leaving(own.vm, own.incarnation, anyio.current_time())
         leaving = datagrams.Leaving(own.vm, own.incarnation)
         self._link.send_many(leaving, self._fleet.list_others())
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_record.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_record.py
@@ -71,7 +71,7 @@
         """Whether all targets were read at least once."""
         return self.position >= 0
 
-    def take_news(self, news: datagrams.News, now: float) -> None:
+    def take_news(self, news: datagrams.TargetUpdate, now: float) -> None:
         """Take in what another VM has read."""
         if not self.is_complete or news.since > self.position:
             return  # Something between is missing: read it from the store.
@@ -154,7 +154,9 @@
         for change in news:
             self._noted += 1
             self._recent.append((self._noted, change))
-            phase = "gone" if isinstance(change, targets.Gone) else change.phase.value
+            phase = (
+                "gone" if isinstance(change, targets.Removal) else change.phase.value
+            )
             self._log.write(
                 "target_changed",
                 target=change.target_id,
--- a/tests/dispatch/test_rate_limit.py
+++ b/tests/dispatch/test_rate_limit.py
@@ -11,8 +11,8 @@
 
 from zinniastand_core.deployment import targets
 from zinniastand_core.dispatch import (
-    beliefs,
     dispatcher,
+    failure_estimates,
     messages,
     pool,
     rate_limit,
@@ -39,8 +39,8 @@
     for number in range(int(begin / STEP), int(end / STEP)):
         now = number * STEP
         for limit in limits:
-            if limit.has_room(now):
-                limit.take(share, now)
+            if limit.allows_request(now):
+                limit.record_request(share, now)
                 times.append(now)
     return times
 
@@ -67,14 +67,16 @@
     times: list[float] = []
     for second in range(20):
         for limit, other in itertools.permutations(limits, 2):
-            limit.note_other(f"vm-{limits.index(other)}", float(second))
+            limit.record_other_dispatcher(f"vm-{limits.index(other)}", float(second))
         times += take_all(limits, second, second + 1)
     assert find_busiest(times) <= find_most(rate)
 
 
 def test_vms_that_decide_alone_share_a_rate() -> None:
     rng = random.Random(2)
-    limits = [rate_limit.begin(3.8, 0.0, 1 / 36, rng, 0.0) for _ in range(36)]
+    limits = [
+        rate_limit.start_rate_limit(3.8, 0.0, 1 / 36, rng, 0.0) for _ in range(36)
+    ]
     times = take_all(limits, 0.0, 60.0, share=1 / 36)
     assert find_busiest(times) <= find_most(3.8)
     assert len(times) >= 0.9 * 3.8 * 60.0
@@ -82,7 +84,7 @@
 
 def test_limit_lifts_only_by_an_answer_to_a_later_request() -> None:
     # Answers from two VMs are heard in another order than the target gave them.
-    state = pool.TargetState(make_entry("t"), beliefs.Rates(), 0.0)
+    state = pool.TargetState(make_entry("t"), failure_estimates.FailureRates(), 0.0)
     state.limit = rate_limit.RateLimit(2.0, 1.0, 1.0)
     state.lift_limit(sent_at=0.9)
     assert state.limit is not None
@@ -107,15 +109,15 @@
         now = number * STEP
         decisions = one.wake(now)
         if number % max(1, round(1 / (rate * STEP))) == 0:
-            ask = messages.Ask(
+            ask = messages.SlotRequest(
                 f"k{number}", SHARD, "w", False, 1, now + 0.6, now + 1.2, 1, "a"
             )
-            decisions += one.ask(ask, now)
+            decisions += one.request_slot(ask, now)
         while under_way and under_way[0][0] <= now:
             _, ticket, name = under_way.pop(0)
             good, named = messages.Outcome.GOOD, limits.get(name, math.inf)
             report = messages.Report(ticket, SHARD, name, good, 0.2, "vm", named)
-            decisions += one.report(report, now)
+            decisions += one.handle_report(report, now)
         for decision in decisions:
             if isinstance(decision, messages.Grant):
                 granted.setdefault(decision.target_id, []).append(now)
--- a/tests/edge/test_stop_corners.py
+++ b/tests/edge/test_stop_corners.py
@@ -82,16 +82,16 @@
         return calls.Reply(200, [], b"fine")
 
 
-class Leaver:
+class StoppingVm:
     """Stops nothing else."""
 
     def begin_stop(self, answer_by: float) -> None:
         """Do nothing."""
 
-    def tell_opinions(self) -> None:
+    def send_estimates(self) -> None:
         """Do nothing."""
 
-    def tell_leaving(self) -> None:
+    def announce_leaving(self) -> None:
         """Do nothing."""
 
 
@@ -150,9 +150,12 @@
             callers.start_soon(read)
             await anyio.sleep(0.05)
             served = SendsAtTheClose(server, lambda: raw.sendall(request))
-            times = stopping.Times(limit=3.0, unready_after=0.05)
+            times = stopping.StopTimes(limit=3.0, unready_after=0.05)
             await stopping.stop(
-                Leaver(), served, times, lambda _, error: edge_site.fail_on_error(error)
+                StoppingVm(),
+                served,
+                times,
+                lambda _, error: edge_site.fail_on_error(error),
             )
             group.cancel_scope.cancel()
         await edge_site.wait_until(lambda: bool(got))
@@ -173,11 +176,11 @@
     # and greets: the greeting looks older than the VM that left, and is ignored.
     fleet = make_fleet()
     fleet.add(make_member(5_000))
-    fleet.note_heard("vm-1", 1.0)
-    fleet.note_leaving("vm-1", 5_000, 10.0)
+    fleet.record_contact("vm-1", 1.0)
+    fleet.record_leaving("vm-1", 5_000, 10.0)
     fleet.add(make_member(4_000))
-    fleet.note_heard("vm-1", 15.0)
-    assert "vm-1" in fleet.rank_heard("task", 20.0)
+    fleet.record_contact("vm-1", 15.0)
+    assert "vm-1" in fleet.rank_reachable("task", 20.0)
 
 
 def test_late_word_of_leaving_does_not_concern_the_vm_that_started_since() -> None:
@@ -186,14 +189,14 @@
     # a minute it was forgotten while it lived.
     fleet = make_fleet()
     fleet.add(make_member(1_000))
-    fleet.note_heard("vm-1", 1.0)
+    fleet.record_contact("vm-1", 1.0)
     fleet.add(make_member(2_000))
-    fleet.note_leaving("vm-1", 1_000, 10.0)
+    fleet.record_leaving("vm-1", 1_000, 10.0)
     fleet.add(make_member(2_000))
-    fleet.note_heard("vm-1", 11.0)
-    fleet.forget_gone(10.0 + members.LEAVING_FOR)
+    fleet.record_contact("vm-1", 11.0)
+    fleet.remove_departed(10.0 + members.LEAVING_RETENTION_S)
     assert fleet.find("vm-1") is not None
-    assert "vm-1" in fleet.rank_heard("task", 80.0)
+    assert "vm-1" in fleet.rank_reachable("task", 80.0)
 
 
 async def test_vm_that_starts_while_another_leaves_leaves_its_tasks_to_others() -> None:
@@ -214,7 +217,7 @@
         await anyio.sleep(0.1)
         fresh = await site.start_vm("vm-3")
         await edge_site.wait_ready(fresh)
-        heard_by = anyio.current_time() + 2 * members.SETTLE_TIME + 0.5
+        heard_by = anyio.current_time() + 2 * members.SETTLE_TIME_S + 0.5
         while anyio.current_time() < heard_by:
             await edge_site.call(leaving)
             await anyio.sleep(0.1)
@@ -269,11 +272,11 @@
     server = http_server.Server(
         Answers(), configuration.Limits, edge_site.fail_on_error
     )
-    times = stopping.Times(limit=0.5, unready_after=1.5)
+    times = stopping.StopTimes(limit=0.5, unready_after=1.5)
     ended = await stopping.stop(
-        Leaver(), server, times, lambda _, error: edge_site.fail_on_error(error)
+        StoppingVm(), server, times, lambda _, error: edge_site.fail_on_error(error)
     )
-    assert ended.took <= times.limit
+    assert ended.duration <= times.limit
 
 
 async def test_quick_work_is_served_at_a_stop_whatever_its_objective() -> None:
--- a/tests/scripted_run.py
+++ b/tests/scripted_run.py
@@ -19,9 +19,9 @@
     calls,
     http_exchange,
     log_lines,
-    request_notes,
+    request_recorder,
     request_run,
-    run_parts,
+    run_dependencies,
     target_client,
     unreachable_targets,
 )
@@ -75,7 +75,9 @@
         self.names = list(names)
         self.outcomes: list[messages.Outcome] = []
 
-    async def acquire(self, ask: messages.Ask) -> messages.Grant | messages.Refuse:
+    async def acquire(
+        self, ask: messages.SlotRequest
+    ) -> messages.Grant | messages.Refuse:
         """Return the next target."""
         await anyio.sleep(0.001)
         if not self.names:
@@ -131,19 +133,19 @@
 class Unsuspected:
     """Knows of no request that crashes its targets."""
 
-    def find_hold(self, fingerprint: str, now: float) -> float | None:
+    def find_hold_end(self, fingerprint: str, now: float) -> float | None:
         """Return that it may go to targets."""
         return None
 
-    def begin(self, fingerprint: str, now: float) -> None:
+    def begin_attempt(self, fingerprint: str, now: float) -> None:
         """Take in that a request is about to be sent."""
 
-    def note_crash(
+    def record_crash(
         self, fingerprint: str, target: targets.Entry, started_at: float
     ) -> None:
         """Take in a crash."""
 
-    def note_answered(self, fingerprint: str) -> None:
+    def record_answer(self, fingerprint: str) -> None:
         """Take in an answer."""
 
 
@@ -157,13 +159,13 @@
         objective=0.6,
         max_attempts=attempts,
         priority=0,
-        parts=(configuration.Part("desk", 1.0),),
+        weighted_services=(configuration.WeightedService("desk", 1.0),),
     )
 
 
 def make_parts(
     slots: ScriptedSlots, exchange: ScriptedTargets, names: list[str]
-) -> run_parts.Parts:
+) -> run_dependencies.RunDependencies:
     registry = targets.Registry()
     entries = [
         targets.Entry(
@@ -182,10 +184,10 @@
     ]
     registry.replace(entries, 1, 0.0)
     log = log_lines.LogLines("vm-1", os.open(os.devnull, os.O_WRONLY))
-    notes = request_notes.RequestNotes(
+    notes = request_recorder.RequestRecorder(
         log, metrics.Metrics(), configuration.ConfigurationState()
     )
-    return run_parts.Parts(
+    return run_dependencies.RunDependencies(
         "vm-1",
         "a",
         slots,
