--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
@@ -1,9 +1,9 @@
 """Datagrams between VMs, encoded as CBOR arrays.
 
-Datagrams rather than connections: what VMs tell each other is small, is worth nothing
-when late, and must not wait behind a connection that has gone silent. Whoever needs an
-answer asks again. Times travel as what is left of them, since steady clocks of two VMs
-have nothing in common.
+Datagrams are used instead of connections because these messages are small, are
+worthless when late, and must not wait behind a connection that no longer responds. A VM
+that needs an answer repeats its message. Times are sent as the seconds left until them
+or passed since them, because the monotonic clocks of two VMs are unrelated.
 """
 
 from __future__ import annotations
@@ -21,154 +21,159 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hello:
-    """A VM is there, or still is."""
+    """The sender is running."""
 
     member: ports.Member
-    """The sender."""
+    """The entry of the sender."""
 
     wants_answer: bool
-    """Whether the receiver shall say the same of itself."""
+    """Whether the receiver should reply with a greeting of its own."""
 
     position: int = -1
-    """Up to where it knows the targets' entries; negative where it knows none."""
+    """Position on the log of targets up to which the sender has read; negative if it
+    has read nothing."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Leaving:
-    """A VM stops soon: it dispatches for nobody from now on."""
+    """The sender is about to stop and dispatches for no VM from now on."""
 
     vm: str
-    """The sender."""
+    """Name of the sender."""
 
     incarnation: int
-    """Which start of it: a late word must not concern the next one."""
+    """Incarnation of the sender, so that a late datagram does not affect its next
+    start."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Resigned:
-    """A VM cannot do a task for all for a while, though it lives."""
+    """The sender is running but cannot perform a fleet-wide task for some time."""
 
     vm: str
-    """The sender."""
+    """Name of the sender."""
 
     incarnation: int
-    """Which start of it."""
+    """Incarnation of the sender."""
 
     task: str
-    """The task; empty for every task."""
+    """Name of the task; empty for all tasks."""
 
     until: float
-    """Until when, in the clock of whoever holds the message."""
+    """End of the resignation, in seconds of the local monotonic clock."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetUpdate:
-    """What the reader of the store has read lately."""
+    """Recent changes of targets, from the VM that reads the store."""
 
     vm: str
-    """The reader."""
+    """Name of the reader."""
 
     version: int
-    """Version of the configuration that it uses."""
+    """Version of the configuration in force at the reader."""
 
     position: int
-    """Up to where it has read the targets' entries."""
+    """Position on the log of targets up to which the reader has read."""
 
     since: int
-    """Where the changes begin: whoever has read less far must read for itself."""
+    """Position at which the changes begin. A receiver that has read less far must read
+    the store itself."""
 
     changes: tuple[targets.Change, ...]
-    """Changes of targets from there on."""
+    """Changes of targets from `since` on."""
 
     is_for_relay: bool = False
-    """Whether the receiver shall pass it on to the VMs of its data centre."""
+    """Whether the receiver should pass it on to the VMs of its data centre."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationUpdate:
-    """A new configuration, from the VM that reads the store for all."""
+    """A new configuration, from the VM that reads the store."""
 
     vm: str
-    """The reader."""
+    """Name of the reader."""
 
     version: int
-    """Its version."""
+    """Version of the configuration."""
 
     data: bytes
-    """The configuration; packed by `configuration_codec`."""
+    """The configuration, packed by `configuration_codec`."""
 
     is_for_relay: bool = False
-    """Whether the receiver shall pass it on to the VMs of its data centre."""
+    """Whether the receiver should pass it on to the VMs of its data centre."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionNotice:
-    """A VM has a new configuration."""
+    """The sender has a new configuration."""
 
     vm: str
-    """The VM."""
+    """Name of the sender."""
 
     version: int
-    """Its version."""
+    """Version of the configuration."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetEstimate:
-    """What a dispatcher thinks of one target."""
+    """A dispatcher's estimates of one target."""
 
     target_id: str
-    """The target."""
+    """Id of the target."""
 
     failure_probability: float
-    """Probability that it is failure_probability."""
+    """Probability that the target is failing."""
 
     slowness: float
-    """Times that it takes longer than usual."""
+    """Factor by which its requests take longer than usual."""
 
     rate_limit: float | None = None
-    """Requests a second that it takes from all VMs; None where it names no limit."""
+    """Requests per second that it accepts from all VMs together; None if it states no
+    limit."""
 
     next_request_in: float = 0.0
-    """Seconds until the next request is due at that rate."""
+    """Seconds until that limit allows the next request."""
 
     rate_limit_age: float = 0.0
-    """Seconds since an answer has named it."""
+    """Seconds since an answer stated the limit."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetEstimates:
-    """What a dispatcher thinks of its targets, for the VM that would follow it."""
+    """A dispatcher's estimates of its targets, for the VMs that may succeed it."""
 
     shard: shards.Shard
-    """The shard."""
+    """The shard that it dispatches."""
 
     items: tuple[TargetEstimate, ...]
-    """One for each target that there is something to say of."""
+    """One estimate for each target that has one."""
 
-    times: tuple[tuple[str, float], ...]
-    """Mean seconds of each kind of work."""
+    durations: tuple[tuple[str, float], ...]
+    """Kinds of work, each with its mean duration in seconds."""
 
     vm: str = ""
-    """The VM that dispatches; empty where an earlier version does not tell."""
+    """Name of the dispatching VM; empty from an earlier version, which does not send
+    it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotRequested:
-    """A VM asks for a target."""
+    """A VM requests a slot at a target."""
 
     vm: str
-    """The VM."""
+    """Name of the requesting VM."""
 
     ask: messages.Ask
-    """What it asks."""
+    """The request."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotHeld:
-    """A VM tells a new dispatcher of a slot that it holds already."""
+    """A VM informs a new dispatcher of a slot that it already holds."""
 
     vm: str
-    """The VM."""
+    """Name of the VM."""
 
     held: messages.Held
     """The slot."""
@@ -176,28 +181,30 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SuspectRequests:
-    """What a VM knows of requests that were at targets when they crashed."""
+    """The sender's records of requests that were at targets when these crashed."""
 
     items: tuple[tuple[str, suspect.Suspect], ...]
-    """Fingerprint and record of each."""
+    """Fingerprint and record of each request."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetryUsage:
-    """What a VM knows of the requests and retries of a service."""
+    """The sender's counts of the requests and retries of a service."""
 
     service: str
-    """The service."""
+    """Name of the service."""
 
     counts: tuple[retry_window.Count, ...]
-    """What it has counted, and what others have, each with the name of the counter."""
+    """The sender's own counts and those received from others, each with the name of the
+    VM that counted."""
 
     is_complete: bool = False
-    """Whether this, with what it told just before, is all that was given out lately."""
+    """Whether this datagram and those sent just before it contain all retries granted
+    within the window."""
 
 
 MAX_NAMES = 256
-"""Names of targets in one list of an ask; a VM leaves out fewer."""
+"""Names of targets in one list of a slot request; a VM excludes fewer."""
 
 REPORT_FIELDS = (
     "ticket",
@@ -208,7 +215,7 @@
     "rate_limit",
     "is_resent",
 )
-"""Fields of a report as they follow its shard."""
+"""Fields of a report in the order in which they follow its shard."""
 
 Message = (
     Hello
@@ -230,26 +237,33 @@
 
 
 class UnreadableError(Exception):
-    """A datagram that is none of ours."""
+    """A datagram that does not encode a known message."""
 
 
 def encode(message: Message, now: float) -> bytes:
-    """Return the datagram of a message."""
+    """Return the datagram of a message; `now` is in seconds of the monotonic clock."""
     return cbor2.dumps(_pack(message, now))
 
 
 def decode(data: bytes, now: float) -> Message:
-    """Return the message of a datagram.
+    """Return the message that a datagram encodes.
+
+    Parameters
+    ----------
+    data : bytes
+        The datagram.
+    now : float
+        Seconds of the monotonic clock.
 
     Raises
     ------
     UnreadableError
-        If it holds none.
+        If the datagram encodes no known message.
     """
     try:
         fields = cbor2.loads(data)
         if not isinstance(fields, list):
-            # A text can be indexed too: two letters of one read as a VM's leaving.
+            # A string can be indexed too: two characters would decode as a `Leaving`.
             raise UnreadableError("no array")
         return _unpack(fields, now)
     except (
@@ -281,9 +295,9 @@
         case VersionNotice():
             return ["v", message.vm, message.version]
         case TargetEstimates():
-            items = [_pack_opinion(one) for one in message.items]
-            times = [list(one) for one in message.times]
-            return ["o", *_pack_shard(message.shard), items, times, message.vm]
+            items = [_pack_estimate(one) for one in message.items]
+            durations = [list(one) for one in message.durations]
+            return ["o", *_pack_shard(message.shard), items, durations, message.vm]
         case SlotRequested():
             return ["a", message.vm, *_pack_ask(message.ask, now)]
         case SlotHeld():
@@ -326,8 +340,8 @@
             return VersionNotice(rest[0], rest[1])
         case "o":
             items = tuple(TargetEstimate(*one) for one in rest[4])
-            times = tuple((name, seconds) for name, seconds in rest[5])
-            return TargetEstimates(shards.Shard(*rest[:4]), items, times, *rest[6:])
+            durations = tuple((name, seconds) for name, seconds in rest[5])
+            return TargetEstimates(shards.Shard(*rest[:4]), items, durations, *rest[6:])
         case "a":
             return SlotRequested(rest[0], _unpack_ask(rest[1:], now))
         case "s":
@@ -353,23 +367,23 @@
             raise UnreadableError(f"unknown kind {kind!r:.20}")
 
 
-def _pack_opinion(opinion: TargetEstimate) -> list[object]:
-    fields = [opinion.target_id, opinion.failure_probability, opinion.slowness]
-    if opinion.rate_limit is None:
+def _pack_estimate(estimate: TargetEstimate) -> list[object]:
+    fields = [estimate.target_id, estimate.failure_probability, estimate.slowness]
+    if estimate.rate_limit is None:
         return fields
     return [
         *fields,
-        opinion.rate_limit,
-        opinion.next_request_in,
-        opinion.rate_limit_age,
+        estimate.rate_limit,
+        estimate.next_request_in,
+        estimate.rate_limit_age,
     ]
 
 
 def _unpack_report(fields: list) -> messages.Report:
-    ticket, target_id, outcome, took, vm, *told = fields[4:]
+    ticket, target_id, outcome, duration, vm, *optional = fields[4:]
     shard = shards.Shard(*fields[:4])
     return messages.Report(
-        ticket, shard, target_id, messages.Outcome(outcome), took, vm, *told
+        ticket, shard, target_id, messages.Outcome(outcome), duration, vm, *optional
     )
 
 
@@ -416,7 +430,7 @@
 def _unpack_names(value: object) -> tuple[str, ...]:
     """Return names of targets.
 
-    A list that is odd or too long is refused: a dispatcher would look through it for
+    A malformed or overlong list is rejected, because a dispatcher searches the list for
     each of its targets.
     """
     if not isinstance(value, list) or len(value) > MAX_NAMES:
@@ -427,7 +441,7 @@
 
 
 def pack_change(change: targets.Change, now: float) -> list[object]:
-    """Return a change of a target as plain values."""
+    """Return a change of a target as CBOR values; `now` is in monotonic seconds."""
     if isinstance(change, targets.Gone):
         return [change.target_id, change.position]
     cold_left = max(0.0, change.cold_until - now)
@@ -447,7 +461,7 @@
 
 
 def unpack_change(fields: list, now: float) -> targets.Change:
-    """Return the change of a target in plain values."""
+    """Return a change of a target from CBOR values; `now` is in monotonic seconds."""
     if len(fields) == 2:
         return targets.Gone(fields[0], fields[1])
     target_id, position, service, host, port, data_centre, slots = fields[:7]
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/desk.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/desk.py
@@ -191,7 +191,7 @@
         if known is not None and known.in_flight:
             return
         times = self._times.setdefault(shard.service, work_times.KindTimes())
-        for kind, seconds in opinions.times:
+        for kind, seconds in opinions.durations:
             times.set(kind, seconds)
         if known is not None:
             self._tell_heard(known, shard, now)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -381,7 +381,7 @@
 
     def send_estimates(self) -> None:
         """Tell the others what this VM thinks of targets."""
-        self._talk.send_estimates(to_all=True)
+        self._talk.send_estimates(is_broadcast=True)
 
     def announce_leaving(self) -> None:
         """Tell the others that this VM leaves."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_entry.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_entry.py
@@ -1,4 +1,4 @@
-"""Enters this VM into the fleet, at its start and whenever its entry may be lost."""
+"""Registers this VM in the fleet, at its start and whenever its entry may be lost."""
 
 from __future__ import annotations
 
@@ -17,35 +17,36 @@
     store_contact,
 )
 
-ERA_CHECK = 0.2
-"""Seconds between two looks whether the store is in a later era."""
+ERA_CHECK_INTERVAL_S = 0.2
+"""Seconds between two checks whether the store is in a later era."""
 
-ENTRY_SPREAD = 1.5
-"""Seconds over which VMs enter again: hundreds of them would reach the store's limit of
-calls at once, and nobody needs their entries before a VM starts."""
+ENTRY_SPREAD_S = 1.5
+"""Seconds over which VMs spread their renewed registrations. Hundreds of simultaneous
+calls would reach the rate limit of the store, and no VM needs the entries before
+another one starts."""
 
 
 class FleetEntry:
-    """Announces this VM, reads who is there, and greets them.
+    """Announces this VM in the directory, reads the other VMs and greets them.
 
     Parameters
     ----------
     directory : ports.MemberDirectory
-        Where VMs find each other.
+        The directory in the store through which VMs find each other.
     fleet : members.Members
         The VMs.
     link : peer_link.PeerLink
-        Datagrams to them.
+        Sends datagrams to them.
     turn : reading_turn.ReadingTurn
-        Learns when this VM has entered.
+        Notified when this VM has joined.
     start : start_turn.StartTurn
-        Learns the same.
+        Notified when this VM has joined.
     contact : store_contact.StoreContact
-        Paces calls while the store is lost.
+        Paces calls while the store is unavailable.
     read_era : callable
-        Returns the newest era of the store that this VM knows of.
+        Returns the latest era of the store that this VM knows of.
     rng : random.Random
-        Spreads entries.
+        Randomises the time of renewed registrations.
     """
 
     def __init__(
@@ -67,19 +68,25 @@
         self._contact = contact
         self._read_era = read_era
         self._rng = rng
-        self._has_entered = False
+        self._has_joined = False
 
     async def run(self) -> None:
-        """Enter the fleet, and again whenever the store may have lost the entry."""
+        """Register this VM, and again whenever the store may have lost its entry."""
         while True:
-            era = await self._enter()
+            era = await self._announce_and_greet()
             while self._read_era() <= era:
-                await anyio.sleep(ERA_CHECK)
-            # Not all VMs at the same moment.
-            await anyio.sleep(self._rng.random() * ENTRY_SPREAD)
+                await anyio.sleep(ERA_CHECK_INTERVAL_S)
+            # Spread the registrations, so that not all VMs call at the same moment.
+            await anyio.sleep(self._rng.random() * ENTRY_SPREAD_S)
 
-    async def _enter(self) -> int:
-        """Enter the fleet, as soon as the store answers; return in which era."""
+    async def _announce_and_greet(self) -> int:
+        """Register this VM as soon as the store answers, and greet the others.
+
+        Returns
+        -------
+        int
+            Era of the store in which the entry was written.
+        """
         is_announced = False
         era = 0
         while True:
@@ -97,14 +104,14 @@
             return era
 
     def _greet(self, found: tuple[ports.Member, ...]) -> None:
-        """Greet the VMs that are there, after the first time only new ones."""
+        """Greet all other VMs the first time, and only new ones afterwards."""
         new = [member for member in found if self._fleet.add(member)]
         hello = datagrams.Hello(self._fleet.own, wants_answer=True)
         others = self._fleet.list_others()
-        self._link.send_many(hello, new if self._has_entered else others)
-        if self._has_entered:
+        self._link.send_many(hello, new if self._has_joined else others)
+        if self._has_joined:
             return
-        self._has_entered = True
+        self._has_joined = True
         now = anyio.current_time()
         self._turn.join(now, is_alone=not others)
         self._start.join(now, is_alone=not others)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_messenger.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_messenger.py
@@ -1,4 +1,4 @@
-"""What one VM tells the others by itself, and where it takes what they tell."""
+"""Sends this VM's messages to the other VMs and dispatches received messages."""
 
 from __future__ import annotations
 
@@ -21,95 +21,97 @@
     suspect_exchange,
 )
 
-OPINIONS_PAUSE = 0.25
-"""Seconds between two tellings of what a dispatcher thinks: the next one in rank starts
-with knowledge that old."""
+ESTIMATES_INTERVAL_S = 0.25
+"""Seconds between two broadcasts of a dispatcher's estimates of its targets. The VM
+that succeeds it starts with estimates of at most that age."""
 
-TELL_ALL_EACH = 4
-"""Tellings of which one goes to all VMs. A VM that is cut off from the others places
-its requests by itself; it then knows what was failing a second before. Targets fail for
-some ten seconds."""
+BROADCAST_EVERY = 4
+"""One in this many sendings of estimates goes to all VMs. A VM that is cut off from the
+others places its requests by itself, and then knows which targets were failing a second
+before. Targets fail for some ten seconds."""
 
-MOST_TOLD = 40
-"""VMs that are told at most, so that what a fleet tells grows with its size and not
-with the square of it. The others begin with what is usual."""
+MAX_BROADCAST_VMS = 40
+"""Upper bound on the VMs that receive estimates, so that the traffic grows with the
+size of the fleet and not with its square. The other VMs start with default
+estimates."""
 
-SUCCESSORS = 2
-"""VMs that are told what a dispatcher thinks."""
+SUCCESSOR_COUNT = 2
+"""VMs next in rank that receive every sending of a dispatcher's estimates."""
 
-HELPING_TASK = "tell VMs that start"
-HELPERS = 3
-"""VMs that tell one that starts which requests crash targets."""
+SUSPECTS_FOR_NEW_VMS_TASK = "tell VMs that start"
+SUSPECTS_SENDER_COUNT = 3
+"""VMs that send a starting VM the requests that are suspected to crash targets."""
 
-COUNTING = 3
-"""VMs by rank for each shard that hear of the retries of its service: who dispatches
-it, and who would next."""
+RETRY_COUNTING_VMS = 3
+"""VMs by rank for each shard that receive the retry counts of its service: its
+dispatcher and those that would succeed it."""
 
-GREET_PAUSE = 1.0
-"""Seconds between greetings of VMs that gave no answer."""
+GREETING_INTERVAL_S = 1.0
+"""Seconds between greetings of VMs that did not answer."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Receivers:
-    """Who takes in what other VMs say."""
+    """The parts of this VM that handle received messages."""
 
     desk: desk.Desk
-    """The dispatchers here."""
+    """The dispatchers of this VM."""
 
     keeper: knowledge_keeper.KnowledgeKeeper
     """Configuration and targets."""
 
     placement: placement.Placement
-    """Requests that wait for a target."""
+    """Requests that wait for a slot."""
 
     suspects: suspect_exchange.SuspectExchange
-    """Requests that crash their targets."""
+    """Requests that are suspected to crash their targets."""
 
 
 class FleetMessenger:
-    """Talks with the other VMs.
+    """Exchanges messages with the other VMs.
 
     Parameters
     ----------
     fleet : members.Members
         The VMs.
     link : peer_link.PeerLink
-        Datagrams to them.
-    hearers : Receivers
-        Who takes in what they say.
+        Sends datagrams to them.
+    receivers : Receivers
+        Handle received messages.
     log : log_lines.LogLines
-        VMs that join.
+        Logs VMs that join.
     report_fault : supervision.ReportFault
-        Takes a fault met by a datagram.
+        Called with each fault in handling a datagram.
     """
 
     def __init__(
         self,
         fleet: members.Members,
         link: peer_link.PeerLink,
-        hearers: Receivers,
+        receivers: Receivers,
         log: log_lines.LogLines,
         report_fault: supervision.ReportFault,
     ) -> None:
         self._fleet = fleet
         self._link = link
-        self._hearers = hearers
+        self._receivers = receivers
         self._log = log
         self._report_fault = report_fault
         self.is_leaving = False
 
     def receive(self, message: datagrams.Message) -> None:
-        """Take in one message; a fault that it leads to leaves the next ones alone."""
+        """Handle one message; an error in it does not prevent handling of the next
+        ones."""
         try:
-            self._take(message)
+            self._handle(message)
         except Exception as error:
             self._report_fault("take datagram", error)
 
-    def _take(self, message: datagrams.Message) -> None:
+    def _handle(self, message: datagrams.Message) -> None:
         now = anyio.current_time()
         match message:
             case datagrams.Hello():
-                self._take_hello(message, now)
+                self._handle_hello(message, now)
             case datagrams.Leaving():
                 self._fleet.record_leaving(message.vm, message.incarnation, now)
             case datagrams.Resigned():
@@ -119,100 +121,109 @@
             case datagrams.TargetUpdate():
                 if self._fleet.is_direct(message.vm, message.is_for_relay):
                     self._fleet.record_contact(message.vm, now)
-                self._hearers.keeper.take_news(message)
+                self._receivers.keeper.take_news(message)
             case datagrams.ConfigurationUpdate():
-                self._hearers.keeper.take_published(message)
+                self._receivers.keeper.take_published(message)
             case datagrams.VersionNotice():
-                self._hearers.keeper.take_version(message.vm, message.version)
+                self._receivers.keeper.take_version(message.vm, message.version)
             case datagrams.TargetEstimates():
-                self._hearers.desk.take_opinions(message, now)
+                self._receivers.desk.take_opinions(message, now)
             case datagrams.SlotRequested():
                 self._fleet.record_contact(message.vm, now)
-                self._hearers.desk.ask(message.vm, message.ask, now)
+                self._receivers.desk.ask(message.vm, message.ask, now)
             case datagrams.SlotHeld():
-                self._hearers.desk.adopt(message.vm, message.held, now)
+                self._receivers.desk.adopt(message.vm, message.held, now)
             case datagrams.RetryUsage():
-                self._hearers.desk.take_retries(message, now)
+                self._receivers.desk.take_retries(message, now)
             case datagrams.SuspectRequests():
-                self._hearers.suspects.take(message)
+                self._receivers.suspects.take(message)
             case messages.Report():
-                self._hearers.desk.report(message, now)
+                self._receivers.desk.report(message, now)
             case messages.Grant() | messages.Refuse() | messages.Wait():
-                self._hearers.placement.take_decision(message)
+                self._receivers.placement.take_decision(message)
 
-    def _take_hello(self, hello: datagrams.Hello, now: float) -> None:
+    def _handle_hello(self, hello: datagrams.Hello, now: float) -> None:
         if self._fleet.add(hello.member):
             self._log.write("vm_joined", peer=hello.member.vm)
-            if self._is_helper(now):
-                self._hearers.suspects.tell(hello.member)
+            if self._sends_suspects_to_new_vms(now):
+                self._receivers.suspects.tell(hello.member)
         self._fleet.record_contact(hello.member.vm, now)
-        self._hearers.keeper.take_position(hello.member.vm, hello.position)
+        self._receivers.keeper.take_position(hello.member.vm, hello.position)
         if hello.wants_answer:
             self._link.send(self._make_reply(), hello.member)
 
-    def _is_helper(self, now: float) -> bool:
-        """Return whether this VM is one of those that tell new ones what they lack."""
-        ranked = self._fleet.rank_reachable(HELPING_TASK, now)
-        return self._fleet.own.vm in ranked[:HELPERS]
+    def _sends_suspects_to_new_vms(self, now: float) -> bool:
+        """Return whether this VM sends new VMs the requests suspected of crashes."""
+        ranked = self._fleet.rank_reachable(SUSPECTS_FOR_NEW_VMS_TASK, now)
+        return self._fleet.own.vm in ranked[:SUSPECTS_SENDER_COUNT]
 
     def _make_reply(self) -> datagrams.Hello | datagrams.Leaving:
         """Return the answer to a greeting.
 
-        A VM that starts while this one leaves has not heard that it does. Taken for one
-        that stays, this one would be asked first where it ranks first.
+        A VM that starts while this one is leaving has not received its `Leaving`.
+        Without this answer it would expect this VM to stay, and ask it first for tasks
+        for which it ranks first.
         """
         own = self._fleet.own
         if self.is_leaving:
             return datagrams.Leaving(own.vm, own.incarnation)
-        position = self._hearers.keeper.position
+        position = self._receivers.keeper.position
         return datagrams.Hello(own, wants_answer=False, position=position)
 
     async def send_estimates_periodically(self) -> None:
-        """Tell opinions until cancelled."""
+        """Send the estimates of the dispatchers here until cancelled."""
         for number in itertools.count():
-            await anyio.sleep(OPINIONS_PAUSE)
-            self.send_estimates(to_all=number % TELL_ALL_EACH == 0)
+            await anyio.sleep(ESTIMATES_INTERVAL_S)
+            self.send_estimates(is_broadcast=number % BROADCAST_EVERY == 0)
 
-    def send_estimates(self, to_all: bool) -> None:
-        """Tell those next in rank, or all, what the dispatchers here think."""
+    def send_estimates(self, is_broadcast: bool) -> None:
+        """Send the estimates of the dispatchers here, and the retry counts.
+
+        Parameters
+        ----------
+        is_broadcast : bool
+            Whether to send to the first `MAX_BROADCAST_VMS` in rank instead of the
+            successors alone.
+        """
         now = anyio.current_time()
         own = self._fleet.own.vm
-        for shard in self._hearers.desk.list_busy():
-            heard = self._fleet.rank_reachable(shard.task, now, shard.data_centre)
-            ranked = [vm for vm in heard if vm != own]
-            told = ranked[: MOST_TOLD if to_all else SUCCESSORS]
-            successors = [self._fleet.find(vm) for vm in told]
+        for shard in self._receivers.desk.list_busy():
+            reachable = self._fleet.rank_reachable(shard.task, now, shard.data_centre)
+            ranked = [vm for vm in reachable if vm != own]
+            chosen = ranked[: MAX_BROADCAST_VMS if is_broadcast else SUCCESSOR_COUNT]
+            recipients = [self._fleet.find(vm) for vm in chosen]
             self._link.send_many(
-                self._hearers.desk.summarize(shard, now),
-                [member for member in successors if member is not None],
+                self._receivers.desk.summarize(shard, now),
+                [member for member in recipients if member is not None],
             )
-        for service in self._hearers.desk.list_services():
-            self.send_retry_counts(service, is_whole=to_all)
+        for service in self._receivers.desk.list_services():
+            self.send_retry_counts(service, is_whole=is_broadcast)
 
     def send_retry_counts(self, service: str, is_whole: bool = False) -> None:
-        """Tell all who dispatch a service, or would next, what was counted here.
+        """Send a service's retry counts to all VMs that dispatch it or would do so
+        next.
 
-        The retries of a service are bounded as a whole. A dispatcher that does not know
-        what others have given out would give it out once more.
+        The retries of a service are bounded for the whole fleet. A dispatcher that does
+        not know the retries granted by others would grant them once more.
         """
         now = anyio.current_time()
-        desk, fleet = self._hearers.desk, self._fleet
+        desk, fleet = self._receivers.desk, self._fleet
         names = {
             vm
             for shard in desk.list_shards(service)
             for vm in fleet.rank_reachable(shard.task, now, shard.data_centre)[
-                :COUNTING
+                :RETRY_COUNTING_VMS
             ]
         }
         names.discard(fleet.own.vm)
-        hearers = [fleet.find(vm) for vm in sorted(names)]
-        for told in desk.retries.tell(service, now, is_whole):
-            self._link.send_many(told, [one for one in hearers if one is not None])
+        receivers = [fleet.find(vm) for vm in sorted(names)]
+        for usage in desk.retries.tell(service, now, is_whole):
+            self._link.send_many(usage, [one for one in receivers if one is not None])
 
     async def greet(self) -> None:
-        """Greet VMs that gave no answer, until cancelled."""
+        """Greet VMs that did not answer, until cancelled."""
         while True:
-            await anyio.sleep(GREET_PAUSE)
+            await anyio.sleep(GREETING_INTERVAL_S)
             now = anyio.current_time()
             self._fleet.remove_departed(now)
             if not self.is_leaving:
@@ -220,7 +231,7 @@
                 self._link.send_many(hello, self._fleet.list_suspects(now))
 
     def announce_leaving(self) -> None:
-        """Tell all others that this VM leaves, and leave its tasks to them."""
+        """Announce to all others that this VM is leaving, and give up its tasks."""
         own = self._fleet.own
         self._fleet.record_leaving(own.vm, own.incarnation, anyio.current_time())
         leaving = datagrams.Leaving(own.vm, own.incarnation)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/members.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/members.py
@@ -1,8 +1,9 @@
-"""The other VMs, and which of them does what for all.
+"""The other VMs, and which of them performs which fleet-wide task.
 
-A task that one VM does for all (dispatching a service, reading the store) belongs to
-the VM that ranks highest for it by rendezvous hashing among those heard from. Views may
-differ for a while; every task can be done twice without harm.
+A task that one VM performs for the whole fleet (dispatching a service, reading the
+store) belongs to the VM that ranks highest for it by rendezvous hashing among the
+reachable VMs. The VMs' views may differ for some seconds, so every such task is safe to
+perform twice.
 """
 
 from __future__ import annotations
@@ -12,153 +13,180 @@
 from . import ports
 
 SETTLE_TIME_S = 2.0
-"""Seconds that a VM must have been known before it takes tasks over: by then it has
-heard what the VM before it knew, and a crash loop moves no task to and fro."""
+"""Seconds that a VM must have been reachable before it takes over tasks. By then it has
+received the state of the VM that had the task before, and a VM in a crash loop does not
+make tasks move back and forth."""
 
 START_WINDOW_S = 1.0
-"""Seconds after the start of this VM in which it counts as new together with those that
-it hears. Where all VMs start at once, each hears the others some tenths of a second
-after its own start. Settled earlier than they, each would take every task for itself:
-all would read the store and dispatch for themselves."""
+"""Seconds after the start of this VM in which its own settle time restarts with each VM
+that it first hears from. When all VMs start together, each receives the others'
+greetings some tenths of a second after its own start. If its own settle time ended
+before theirs, every VM would assign all tasks to itself: all would read the store and
+dispatch for themselves."""
 
 SUSPECT_DURATION_S = 30.0
-"""Seconds for which a VM that gave no answer takes no tasks unless it is heard from. It
-is asked every second meanwhile, so a live one comes back at once."""
+"""Seconds for which a VM that did not answer gets no tasks, unless a message from it
+arrives. It is greeted every second meanwhile, so a live VM returns at once."""
 
 MAX_RESIGNED = 4
-"""VMs that may have resigned from a task at the same time. More of them mean that
-nobody can do it, and that telling so is of no use. From all tasks, as slow VMs do, a
-quarter of a large fleet may."""
+"""VMs that may have resigned from one task at the same time. If more want to, no VM is
+able to perform the task and resigning does not help. A quarter of a large fleet may
+resign from all tasks, as slow VMs do."""
 
 MAX_RESIGNATION_S = 10.0
-"""Seconds for which a VM may resign at most, whatever it says."""
+"""Upper bound in seconds on one resignation, whatever end its sender states."""
 
 LEAVING_RETENTION_S = 60.0
-"""Seconds for which the address of a leaving VM is kept: longer than any stop lasts."""
+"""Seconds for which the address of a leaving VM is kept: longer than any stop takes."""
 
 
 class Members:
-    """All VMs known to this one.
+    """The VMs known to this one.
 
     Parameters
     ----------
     own : ports.Member
-        This VM.
+        The entry of this VM.
     now : float
-        Seconds of the steady clock.
+        Seconds of the monotonic clock.
     """
 
     def __init__(self, own: ports.Member, now: float) -> None:
         self.own = own
-        self._started = now
-        self._known: dict[str, ports.Member] = {own.vm: own}
-        self._heard_since: dict[str, float] = {own.vm: now}
+        self._started_at = now
+        self._members: dict[str, ports.Member] = {own.vm: own}
+        self._reachable_since: dict[str, float] = {own.vm: now}
         self._suspect_until: dict[str, float] = {}
         self._leaving_until: dict[str, float] = {}
         self._resigned_until: dict[tuple[str, str], float] = {}
         self._ranks: dict[tuple[str, str], list[str]] = {}
 
     def add(self, member: ports.Member) -> bool:
-        """Take in an entry; return whether the VM or its incarnation is new."""
-        known = self._known.get(member.vm)
+        """Add or replace a VM's entry.
+
+        Returns
+        -------
+        bool
+            Whether the VM, or this incarnation of it, was unknown before.
+        """
+        known = self._members.get(member.vm)
         if member.vm == self.own.vm:
             return False
         if known is not None and not self._is_later(member, known):
             return False
-        self._known[member.vm] = member
-        self._heard_since.pop(member.vm, None)
+        self._members[member.vm] = member
+        self._reachable_since.pop(member.vm, None)
         self._suspect_until.pop(member.vm, None)
         self._leaving_until.pop(member.vm, None)
         self._ranks.clear()
         return True
 
     def _is_later(self, member: ports.Member, known: ports.Member) -> bool:
-        """Return whether an entry is of a later start of a VM than the known one.
+        """Return whether an entry is from a later start of its VM than the known one.
 
-        Incarnations are times of day, which may be set back between two starts. After
-        a VM that leaves, any other entry is of its next start.
+        Incarnations are wall-clock times, and the clock may be set back between two
+        starts. If the known VM is leaving, an entry with any other incarnation is
+        therefore from its next start.
         """
         if member.vm in self._leaving_until:
             return member.incarnation != known.incarnation
         return member.incarnation > known.incarnation
 
     def record_contact(self, vm: str, now: float) -> None:
-        """Take in that a VM was heard from."""
-        if vm in self._known:
-            if vm not in self._heard_since and now <= self._started + START_WINDOW_S:
-                self._heard_since[self.own.vm] = now
-            self._heard_since.setdefault(vm, now)
+        """Record that a message from a VM arrived."""
+        if vm in self._members:
+            if (
+                vm not in self._reachable_since
+                and now <= self._started_at + START_WINDOW_S
+            ):
+                self._reachable_since[self.own.vm] = now
+            self._reachable_since.setdefault(vm, now)
             self._suspect_until.pop(vm, None)
 
     def restart_settling(self, now: float) -> None:
-        """Take in that this VM was away: it knows no better than one that starts."""
-        self._heard_since[self.own.vm] = now
+        """Restart the settle time of this VM, whose state is out of date."""
+        self._reachable_since[self.own.vm] = now
 
     def suspect(self, vm: str, now: float) -> bool:
-        """Take in that a VM gave no answer; return whether that is news."""
-        if vm == self.own.vm or vm not in self._known:
+        """Record that a VM did not answer.
+
+        Returns
+        -------
+        bool
+            Whether the VM is known, is another VM and was not suspected before.
+        """
+        if vm == self.own.vm or vm not in self._members:
             return False
-        is_news = self._suspect_until.get(vm, 0.0) <= now
+        is_new = self._suspect_until.get(vm, 0.0) <= now
         self._suspect_until[vm] = now + SUSPECT_DURATION_S
-        return is_news
+        return is_new
 
     def record_leaving(self, vm: str, incarnation: int, now: float) -> None:
-        """Take in that a VM, or this one, is leaving: it does nothing for all any more.
+        """Record that a VM, possibly this one, is leaving and gets no more tasks.
 
-        Its address is kept. It serves its callers for some seconds, and dispatchers
-        that could not answer its asks would each seem dead to it.
+        Its address is kept. It still serves its callers for some seconds, and if
+        dispatchers could not answer its slot requests, it would take each of them for
+        dead.
         """
-        known = self._known.get(vm)
+        known = self._members.get(vm)
         if known is not None and known.incarnation == incarnation:
             self._leaving_until[vm] = now + LEAVING_RETENTION_S
 
     def record_resignation(
         self, vm: str, incarnation: int, task: str, until: float, now: float
     ) -> bool:
-        """Take in that a VM cannot do a task for a while; return whether that counts.
+        """Record that a VM cannot perform a task for some time.
+
+        If several VMs cannot, the cause is probably common to all, so that further
+        resignations are ignored and the ranking stays.
 
-        Where several cannot, the reason is likely common to all, and their order stays.
+        Returns
+        -------
+        bool
+            Whether the resignation takes effect.
         """
-        known = self._known.get(vm)
+        known = self._members.get(vm)
         if known is None or known.incarnation != incarnation:
             return False
         self._resigned_until = {
             key: at for key, at in self._resigned_until.items() if at > now
         }
         others = [one for one, of in self._resigned_until if of == task and one != vm]
-        most = MAX_RESIGNED if task else max(MAX_RESIGNED, self.count() // 4)
-        if len(others) >= most:
+        max_resigned = MAX_RESIGNED if task else max(MAX_RESIGNED, self.count() // 4)
+        if len(others) >= max_resigned:
             return False
         until = min(until, now + MAX_RESIGNATION_S)
         self._resigned_until[vm, task] = until
         return True
 
     def remove_departed(self, now: float) -> None:
-        """Forget VMs that left long ago and have not come back."""
+        """Remove VMs that left longer ago than the retention time and have not
+        returned."""
         for vm, until in list(self._leaving_until.items()):
             if until <= now and vm != self.own.vm:
                 del self._leaving_until[vm]
-                del self._known[vm]
-                self._heard_since.pop(vm, None)
+                del self._members[vm]
+                self._reachable_since.pop(vm, None)
                 self._suspect_until.pop(vm, None)
                 self._ranks.clear()
 
     def count(self) -> int:
-        """Return how many VMs are known, this one included."""
-        return len(self._known)
+        """Return the number of known VMs, this one included."""
+        return len(self._members)
 
     def find(self, vm: str) -> ports.Member | None:
-        """Return a VM's entry."""
-        return self._known.get(vm)
+        """Return a VM's entry, or None if the VM is unknown."""
+        return self._members.get(vm)
 
     def list_others(self) -> list[ports.Member]:
-        """Return all other VMs, suspects included."""
-        return [one for one in self._known.values() if one.vm != self.own.vm]
+        """Return all other VMs, including suspected ones."""
+        return [one for one in self._members.values() if one.vm != self.own.vm]
 
     def list_suspects(self, now: float) -> list[ports.Member]:
-        """Return the VMs that gave no answer, and those never heard from.
+        """Return the VMs that did not answer and those never heard from.
 
-        Those that are leaving need not be asked whether they are back.
+        Leaving VMs are excluded: they need not be greeted to find out whether they
+        returned.
         """
         return [
             one
@@ -166,26 +194,27 @@
             if one.vm not in self._leaving_until
             and (
                 self._suspect_until.get(one.vm, 0.0) > now
-                or one.vm not in self._heard_since
+                or one.vm not in self._reachable_since
             )
         ]
 
     def rank_reachable(self, task: str, now: float, data_centre: str = "") -> list[str]:
-        """Return all VMs heard from, those that rank highest for a task first.
+        """Return all reachable VMs, those that rank highest for a task first.
 
-        With a data centre, only the VMs there, and all others where none is there.
+        If a data centre is named, only its VMs are returned, or all if none of them is
+        reachable.
         """
-        heard = [vm for vm in self._order(task, "") if self._is_heard(vm, now)]
-        near = [vm for vm in heard if self._known[vm].data_centre == data_centre]
-        return near or heard
+        reachable = [vm for vm in self._order(task, "") if self._is_reachable(vm, now)]
+        near = [vm for vm in reachable if self._members[vm].data_centre == data_centre]
+        return near or reachable
 
     def rank(
         self, task: str, now: float, count: int, data_centre: str = ""
     ) -> list[str]:
-        """Return the VMs that should do a task, best first.
+        """Return the VMs that should perform a task, best first.
 
-        Asked for each request: it stops at the first few instead of looking at all.
-        With a data centre, VMs there are taken where any is heard from.
+        This runs for every request, so it stops at the first `count` VMs. If a data
+        centre is named, its VMs are returned if any of them is reachable.
         """
         if data_centre:
             near = self._rank(task, data_centre, now, count)
@@ -194,48 +223,49 @@
         return self._rank(task, "", now, count)
 
     def list_in(self, data_centre: str) -> list[ports.Member]:
-        """Return the other VMs of a data centre, suspects included."""
+        """Return the other VMs of a data centre, including suspected ones."""
         return [one for one in self.list_others() if one.data_centre == data_centre]
 
     def is_direct(self, vm: str, is_for_relay: bool) -> bool:
-        """Return whether news of a VM came from it, and not through a relay.
+        """Return whether an update from a VM arrived without passing through a relay.
 
-        A VM of another data centre tells only relays. News that one of them passed on
-        show that the relay can be reached: taken for a sign of the reader, they would
-        make a reader that is cut off from here the one that is asked first, again and
-        again.
+        A VM sends updates to another data centre only through relays there. An update
+        that a relay passed on shows that the relay is reachable. If it counted as
+        contact with the reader, a reader that is cut off from this VM would be asked
+        first again and again.
         """
-        member = self._known.get(vm)
+        member = self._members.get(vm)
         is_near = member is not None and member.data_centre == self.own.data_centre
         return is_for_relay or is_near
 
     @property
     def data_centres(self) -> set[str]:
-        """Data centres with a VM."""
-        return {one.data_centre for one in self._known.values()}
+        """Data centres that have at least one known VM."""
+        return {one.data_centre for one in self._members.values()}
 
     def _rank(self, task: str, data_centre: str, now: float, count: int) -> list[str]:
-        heard: list[str] = []
+        reachable: list[str] = []
         settled: list[str] = []
         for vm in self._order(task, data_centre):
-            if not self._is_heard(vm, now) or self._has_resigned(vm, task, now):
+            if not self._is_reachable(vm, now) or self._has_resigned(vm, task, now):
                 continue
-            if len(heard) < count:
-                heard.append(vm)
-            if now - self._heard_since[vm] >= SETTLE_TIME_S:
+            if len(reachable) < count:
+                reachable.append(vm)
+            if now - self._reachable_since[vm] >= SETTLE_TIME_S:
                 settled.append(vm)
                 if len(settled) == count:
                     break
-        # At the first start nobody has been there for long.
-        return settled or heard
+        # During the first start of a fleet no VM has settled yet.
+        return settled or reachable
 
     def _order(self, task: str, data_centre: str) -> list[str]:
-        """Return the VMs of a data centre, or all, by their rank for a task."""
+        """Return the VMs of a data centre, or of all for an empty name, by rank for a
+        task."""
         order = self._ranks.get((task, data_centre))
         if order is None:
             names = [
                 vm
-                for vm, member in self._known.items()
+                for vm, member in self._members.items()
                 if data_centre in ("", member.data_centre)
             ]
             order = rendezvous.pick(task, names, len(names))
@@ -247,9 +277,9 @@
             return False
         return any(self._resigned_until.get((vm, of), 0.0) > now for of in (task, ""))
 
-    def _is_heard(self, vm: str, now: float) -> bool:
+    def _is_reachable(self, vm: str, now: float) -> bool:
         return (
-            vm in self._heard_since
+            vm in self._reachable_since
             and vm not in self._leaving_until
             and self._suspect_until.get(vm, 0.0) <= now
         )
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/peer_link.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/peer_link.py
@@ -1,4 +1,4 @@
-"""The socket on which VMs send each other datagrams."""
+"""The UDP socket through which VMs exchange datagrams."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 Receive = collections.abc.Callable[[datagrams.Message], None]
 
-MOST_BYTES = 60_000
-"""Largest datagram that is sent; UDP takes 65,507 bytes."""
+MAX_DATAGRAM_BYTES = 60_000
+"""Size of the largest datagram that is sent; UDP allows 65,507 bytes."""
 
-MOST_AT_ONCE = 64
-"""Datagrams handled before other tasks get their turn."""
+MAX_BATCH = 64
+"""Datagrams that are handled before other tasks run."""
 
 
 class PeerLink:
     """Sends and receives datagrams.
 
-    The socket is used directly: a datagram is sent from plain functions, at once, and
-    is dropped where the kernel has no room for it.
+    The socket is used directly, so that synchronous functions can send a datagram
+    immediately. A datagram is dropped if the kernel's buffer is full.
 
     Parameters
     ----------
     host : str
-        IP number of this VM.
+        IP address of this VM.
     port : int
-        UDP port.
+        UDP port; 0 lets the system choose one.
     log : log_lines.LogLines
-        Where unreadable datagrams are noted.
+        Logs unreadable and oversized datagrams.
     """
 
     def __init__(self, host: str, port: int, log: log_lines.LogLines) -> None:
@@ -45,19 +45,19 @@
         self.unsent = 0
 
     async def run(self, receive: Receive) -> None:
-        """Receive until cancelled; can be run again after a fault."""
+        """Receive until cancelled; can be called again after an error."""
         while True:
             await anyio.wait_readable(self._socket)
-            for _ in range(MOST_AT_ONCE):
+            for _ in range(MAX_BATCH):
                 if not self._receive_one(receive):
                     break
 
     def close(self) -> None:
-        """Give the port back."""
+        """Close the socket."""
         self._socket.close()
 
     def send(self, message: datagrams.Message, member: ports.Member) -> None:
-        """Send one message; it may be lost, like any datagram."""
+        """Send one message, without any guarantee of delivery."""
         self.send_many(message, [member])
 
     def send_many(
@@ -65,18 +65,18 @@
         message: datagrams.Message,
         members: collections.abc.Sequence[ports.Member],
     ) -> None:
-        """Send one message to several VMs."""
+        """Send one message to several VMs, without any guarantee of delivery."""
         data = datagrams.encode(message, anyio.current_time())
-        if len(data) > MOST_BYTES:
+        if len(data) > MAX_DATAGRAM_BYTES:
             self._log.write("datagram_too_large", bytes=len(data))
             return
         for member in members:
             try:
                 self._socket.sendto(data, (member.host, member.port))
             except (OSError, OverflowError, TypeError, ValueError):
-                # No room, no route, nobody there, or an address that is none: all the
-                # same to the sender, who asks again or does without. One VM with such
-                # an address must not keep the others from hearing.
+                # The buffer is full, there is no route, or the address is invalid. The
+                # sender repeats its message or continues without it in each case. One
+                # VM with an invalid address must not prevent sending to the others.
                 self.unsent += 1
                 continue
             self.sent += 1
@@ -84,11 +84,11 @@
 
     def _receive_one(self, receive: Receive) -> bool:
         try:
-            data = self._socket.recv(MOST_BYTES + 1)
+            data = self._socket.recv(MAX_DATAGRAM_BYTES + 1)
         except BlockingIOError:
             return False
         except OSError:
-            return True  # A peer's port is closed; the next datagram may be fine.
+            return True  # Reports a peer's closed port; other datagrams may follow.
         try:
             message = datagrams.decode(data, anyio.current_time())
         except datagrams.UnreadableError as error:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/resignation.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/resignation.py
@@ -1,6 +1,7 @@
-"""Gives up tasks that this VM cannot do for all at the moment, though it lives.
+"""Resigns from tasks that this VM cannot perform at the moment, though it is running.
 
-Others would ask it first again as soon as they hear from it, and wait for nothing.
+Otherwise the others would ask it first again as soon as they hear from it, and wait in
+vain.
 """
 
 from __future__ import annotations
@@ -10,30 +11,31 @@
 from . import datagrams, log_lines, members, peer_link
 
 RESIGNATION_S = 3.0
-"""Seconds for which a task is given up; told again while the reason lasts."""
+"""Seconds that a resignation lasts; it is renewed while its reason lasts."""
 
 ALL_TASKS = ""
 """Name that stands for every task."""
 
-LATE = 0.06
-"""Seconds by which timers fire late from which a VM is too slow to answer others: they
-ask the next one after 90 ms."""
+LATE_TIMER_S = 0.06
+"""Mean delay of timers in seconds above which a VM is too slow to answer others, which
+ask the next VM after 90 ms."""
 
-LATE_WEIGHT = 0.25
-"""Weight of a new lateness in their mean: one pause of the process is no slowness."""
+LATENESS_WEIGHT = 0.25
+"""Weight of a new delay in the exponential mean, so that a single pause of the process
+does not count as slowness."""
 
 
 class Resignation:
-    """Tells others what this VM cannot do.
+    """Announces the tasks that this VM cannot perform.
 
     Parameters
     ----------
     fleet : members.Members
         The VMs.
     link : peer_link.PeerLink
-        Datagrams to them.
+        Sends datagrams to them.
     log : log_lines.LogLines
-        Where it is noted.
+        Logs each resignation.
     """
 
     def __init__(
@@ -46,12 +48,12 @@
         self._link = link
         self._log = log
         self._lateness = 0.0
-        self._until: dict[str, float] = {}
+        self._resigned_until: dict[str, float] = {}
 
     def resign(self, task: str, why: str) -> None:
-        """Give up a task for a while, unless that was told just now."""
+        """Resign from a task, unless most of the current resignation is still left."""
         now = anyio.current_time()
-        if self._until.get(task, 0.0) - now > RESIGNATION_S / 2:
+        if self._resigned_until.get(task, 0.0) - now > RESIGNATION_S / 2:
             return
         until = now + RESIGNATION_S
         own = self._fleet.own
@@ -59,17 +61,18 @@
             own.vm, own.incarnation, task, until, now
         ):
             return
-        self._until[task] = until
+        self._resigned_until[task] = until
         self._log.write("resigned", task=task or "all", why=why)
         message = datagrams.Resigned(own.vm, own.incarnation, task, until)
         self._link.send_many(message, self._fleet.list_others())
 
     def record_lateness(self, seconds: float, has_tasks: bool) -> None:
-        """Take in by how much a timer of this process fired late.
+        """Record by how many seconds a timer of this process fired late.
 
-        Load pattern: a VM turns slow while it places the requests of a shard. Its
-        queue of datagrams would hold them, and every asker finds out for itself.
+        It guards against a VM that turns slow while it dispatches a shard. Slot
+        requests would wait in its queue of datagrams, and each requesting VM would have
+        to find out by a time-out of its own.
         """
-        self._lateness += LATE_WEIGHT * (max(0.0, seconds) - self._lateness)
-        if self._lateness > LATE and has_tasks:
+        self._lateness += LATENESS_WEIGHT * (max(0.0, seconds) - self._lateness)
+        if self._lateness > LATE_TIMER_S and has_tasks:
             self.resign(ALL_TASKS, f"timers {self._lateness:.2f} s late")
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_reader.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_reader.py
@@ -133,7 +133,7 @@
             now = anyio.current_time()
             self._record.heard_at = self._record.read_at = now
             if has_news or self._teller.is_due(now):
-                self._teller.tell()
+                self._teller.send()
             await anyio.sleep(READ_PAUSE)
 
     async def _pause_lost(self, error: ports.StoreUnavailableError, now: float) -> None:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_update_sender.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_update_sender.py
@@ -1,6 +1,6 @@
-"""Tells the other VMs what this one has read about the targets.
+"""Sends changes of targets that this VM has read from the store to the other VMs.
 
-Datagrams may be lost, so what is new is told several times.
+Datagrams may be lost, so each change is sent several times.
 """
 
 from __future__ import annotations
@@ -13,90 +13,91 @@
 
 from . import datagrams, reading_turn, spreading, target_record
 
-CHECK_PAUSE = 0.1
-"""Seconds between two looks whether it is time to tell."""
+CHECK_INTERVAL_S = 0.1
+"""Seconds between two checks whether an update is due."""
 
-TELL_PAUSE = 0.3
-"""Seconds between two tellings of what was read; a lost one is made up for so soon."""
+SEND_INTERVAL_S = 0.3
+"""Seconds between two updates, after which a lost one is made up for."""
 
-STALE_AFTER = 0.95
-"""Seconds after its last successful read for which the reader tells others that nothing
-has changed: one read and its slack. Together with the silence after it this stays below
-the two seconds within which a leaving target must be known."""
+MAX_READ_AGE_S = 0.95
+"""Seconds after its last successful read for which the reader sends that nothing has
+changed: the time of one read and some slack. Together with the time that receivers wait
+after the last update, this stays below the two seconds within which all VMs must know
+that a target is leaving."""
 
-REPEAT_FOR = 2.0
-"""Seconds for which changes are told again, since datagrams may be lost."""
+REPEAT_DURATION_S = 2.0
+"""Seconds for which a change is sent again, because datagrams may be lost."""
 
 
 class TargetUpdateSender:
-    """Tells news while it is this VM's turn to read.
+    """Sends updates while it is this VM's turn to read the store.
 
     Parameters
     ----------
     record : target_record.TargetRecord
-        What was read.
+        The changes that were read.
     turn : reading_turn.ReadingTurn
         Whether it is this VM's turn.
-    configured : configuration.ConfigurationState
-        Its version is told along.
+    configuration_state : configuration.ConfigurationState
+        Its version is part of each update.
     spreader : spreading.Spreader
-        Tells the others.
+        Distributes updates to the other VMs.
     vm : str
         Name of this VM.
     has_configuration_read : callable
-        Returns whether the configuration was read from the store lately. News tell its
-        version, and those who hear them do not ask the store for it.
+        Returns whether the configuration was read from the store recently. Updates
+        contain its version, and VMs that receive them do not ask the store for it.
     """
 
     def __init__(
         self,
         record: target_record.TargetRecord,
         turn: reading_turn.ReadingTurn,
-        configured: configuration.ConfigurationState,
+        configuration_state: configuration.ConfigurationState,
         spreader: spreading.Spreader,
         vm: str,
         has_configuration_read: collections.abc.Callable[[float], bool],
     ) -> None:
         self._record = record
         self._turn = turn
-        self._configured = configured
+        self._configuration_state = configuration_state
         self._spreader = spreader
         self._vm = vm
         self._has_configuration_read = has_configuration_read
-        self._told_at = 0.0
+        self._sent_at = 0.0
 
     async def run(self) -> None:
-        """Tell the others regularly, also that nothing has changed.
+        """Send updates periodically, also when nothing has changed.
 
-        Whoever hears nothing reads for itself; whoever is told "nothing new" by a
-        reader that has lost the store would miss a target's leaving.
+        A VM that receives no updates reads the store itself. If a reader that has lost
+        the store sent that nothing changed, receivers would miss that a target leaves.
         """
         while True:
-            await anyio.sleep(CHECK_PAUSE)
+            await anyio.sleep(CHECK_INTERVAL_S)
             now = anyio.current_time()
-            is_fresh = now - self._record.read_at < STALE_AFTER
+            is_fresh = now - self._record.read_at < MAX_READ_AGE_S
             if is_fresh and self.is_due(now):
-                self.tell()
+                self.send()
 
     def is_due(self, now: float) -> bool:
-        """Return whether it is this VM that tells, and its last telling is long ago.
+        """Return whether it is this VM's turn and its last update is long enough ago.
 
-        A VM that has just become the reader tells at once, before all others who miss
-        the former one read for themselves.
+        A VM that has just become the reader sends at once, before the others miss the
+        updates of the former one and each read the store.
         """
         if not self._turn.is_first(now) or not self._has_configuration_read(now):
             return False
-        return now - self._told_at >= TELL_PAUSE
+        return now - self._sent_at >= SEND_INTERVAL_S
 
-    def tell(self) -> None:
-        """Tell what was read lately, in this data centre and to relays elsewhere."""
-        now = self._told_at = anyio.current_time()
-        since, changes = self._record.list_since(now - REPEAT_FOR)
-        news = datagrams.TargetUpdate(
+    def send(self) -> None:
+        """Send the recent changes to this data centre and to relays in the others."""
+        now = self._sent_at = anyio.current_time()
+        since, changes = self._record.list_since(now - REPEAT_DURATION_S)
+        update = datagrams.TargetUpdate(
             self._vm,
-            self._configured.version,
+            self._configuration_state.version,
             self._record.position,
             since,
             changes,
         )
-        self._spreader.tell(news, now, relays=1)
+        self._spreader.tell(update, now, relays=1)
--- a/tests/edge/test_datagrams.py
+++ b/tests/edge/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams keep what they carry, and anything else is refused."""
+"""Datagrams preserve their contents, and malformed ones are rejected."""
 
 from __future__ import annotations
 
@@ -55,13 +55,13 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda one: type(one).__name__)
-def test_message_survives_the_way(message: datagrams.Message) -> None:
+def test_decoding_an_encoded_message_returns_it(message: datagrams.Message) -> None:
     assert datagrams.decode(datagrams.encode(message, 0.0), 0.0) == message
 
 
-def test_times_travel_as_what_is_left_of_them() -> None:
-    # Steady clocks of two VMs have nothing in common: read as they are, a deadline of
-    # one would lie years away for the other.
+def test_times_are_sent_relative_to_the_clock_of_the_sender() -> None:
+    # The monotonic clocks of two VMs are unrelated: a deadline sent as an absolute time
+    # could lie years away for the receiver.
     data = datagrams.encode(datagrams.SlotRequested("vm-1", ASK), 1.0)
     found = datagrams.decode(data, 1001.0)
     assert isinstance(found, datagrams.SlotRequested)
@@ -71,7 +71,7 @@
 
 @hypothesis.example(b"bl\x00")
 @hypothesis.given(st.binary(max_size=80))
-def test_bytes_that_are_no_message_are_refused(data: bytes) -> None:
+def test_bytes_that_encode_no_message_are_rejected(data: bytes) -> None:
     with pytest.raises(datagrams.UnreadableError):
         datagrams.decode(data, 0.0)
 
@@ -91,7 +91,7 @@
     ],
     ids=str,
 )
-def test_counts_that_would_allow_retries_by_mistake_are_refused(
+def test_counts_that_would_grant_extra_retries_are_rejected(
     part: list[object],
 ) -> None:
     data = cbor2.dumps(["t", "desk", [["vm-1:7:0", [part]]]])
--- a/tests/edge/test_desk.py
+++ b/tests/edge/test_desk.py
@@ -245,7 +245,7 @@
         made.take_retries(datagrams.RetryUsage("desk", ((name, parts),)), now)
     told = made.retries.tell("desk", now, is_whole=True)
     sizes = [len(datagrams.encode(one, now)) for one in told]
-    assert max(sizes) <= peer_link.MOST_BYTES
+    assert max(sizes) <= peer_link.MAX_DATAGRAM_BYTES
     assert {name for one in told for name, _ in one.counts} == set(names)
 
 
--- a/tests/edge/test_members.py
+++ b/tests/edge/test_members.py
@@ -1,4 +1,4 @@
-"""Which VM does what for all."""
+"""Which VM performs which task for the fleet."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return fleet
 
 
-def test_all_vms_agree_on_who_does_a_task() -> None:
+def test_all_vms_rank_a_task_the_same() -> None:
     names = [f"vm-{n}" for n in range(6)]
     ranks = set()
     for own in names:
@@ -33,7 +33,7 @@
     assert len(ranks) == 1
 
 
-def test_silent_vm_loses_its_tasks_until_it_is_heard() -> None:
+def test_suspected_vm_has_no_tasks_until_it_is_reachable_again() -> None:
     fleet = make_fleet("a", "b", "c")
     first, second, *_ = fleet.rank("desk", SETTLED, 4)
     if first == "own":
@@ -46,15 +46,15 @@
     assert first in fleet.rank("desk", SETTLED, 4)
 
 
-def test_vm_never_heard_from_does_nothing_for_all() -> None:
-    # The store keeps the records of VMs that are long gone.
+def test_vm_never_heard_from_gets_no_task() -> None:
+    # The store still holds the records of VMs that stopped long ago.
     fleet = make_fleet("a")
     fleet.add(make_member("gone"))
     assert "gone" not in fleet.rank("desk", SETTLED, 4)
 
 
-def test_new_vm_takes_no_task_over_at_once() -> None:
-    # A VM that has just started knows nothing of slots in use and failing targets.
+def test_new_vm_takes_over_tasks_only_after_settling() -> None:
+    # A VM that has just started has no data on slots in use and failing targets.
     fleet = make_fleet("a", "b")
     fleet.add(make_member("new"))
     fleet.record_contact("new", SETTLED)
@@ -63,7 +63,7 @@
     assert "new" in fleet.rank_reachable("desk", SETTLED)
 
 
-def test_at_the_first_start_everybody_is_new_and_tasks_are_done() -> None:
+def test_tasks_are_assigned_while_the_whole_fleet_is_new() -> None:
     fleet = make_fleet("a", "b")
     assert len(fleet.rank("desk", 0.1, 4)) == 3
 
@@ -76,10 +76,10 @@
     assert "a" not in fleet.rank("desk", SETTLED, 4)
 
 
-def test_leaving_vm_does_nothing_for_all_and_can_be_answered() -> None:
-    # A VM says that it leaves, and serves its callers for some seconds. The others
-    # forgot its address and could not answer its asks: it took one dispatcher after the
-    # other for dead, 0.09 s each, and its second attempts were refused by itself.
+def test_leaving_vm_has_no_tasks_but_keeps_its_address() -> None:
+    # A leaving VM serves its callers for some seconds. If the others removed its
+    # address, they could not answer its slot requests: it would take one dispatcher
+    # after the other for dead, 0.09 s each, and refuse its own retries.
     fleet = make_fleet("a", "b")
     fleet.record_leaving("a", 1, SETTLED)
     assert "a" not in fleet.rank("desk", SETTLED, 4)
@@ -90,7 +90,7 @@
     assert fleet.list_suspects(SETTLED) == []
 
 
-def test_vm_that_left_is_forgotten_some_time_after() -> None:
+def test_vm_that_left_is_removed_after_the_retention_time() -> None:
     fleet = make_fleet("a")
     fleet.record_leaving("a", 1, SETTLED)
     fleet.remove_departed(SETTLED + 1)
@@ -99,7 +99,7 @@
     assert fleet.find("a") is None
 
 
-def test_vm_that_left_and_starts_again_takes_tasks() -> None:
+def test_vm_that_left_and_restarts_gets_tasks() -> None:
     fleet = make_fleet("a")
     fleet.record_leaving("a", 1, SETTLED)
     assert fleet.add(make_member("a", incarnation=2))
@@ -109,7 +109,7 @@
     assert fleet.find("a") is not None
 
 
-def test_own_entry_stays_and_leaves_tasks_to_others() -> None:
+def test_own_entry_stays_while_leaving_without_tasks() -> None:
     fleet = make_fleet("a")
     fleet.record_leaving("own", 1, SETTLED)
     assert fleet.rank("desk", SETTLED, 4) == ["a"]
@@ -119,10 +119,10 @@
     assert not fleet.add(other)
 
 
-def test_vm_of_a_fleet_that_starts_does_not_take_all_tasks_for_itself() -> None:
-    # All VMs start at the same moment, and each hears the others a little after its
-    # own start. Two seconds later each was the only one settled in its own eyes: all
-    # of them read the store, and dispatched their own requests without the others.
+def test_vm_of_a_starting_fleet_does_not_assign_all_tasks_to_itself() -> None:
+    # All VMs start together, and each receives the others' greetings shortly after its
+    # own start. If a VM settled before the others in its own view, it would read the
+    # store and dispatch alone.
     fleet = members.Members(make_member("own"), 0.0)
     for name in ("a", "b", "c"):
         fleet.add(make_member(name))
@@ -132,7 +132,7 @@
     assert "own" in fleet.rank("desk", 0.4 + SETTLED, 4)
 
 
-def test_vms_of_a_data_centre_are_asked_first() -> None:
+def test_vms_of_the_named_data_centre_rank_first() -> None:
     fleet = make_fleet("a", "b")
     far = ports.Member("far", "z", "10.0.0.2", 7660, 1)
     fleet.add(far)
@@ -144,9 +144,9 @@
     assert len(fleet.rank("desk", 2 * SETTLED, 2, "z")) == 2
 
 
-def test_news_through_a_relay_say_nothing_of_the_reader() -> None:
-    # The reader is cut off from this VM but not from its relay. Requests would ask the
-    # reader first after each piece of news, and wait for it in vain.
+def test_update_through_a_relay_does_not_count_as_contact_with_the_reader() -> None:
+    # The reader is cut off from this VM but not from the relay. If each update counted
+    # as contact, requests would ask the reader first and wait in vain.
     fleet = make_fleet("near")
     fleet.add(ports.Member("far", "z", "10.0.0.2", 7660, 1))
     assert not fleet.is_direct("far", is_for_relay=False)
--- a/tests/edge/test_peer_link.py
+++ b/tests/edge/test_peer_link.py
@@ -1,4 +1,4 @@
-"""The socket between VMs goes on after what it cannot send or take in."""
+"""The socket between VMs keeps working after datagrams that fail."""
 
 from __future__ import annotations
 
@@ -23,32 +23,32 @@
 @pytest.mark.parametrize(
     ("host", "port"), [(HOST, 70_000), ("x..y", 9), (7, 9), (HOST, "9")]
 )
-async def test_address_that_is_none_keeps_no_other_from_hearing(
+async def test_invalid_address_of_one_vm_does_not_prevent_sending_to_others(
     host: typing.Any, port: typing.Any
 ) -> None:
-    # The record of one VM, as another sent it, has an address that is none. Sending to
-    # it raised, so that those behind it in the list were not told, of a VM that leaves
-    # for instance.
+    # The entry of one VM, as another sent it, has an invalid address. If sending to it
+    # raised, the VMs after it in the list would not receive the message, for example
+    # that a VM is leaving.
     link, other = make_link(), make_link()
-    heard: list[datagrams.Message] = []
+    received: list[datagrams.Message] = []
     broken = ports.Member("vm-3", "a", host, port, 1)
-    sound = ports.Member("vm-2", "a", HOST, other.port, 1)
-    link.send_many(datagrams.Leaving("vm-1", 1), [broken, sound])
+    healthy = ports.Member("vm-2", "a", HOST, other.port, 1)
+    link.send_many(datagrams.Leaving("vm-1", 1), [broken, healthy])
     async with anyio.create_task_group() as group:
-        group.start_soon(other.run, heard.append)
+        group.start_soon(other.run, received.append)
         with anyio.fail_after(5.0):
-            while not heard:
+            while not received:
                 await anyio.sleep(0.01)
         group.cancel_scope.cancel()
-    assert heard == [datagrams.Leaving("vm-1", 1)]
+    assert received == [datagrams.Leaving("vm-1", 1)]
     assert (link.sent, link.unsent) == (1, 1)
 
 
-async def test_link_can_be_run_again_after_a_fault() -> None:
-    # What a datagram leads to meets a fault. The socket was closed with it, and the VM
-    # heard nothing any more and could send nothing.
+async def test_link_can_be_run_again_after_an_error() -> None:
+    # Handling a datagram raises an error. If that closed the socket, the VM could
+    # neither receive nor send any more.
     link, other = make_link(), make_link()
-    heard: list[datagrams.Message] = []
+    received: list[datagrams.Message] = []
 
     def fail(_: datagrams.Message) -> None:
         raise RuntimeError("a fault")
@@ -60,8 +60,8 @@
             await link.run(fail)
         other.send(datagrams.Leaving("vm-2", 1), me)
         async with anyio.create_task_group() as group:
-            group.start_soon(link.run, heard.append)
-            while not heard:
+            group.start_soon(link.run, received.append)
+            while not received:
                 await anyio.sleep(0.01)
             group.cancel_scope.cancel()
-    assert heard == [datagrams.Leaving("vm-2", 1)]
+    assert received == [datagrams.Leaving("vm-2", 1)]
--- a/tests/edge/test_resignation.py
+++ b/tests/edge/test_resignation.py
@@ -1,4 +1,4 @@
-"""VMs that live but cannot do a task for all leave it to others."""
+"""VMs that are running but cannot perform a task leave it to others."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
     return fleet.record_resignation(vm, 1, task, until, SETTLED)
 
 
-def test_vm_that_resigned_stays_out_though_it_is_heard() -> None:
-    # Guards against asking a VM first, again and again, that only seems well.
+def test_resigned_vm_gets_no_task_though_it_is_reachable() -> None:
+    # Guards against asking a VM first, again and again, that only appears healthy.
     fleet = make_fleet()
     first = fleet.rank("desk", SETTLED, 1)[0]
     assert resign(fleet, first, "desk", SETTLED + 3)
@@ -53,15 +53,15 @@
     assert fleet.rank("desk", SETTLED + 3, 1) == [first]
 
 
-def test_slow_vm_does_none_of_the_tasks() -> None:
+def test_vm_that_resigned_from_all_tasks_gets_none() -> None:
     fleet = make_fleet()
     assert resign(fleet, "vm-1", resignation.ALL_TASKS, SETTLED + 3)
     for task in ("desk", "other", reading_turn.READER_TASK):
         assert "vm-1" not in fleet.rank(task, SETTLED, len(NAMES) + 1)
 
 
-def test_not_all_can_resign_and_none_for_long() -> None:
-    # Guards against a fleet without anybody for a task, and a word that lasts forever.
+def test_resignations_are_bounded_in_number_and_duration() -> None:
+    # Guards against a task that no VM may perform, and against an endless resignation.
     fleet = make_fleet()
     done = [resign(fleet, name, "desk", SETTLED + 1e9) for name in NAMES]
     assert done.count(True) == members.MAX_RESIGNED
@@ -71,12 +71,12 @@
     assert len(fleet.rank("desk", late, len(NAMES) + 1)) == len(NAMES) + 1
 
 
-def test_late_word_of_a_former_start_does_not_count() -> None:
+def test_resignation_from_an_earlier_start_is_ignored() -> None:
     fleet = make_fleet()
     assert not fleet.record_resignation("vm-1", 0, "desk", SETTLED + 3, SETTLED)
 
 
-def test_only_lasting_lateness_of_a_vm_with_tasks_counts() -> None:
+def test_vm_resigns_only_after_lasting_lateness_with_tasks() -> None:
     fleet = make_fleet()
     log = log_lines.LogLines("own", os.pipe()[1])
     link = peer_link.PeerLink("127.0.0.1", loopback.find_free_port(), log)
@@ -96,17 +96,17 @@
     link.close()
 
 
-def test_word_of_resigning_carries_what_is_left_of_it() -> None:
+def test_resignation_is_sent_with_its_remaining_time() -> None:
     message = datagrams.Resigned("vm-1", 7, "desk", 13.0)
     data = datagrams.encode(message, 10.0)
     assert datagrams.decode(data, 100.0) == datagrams.Resigned("vm-1", 7, "desk", 103.0)
 
 
-async def test_reader_that_the_store_turns_away_leaves_reading_to_the_next(
+async def test_reader_refused_by_the_store_leaves_reading_to_the_next(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a reader that is asked first again as soon as it greets, while
-    # all others read for themselves each time that its news stay away.
+    # Guards against a reader that is asked first again as soon as it greets, while all
+    # others read the store themselves each time that its updates are missing.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         await site.start_target(edge_site.Target("t1"))
@@ -117,13 +117,13 @@
         now = anyio.current_time()
         fleet = vms[0].daemon._fleet
         [reader] = fleet.rank(reading_turn.READER_TASK, now, 1)
-        [turned_away] = [vm for vm in vms if vm.settings.vm == reader]
+        [refused_reader] = [vm for vm in vms if vm.settings.vm == reader]
 
         async def refuse(*_: object) -> None:
             raise ports.StoreUnavailableError("turned away")
 
         for name in ("read_target_changes", "read_configuration", "read_targets"):
-            monkeypatch.setattr(turned_away.daemon._store, name, refuse)
+            monkeypatch.setattr(refused_reader.daemon._store, name, refuse)
         await anyio.sleep(2.0)
         before = edge_site.count_store_calls(vms)
         await anyio.sleep(4.0)
@@ -132,7 +132,7 @@
         assert made["read configuration"] <= 6
 
 
-async def test_few_call_a_store_that_is_away_and_all_hear_of_its_return() -> None:
+async def test_few_vms_call_an_unavailable_store_and_all_learn_of_its_return() -> None:
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route("/old/")])
         await site.start_target(edge_site.Target("t1"))
@@ -147,7 +147,7 @@
         made = edge_site.count_store_calls(vms).total() - before
         few = reading_turn.MOST_STEPS + 1
         spare = len(vms) - few
-        # A call a second, half a second apart at times, by those who rank first.
+        # The VMs that rank first call once a second, at times after half a second.
         each = 4.0 / store_contact.LONGEST_PAUSE * 2
         seldom = 4.0 / target_reader.SPARE_PAUSE * 2
         assert made <= few * each + spare * seldom
