--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -1,4 +1,4 @@
-"""The composition root of the edge: wires the parts of one VM and runs them."""
+"""Composition root of the edge: builds the parts of one VM and runs them."""
 
 from __future__ import annotations
 
@@ -41,43 +41,44 @@
     vocabulary,
 )
 
-WAKE_PAUSE = 0.05
-"""Seconds between two looks at the time by the dispatchers: lost slots, slow targets
-and waits that end are noticed that late."""
+DISPATCH_INTERVAL_S = 0.05
+"""Seconds between two time checks of the dispatchers. Lost slots, slow targets and
+waits that end are noticed up to this much late."""
 
-IDLE_PAUSE = 1.0
-"""Seconds between two closings of idle connections."""
+IDLE_CHECK_INTERVAL_S = 1.0
+"""Seconds between two rounds of closing idle connections."""
 
-MOST_TRACE = 2_000
-"""Characters of a traceback that go into the log: its end names the place."""
+MAX_TRACE_CHARACTERS = 2_000
+"""Characters of a traceback or of findings that are logged. The end of a traceback is
+kept, since it names the place of the error."""
 
-SETTINGS_PAUSE = 1.0
-"""Seconds between two looks whether the settings have changed without a signal."""
+SETTINGS_CHECK_INTERVAL_S = 1.0
+"""Seconds between two checks whether the settings file has changed without a signal."""
 
 CHANGEABLE = frozenset({"retries", "stop_limit", "store", "unready_after"})
-"""Settings that a running process can change."""
+"""Settings that can change in a running process."""
 
-MILLISECONDS = 1000
-"""In a second. Incarnations are milliseconds of unix time."""
+MS_PER_S = 1000
+"""Milliseconds in a second. Incarnations are milliseconds of Unix time."""
 
 
 class EdgeDaemon:
-    """One VM's process.
+    """The edge process of one VM.
 
     Parameters
     ----------
     settings : edge_settings.Settings
-        Its settings.
+        Settings at the start.
     store : ports.Store
         The platform's store.
     words : vocabulary.Vocabulary
-        Headers of the platform.
+        Header names of the platform.
     log : log_lines.LogLines
-        Where decisions are noted.
+        Logs events and decisions.
     rng : random.Random
         Source of randomness.
     settings_file : edge_settings.SettingsFile, optional
-        Where the settings are read anew; without it they stay as they are.
+        File from which the settings are reloaded; without it they never change.
     """
 
     def __init__(
@@ -96,74 +97,80 @@
         self._log = log
         self._rng = rng
         self._is_stopping = False
-        self._stop_wanted = anyio.Event()
-        self._ended: stopping.StopSummary | None = None
+        self._stop_requested = anyio.Event()
+        self._stop_summary: stopping.StopSummary | None = None
         self.metrics = metrics.Metrics()
 
     def stop(self) -> None:
         """Begin a graceful stop."""
-        self._stop_wanted.set()
+        self._stop_requested.set()
 
     def begin_stop(self, answer_by: float) -> None:
-        """Refuse readiness, and give each request its answer by a time."""
+        """Report this VM as not ready, and answer each request by a given time.
+
+        Parameters
+        ----------
+        answer_by : float
+            Seconds of the monotonic clock.
+        """
         self._is_stopping = True
-        self._talk.is_leaving = True
+        self._messenger.is_leaving = True
         self._callers.is_stopping = True
         self._forwarder.end_by(answer_by)
         self._log.write(
             "stopping",
             in_flight=self._callers.in_flight,
             reading=self._callers.count_reading(),
-            limit_ms=round((answer_by - anyio.current_time()) * MILLISECONDS),
+            limit_ms=round((answer_by - anyio.current_time()) * MS_PER_S),
         )
 
     def kill(self) -> None:
-        """End at once, without a word to anybody; for tests of failures."""
+        """End at once without informing the other VMs; used by tests of failures."""
         self._scope.cancel()
 
     def use_configuration(self, current: configuration.Configuration) -> None:
-        """Take a configuration from elsewhere than the store, if it is newer."""
+        """Apply a configuration from a source other than the store if it is newer."""
         self._keeper.use(current, configuration_keeper.OPERATOR)
 
     def find_dispatcher(self, service: str) -> str:
-        """Return the VM that this one asks first for targets of a service."""
+        """Return the VM that this one asks first for slots of a service."""
         ranked = self._fleet.rank(service, anyio.current_time(), 1)
         return ranked[0] if ranked else self._fleet.own.vm
 
     def reload(self) -> None:
-        """Read the settings anew and use what can change in a running process.
+        """Reload the settings and apply those that can change in a running process.
 
-        That is the bounds of retries and of a stop, and where the store is. Names and
-        the other addresses are those of the listeners and of the record that other VMs
-        know, and wait for the next start. Settings with findings are refused whole: the
-        former ones stay in force.
+        These are the bounds on retries and on a stop, and the address of the store.
+        Names and the other addresses are used by the listeners and in the entry known
+        to other VMs, and change at the next start. Settings with findings are rejected
+        as a whole, and the former ones stay in force.
         """
-        supervision.attempt("reload", self._take_settings, self._report_fault)
+        supervision.attempt("reload", self._apply_settings, self._report_fault)
 
-    def _take_settings(self) -> None:
+    def _apply_settings(self) -> None:
         if self._settings_file is None:
             return
         loaded = self._settings_file.load()
         if loaded.is_error():
-            why = str(loaded.error)[:MOST_TRACE]
+            why = str(loaded.error)[:MAX_TRACE_CHARACTERS]
             self._log.write("reload", outcome="refused", why=why)
             return
-        fresh = loaded.ok
+        new_settings = loaded.ok
         changed = [
             field.name
-            for field in dataclasses.fields(fresh)
-            if getattr(fresh, field.name) != getattr(self._settings, field.name)
+            for field in dataclasses.fields(new_settings)
+            if getattr(new_settings, field.name) != getattr(self._settings, field.name)
         ]
-        self._settings = fresh
-        self._desk.retries.use_budget(fresh.retries, anyio.current_time())
-        self._store.use_address(fresh.store.host, fresh.store.port)
+        self._settings = new_settings
+        self._desk.retries.use_budget(new_settings.retries, anyio.current_time())
+        self._store.use_address(new_settings.store.host, new_settings.store.port)
         waiting = [name for name in changed if name not in CHANGEABLE]
         self._log.write("reload", outcome="in force", changed=changed, waiting=waiting)
 
     async def run(
         self, *, task_status: anyio.abc.TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Run until stopped; started once the listeners are up."""
+        """Run until stopped; the task counts as started once the listeners are up."""
         self._build()
         own = self._fleet.own
         self._log.write(
@@ -176,20 +183,20 @@
             ("close store", self._store.close),
         ):
             await supervision.attempt_async(name, close, self._report_fault)
-        self._log_stopped()
+        self._log_stop_summary()
         self._log.flush()
 
-    def _log_stopped(self) -> None:
-        if self._ended is not None:
+    def _log_stop_summary(self) -> None:
+        if self._stop_summary is not None:
             self._log.write(
                 "stopped",
-                cut_off=self._ended.cut_off,
-                cut_reading=self._ended.cut_reading,
-                ms=round(self._ended.duration * MILLISECONDS),
+                cut_off=self._stop_summary.cut_off,
+                cut_reading=self._stop_summary.cut_reading,
+                ms=round(self._stop_summary.duration * MS_PER_S),
             )
 
     async def _serve(self, task_status: anyio.abc.TaskStatus[None]) -> None:
-        """Run the listeners and the tasks beside them until stopped."""
+        """Run the listeners and the background tasks until stopped."""
         settings = self._settings
         async with anyio.create_task_group() as group:
             self._scope = group.cancel_scope
@@ -204,23 +211,23 @@
                     supervision.keep_running, name, task, self._report_fault
                 )
             task_status.started()
-            await self._stop_wanted.wait()
+            await self._stop_requested.wait()
             settings = self._settings
             times = stopping.StopTimes(settings.stop_limit, settings.unready_after)
-            self._ended = await stopping.stop(
+            self._stop_summary = await stopping.stop(
                 self, self._callers, times, self._report_fault
             )
             group.cancel_scope.cancel()
 
     def _list_tasks(self) -> list[tuple[str, supervision.Run]]:
-        """Return the tasks that run beside the requests, with their names."""
+        """Return the names of the background tasks and the functions that run them."""
         return [
-            ("receive datagrams", lambda: self._link.run(self._talk.receive)),
+            ("receive datagrams", lambda: self._link.run(self._messenger.receive)),
             ("serve knowledge", self._serve_knowledge),
             ("keep knowledge", self._keeper.run),
-            ("wake desk", self._wake_desk),
-            ("tell opinions", self._talk.send_estimates_periodically),
-            ("greet", self._talk.greet),
+            ("wake desk", self._wake_dispatchers),
+            ("tell opinions", self._messenger.send_estimates_periodically),
+            ("greet", self._messenger.greet),
             ("tell suspects", self._suspects.run),
             ("close idle", self._close_idle),
             ("write log", self._log.run),
@@ -235,7 +242,7 @@
     def _build(self) -> None:
         own = self._build_fleet()
         knowledge = forwarder.Knowledge(
-            self._configured, routing.Router(self._rng), self._registry
+            self._configuration_state, routing.Router(self._rng), self._registry
         )
         self._keeper = knowledge_keeper.KnowledgeKeeper(
             self._store,
@@ -243,20 +250,20 @@
             self._fleet,
             self._link,
             self._log,
-            self._use_targets,
+            self._apply_targets,
             self._rng,
             self._resignation,
         )
         hearers = fleet_messenger.Receivers(
             self._desk, self._keeper, self._placement, self._suspects
         )
-        self._talk = fleet_messenger.FleetMessenger(
+        self._messenger = fleet_messenger.FleetMessenger(
             self._fleet, self._link, hearers, self._log, self._report_fault
         )
-        self._desk.retries.use_announcer(self._talk.send_retry_counts)
+        self._desk.retries.use_announcer(self._messenger.send_retry_counts)
         self._client = target_client.TargetClient(self._words)
-        self._suspension = suspension.SuspensionWatch(self._take_suspension)
-        tools = forwarder.Tools(
+        self._suspension = suspension.SuspensionWatch(self._handle_suspension)
+        dependencies = forwarder.Tools(
             knowledge,
             self._placement,
             self._client,
@@ -268,12 +275,12 @@
             self._keeper.wait_at_start,
         )
         self._forwarder = forwarder.Forwarder(
-            tools, own.vm, own.data_centre, own.incarnation
+            dependencies, own.vm, own.data_centre, own.incarnation
         )
         self._build_servers(self._forwarder)
 
     def _build_fleet(self) -> ports.Member:
-        """Build what this VM shares with others; return its own record."""
+        """Build what takes part in the fleet; return the entry of this VM."""
         settings, log = self._settings, self._log
         peers = settings.peers
         self._link = peer_link.PeerLink(peers.host, peers.port, log)
@@ -282,11 +289,11 @@
             settings.data_centre,
             peers.host,
             self._link.port,
-            int(time.time() * MILLISECONDS),
+            int(time.time() * MS_PER_S),
         )
         self._fleet = members.Members(own, anyio.current_time())
         self._resignation = resignation.Resignation(self._fleet, self._link, log)
-        self._configured = configuration.ConfigurationState()
+        self._configuration_state = configuration.ConfigurationState()
         self._registry = targets.Registry()
         self._desk = desk.Desk(
             self._fleet,
@@ -305,31 +312,40 @@
 
     def _build_servers(self, handler: calls.Handler) -> None:
         self._callers = http_server.Server(
-            handler, self._read_limits, self._note_error, self._forwarder.may_overlap
+            handler,
+            self._read_limits,
+            self._report_server_error,
+            self._forwarder.may_overlap,
         )
         self._readiness = http_server.Server(
-            pages.Page(self._answer_readiness), configuration.Limits, self._note_error
+            pages.Page(self._serve_readiness),
+            configuration.Limits,
+            self._report_server_error,
         )
         self._exporter = http_server.Server(
-            pages.Page(self._answer_metrics), configuration.Limits, self._note_error
+            pages.Page(self._serve_metrics),
+            configuration.Limits,
+            self._report_server_error,
         )
 
     def _read_limits(self) -> configuration.Limits:
-        current = self._configured.current
+        current = self._configuration_state.current
         return current.limits if current is not None else configuration.Limits()
 
-    def _note_error(self, error: BaseException) -> None:
+    def _report_server_error(self, error: BaseException) -> None:
         self._report_fault("serve", error)
 
     def _report_fault(self, task: str, error: BaseException) -> None:
         text = "".join(traceback.format_exception(error))
-        self._log.write("unexpected_error", task=task, trace=text[-MOST_TRACE:])
+        self._log.write(
+            "unexpected_error", task=task, trace=text[-MAX_TRACE_CHARACTERS:]
+        )
 
-    def _answer_readiness(self) -> calls.Reply:
+    def _serve_readiness(self) -> calls.Reply:
         is_ready = self._keeper.is_complete and not self._is_stopping
         return calls.Reply(200 if is_ready else 503, [], b"")
 
-    def _answer_metrics(self) -> calls.Reply:
+    def _serve_metrics(self) -> calls.Reply:
         for name, value in (
             ("zinniastand_requests_in_flight", self._callers.in_flight),
             ("zinniastand_datagrams_sent_total", self._link.sent),
@@ -338,7 +354,7 @@
             ("zinniastand_target_answers_foreign_total", self._client.foreign),
             ("zinniastand_target_answers_unnamed_total", self._client.unnamed),
             ("zinniastand_target_limits_unreadable_total", self._client.odd_limits),
-            ("zinniastand_configuration_version", self._configured.version),
+            ("zinniastand_configuration_version", self._configuration_state.version),
             ("zinniastand_requests_quarantined", self._suspects.count_quarantined()),
             ("zinniastand_store_era", self._store.era),
             ("zinniastand_log_lines_dropped", self._log.dropped),
@@ -350,17 +366,20 @@
         return calls.Reply(200, [(b"content-type", b"text/plain")], body)
 
     def _set_retry_metrics(self) -> None:
-        """Set what this VM has counted of the retries of each service."""
+        """Set the metrics of the retry totals of each service."""
         now = anyio.current_time()
         for service in self._desk.list_services():
-            counted = self._desk.retries.find_counted(service, now)
+            totals = self._desk.retries.find_counted(service, now)
             labels = metrics.label(service=service)
-            for field in dataclasses.fields(counted):
+            for field in dataclasses.fields(totals):
                 name = f"zinniastand_retry_{field.name}"
-                self.metrics.set_gauge(name, getattr(counted, field.name), labels)
+                self.metrics.set_gauge(name, getattr(totals, field.name), labels)
+
+    def _handle_suspension(self, seconds: float) -> None:
+        """Correct all deadlines and reset outdated state after a suspension.
 
-    def _take_suspension(self, seconds: float) -> None:
-        """Take in that this VM stood still for longer than its clock says."""
+        The monotonic clock did not count the seconds of the suspension.
+        """
         self._log.write("suspended", seconds=round(seconds, 3))
         self._forwarder.lose_time(seconds)
         self._keeper.lose_time(seconds)
@@ -369,7 +388,7 @@
         self._desk.forget()
         self._fleet.restart_settling(anyio.current_time())
 
-    def _use_targets(self) -> None:
+    def _apply_targets(self) -> None:
         self._desk.update_targets(anyio.current_time())
 
     def _deliver(self, vm: str, decision: messages.Decision) -> None:
@@ -380,16 +399,16 @@
             self._link.send(decision, member)
 
     def send_estimates(self) -> None:
-        """Tell the others what this VM thinks of targets."""
-        self._talk.send_estimates(is_broadcast=True)
+        """Send the estimates of this VM's dispatchers to the others."""
+        self._messenger.send_estimates(is_broadcast=True)
 
     def announce_leaving(self) -> None:
-        """Tell the others that this VM leaves."""
-        self._talk.announce_leaving()
+        """Announce to the others that this VM is leaving."""
+        self._messenger.announce_leaving()
 
-    async def _wake_desk(self) -> None:
+    async def _wake_dispatchers(self) -> None:
         while True:
-            due_at = anyio.current_time() + WAKE_PAUSE
+            due_at = anyio.current_time() + DISPATCH_INTERVAL_S
             await anyio.sleep_until(due_at)
             self._suspension.check()
             now = anyio.current_time()
@@ -401,11 +420,11 @@
 
     async def _follow_settings(self) -> None:
         while True:
-            await anyio.sleep(SETTINGS_PAUSE)
+            await anyio.sleep(SETTINGS_CHECK_INTERVAL_S)
             if self._settings_file is not None and self._settings_file.has_changed():
                 self.reload()
 
     async def _close_idle(self) -> None:
         while True:
-            await anyio.sleep(IDLE_PAUSE)
+            await anyio.sleep(IDLE_CHECK_INTERVAL_S)
             await self._client.close_idle(anyio.current_time())
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_settings.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_settings.py
@@ -1,4 +1,5 @@
-"""Settings of the edge: JSON with comments, checked whole before anything starts."""
+"""Settings of the edge: JSON with comments, checked completely before anything
+starts."""
 
 from __future__ import annotations
 
@@ -12,15 +13,15 @@
 from .. import settings_document
 from . import retry_counts
 
-MOST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Address:
-    """Where to listen or to connect."""
+    """An address to listen on or connect to."""
 
     host: str
-    """IP number."""
+    """IP address."""
 
     port: int
     """TCP or UDP port."""
@@ -28,37 +29,37 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything that a process of the edge is told at start."""
+    """The settings of one edge process."""
 
     vm: str
     """Name of this VM."""
 
     data_centre: str
-    """Where it runs."""
+    """Name of the data centre in which it runs."""
 
     callers: Address
     """Listener for callers."""
 
     readiness: Address
-    """Listener for the balancer's question whether this VM takes traffic."""
+    """Listener for the load balancer's readiness checks."""
 
     metrics: Address
-    """Listener for whoever collects metrics."""
+    """Listener for metrics collectors."""
 
     peers: Address
-    """Listener for other VMs, datagrams and connections."""
+    """Listener for other VMs, for datagrams and connections."""
 
     store: Address
-    """The platform's store."""
+    """Address of the platform's store."""
 
     stop_limit: float
-    """Seconds from the signal to stop until the process is killed."""
+    """Seconds from the stop signal until the process is killed."""
 
     unready_after: float
-    """Seconds that the balancer may take to notice that this VM is not ready."""
+    """Seconds that the load balancer may take to notice that this VM is not ready."""
 
     retries: retry_counts.RetryBudget
-    """Retries that a service may get."""
+    """Bound on the retries of each service."""
 
     is_new_fleet: bool = False
     """Whether this VM starts together with the whole fleet."""
@@ -70,41 +71,44 @@
     Parameters
     ----------
     path : pathlib.Path
-        Where it is.
+        Path of the file.
     """
 
     def __init__(self, path: pathlib.Path) -> None:
         self._path = path
-        self._seen = self._look()
+        self._last_status = self._read_status()
 
     def has_changed(self) -> bool:
-        """Return whether the file is another one than at the last look.
+        """Return whether the file has been changed or replaced since the previous
+        check.
 
-        Parsing it every second would cost more than forwarding does on a calm day.
+        Only its status is read: parsing it every second would cost more than forwarding
+        does at low load.
         """
-        before, self._seen = self._seen, self._look()
-        return self._seen != before
+        before, self._last_status = self._last_status, self._read_status()
+        return self._last_status != before
 
     def load(self) -> expression.Result[Settings, findings.Findings]:
-        """Return the settings in it, or every finding."""
+        """Return the settings in the file, or all findings."""
         return load(self._path)
 
-    def _look(self) -> tuple[int, int, int]:
+    def _read_status(self) -> tuple[int, int, int]:
         try:
             status = self._path.stat()
         except OSError:
-            return (0, 0, 0)  # It is being replaced; the next look finds it.
+            return (0, 0, 0)  # It is being replaced; the next check finds it.
         return (status.st_mtime_ns, status.st_size, status.st_ino)
 
 
 def load(path: pathlib.Path) -> expression.Result[Settings, findings.Findings]:
-    """Return the settings in a file, or every finding in it."""
+    """Return the settings in a file, or all findings in it."""
     return settings_document.load(path, _read)
 
 
-def parse(text: str, place: str) -> expression.Result[Settings, findings.Findings]:
-    """Return the settings in a text; `place` names it in findings."""
-    return settings_document.parse(text, place, _read)
+def parse(text: str, location: str) -> expression.Result[Settings, findings.Findings]:
+    """Return the settings in a text, or all findings; `location` names the text in
+    them."""
+    return settings_document.parse(text, location, _read)
 
 
 def _read(reader: documents.Reader) -> Settings:
@@ -131,10 +135,10 @@
 
 
 def _read_address(reader: documents.Reader, name: str) -> Address:
-    """Return an address written as ``IP:PORT``."""
+    """Return an address written as ``IP:PORT``; add a finding if it is malformed."""
     text = reader.read_text(name)
     host, _, port = text.rpartition(":")
-    if not host or not port.isdigit() or int(port) > MOST_PORT:
+    if not host or not port.isdigit() or int(port) > MAX_PORT:
         if text:
             reader.add(name, f"expected IP:PORT, got {text!r}")
         return Address("", 0)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/log_lines.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/log_lines.py
@@ -1,9 +1,10 @@
-"""JSON lines on standard output, bounded and never blocking.
+"""JSON log lines on standard output, bounded and never blocking.
 
-A reader that stalls must not stall callers, and a flood of lines must not take the
-processor from them. Lines wait in a small buffer and go out in one write at a time; a
-full pipe keeps them there, a full buffer drops the newest, and a rate per event bounds
-what is formatted at all. How many were dropped stands in the next line that goes out.
+A stalled reader must not stall callers, and a flood of lines must not use up the
+processor. Lines wait in a small buffer and are written together. A full pipe keeps them
+in the buffer, a full buffer drops new lines, and a limit per event and second bounds
+the lines that are formatted at all. The next line that is kept states how many were
+dropped.
 """
 
 from __future__ import annotations
@@ -17,13 +18,13 @@
 import anyio
 
 MAX_BUFFERED_BYTES = 262_144
-"""Bytes that wait for a reader that stalls: some seconds of lines at full rate."""
+"""Bytes buffered for a stalled reader: some seconds of lines at full rate."""
 
 MAX_LINES_PER_S = 150
-"""Lines of one event and second: more than any VM decides a second at its usual load
-of a few dozen requests, and little enough to cost next to no processor."""
+"""Lines of one event per second: more than a VM logs at its usual load of a few dozen
+requests per second, and few enough to cost hardly any processor time."""
 
-FLUSH_PAUSE = 0.1
+FLUSH_INTERVAL_S = 0.1
 """Seconds between writes, so that many lines share one system call."""
 
 Value = str | int | float | bool | None | list[str]
@@ -35,34 +36,37 @@
     Parameters
     ----------
     vm : str
-        Name of this VM, in each line.
+        Name of this VM, which is part of each line.
     descriptor : int
-        Where the lines go.
+        File descriptor to which lines are written.
     """
 
     def __init__(self, vm: str, descriptor: int) -> None:
         self._vm = vm
         self._descriptor = descriptor
         self._buffer: collections.deque[bytes] = collections.deque()
-        self._size = 0
-        self._second = 0
-        self._counts: collections.Counter[str] = collections.Counter()
+        self._buffered_bytes = 0
+        self._current_second = 0
+        self._lines_per_event: collections.Counter[str] = collections.Counter()
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
     @property
     def is_flushed(self) -> bool:
-        """Whether no line waits for its reader."""
+        """Whether the buffer is empty."""
         return not self._buffer
 
     def write(self, event: str, **fields: Value) -> None:
-        """Add one line about an event."""
+        """Add a line about an event, or count it as dropped."""
         now = time.time()
-        if int(now) != self._second:
-            self._second = int(now)
-            self._counts.clear()
-        self._counts[event] += 1
-        if self._counts[event] > MAX_LINES_PER_S or self._size > MAX_BUFFERED_BYTES:
+        if int(now) != self._current_second:
+            self._current_second = int(now)
+            self._lines_per_event.clear()
+        self._lines_per_event[event] += 1
+        if (
+            self._lines_per_event[event] > MAX_LINES_PER_S
+            or self._buffered_bytes > MAX_BUFFERED_BYTES
+        ):
             self.dropped += 1
             return
         record: dict[str, typing.Any] = {"time": round(now, 3), "vm": self._vm}
@@ -73,10 +77,10 @@
             self.dropped = 0
         line = json.dumps(record, separators=(",", ":")).encode() + b"\n"
         self._buffer.append(line)
-        self._size += len(line)
+        self._buffered_bytes += len(line)
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as many bytes as the pipe accepts without blocking."""
         while self._buffer:
             data = b"".join(self._buffer)
             try:
@@ -84,18 +88,18 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; the lines have nowhere to go.
+                # The reader has closed the pipe, so the lines are dropped.
                 self.dropped += len(self._buffer)
                 written = len(data)
             rest = data[written:]
             self._buffer.clear()
-            self._size = len(rest)
+            self._buffered_bytes = len(rest)
             if rest:
                 self._buffer.append(rest)
                 return
 
     async def run(self) -> None:
-        """Write from time to time until cancelled."""
+        """Flush periodically until cancelled."""
         while True:
-            await anyio.sleep(FLUSH_PAUSE)
+            await anyio.sleep(FLUSH_INTERVAL_S)
             self.flush()
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/signals.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/signals.py
@@ -1,4 +1,4 @@
-"""Runs a daemon as the signals of its process say."""
+"""Runs a daemon and passes the signals of its process on to it."""
 
 from __future__ import annotations
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/stopping.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/stopping.py
@@ -1,4 +1,4 @@
-"""Stops a VM in the order that cuts nobody off."""
+"""Stops a VM in an order in which no request is cut off."""
 
 from __future__ import annotations
 
@@ -10,109 +10,116 @@
 
 from . import supervision
 
-MARGIN = 0.4
-"""Seconds before the limit of a stop by which requests have their answer."""
+ANSWER_MARGIN_S = 0.4
+"""Seconds before the time limit of a stop by which requests must have an answer."""
 
-SETTLE = 0.2
-"""Most seconds after that for writing these answers. The rest of the margin is for the
-end of the process."""
+MAX_WRITE_TIME_S = 0.2
+"""Upper bound in seconds on the time for writing these answers. The rest of the margin
+remains for ending the process."""
 
-POLL = 0.02
-"""Seconds between two looks whether anything is still owed."""
+POLL_INTERVAL_S = 0.02
+"""Seconds between two checks whether any answer is still owed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopTimes:
-    """What bounds a stop, as the settings say when it begins."""
+    """Time limits of a stop, from the settings in force when it begins."""
 
     limit: float
     """Seconds until the process is killed."""
 
     unready_after: float
-    """Seconds until the balancer has noticed that readiness is gone."""
+    """Seconds until the load balancer has noticed that this VM is not ready."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopSummary:
-    """What a stop did."""
+    """Results of a stop."""
 
     cut_off: int
-    """Requests that were read whole and did not get their answer."""
+    """Requests that were received completely and got no answer."""
 
     cut_reading: int
-    """Requests that had begun and were not read whole."""
+    """Requests that were received only in part."""
 
     duration: float
-    """Seconds."""
+    """Duration of the stop in seconds."""
 
 
 class CallerSide(typing.Protocol):
-    """The side on which callers are served."""
+    """The server for callers."""
 
     @property
     def in_flight(self) -> int:
-        """Requests that were read whole and are not answered yet."""
+        """Requests that were received completely and are not answered yet."""
         ...
 
     def is_owing(self) -> bool:
-        """Return whether any caller is owed something."""
+        """Return whether any request is received in part or awaits its answer."""
         ...
 
     def count_reading(self) -> int:
-        """Return how many requests have begun and are not whole yet."""
+        """Return the number of requests that are received in part."""
         ...
 
     async def close_idle(self) -> None:
-        """Close the connections on which nothing is owed."""
+        """Close the connections without unfinished requests."""
         ...
 
 
 class StoppingVm(typing.Protocol):
-    """What stops."""
+    """The VM that stops."""
 
     def begin_stop(self, answer_by: float) -> None:
-        """Refuse readiness, and give each request its answer by a time."""
+        """Report this VM as not ready, and answer each request by a given time.
+
+        Parameters
+        ----------
+        answer_by : float
+            Seconds of the monotonic clock.
+        """
         ...
 
     def send_estimates(self) -> None:
-        """Tell the others what this VM thinks of targets."""
+        """Send the estimates of this VM's dispatchers to the others."""
         ...
 
     def announce_leaving(self) -> None:
-        """Tell the others that this VM leaves."""
+        """Announce to the others that this VM is leaving."""
         ...
 
 
 async def stop(
-    leaver: StoppingVm,
-    served: CallerSide,
+    vm: StoppingVm,
+    callers: CallerSide,
     times: StopTimes,
     report_fault: supervision.ReportFault,
 ) -> StopSummary:
-    """Stop; return once nothing is owed, or the limit is near.
+    """Stop a VM; return once no answer is owed, or shortly before the time limit.
 
-    The balancer goes on sending until it has noticed that readiness is gone, and those
-    requests are served. Only then do idle connections close. A step that meets a fault
-    is noted, and the others are done all the same.
+    The load balancer sends requests until it notices that the VM is not ready, and
+    these are served. Idle connections are closed only after that. An error in one step
+    is reported and does not prevent the following steps.
     """
-    began = anyio.current_time()
-    answer_by = began + times.limit - MARGIN
+    began_at = anyio.current_time()
+    answer_by = began_at + times.limit - ANSWER_MARGIN_S
     steps: list[tuple[str, collections.abc.Callable[[], None]]] = [
-        ("begin stop", lambda: leaver.begin_stop(answer_by)),
-        ("tell opinions", leaver.send_estimates),
-        ("tell leaving", leaver.announce_leaving),
+        ("begin stop", lambda: vm.begin_stop(answer_by)),
+        ("tell opinions", vm.send_estimates),
+        ("tell leaving", vm.announce_leaving),
     ]
     for name, step in steps:
         supervision.attempt(name, step, report_fault)
-    await anyio.sleep_until(min(began + times.unready_after, answer_by))
-    # Twice: connections that came while the first ones were answered are idle now.
+    await anyio.sleep_until(min(began_at + times.unready_after, answer_by))
+    # Done twice, because connections that were opened while requests of the first pass
+    # were answered are idle now.
     for _ in range(2):
-        await supervision.attempt_async("close idle", served.close_idle, report_fault)
-        await _wait_settled(served, answer_by + SETTLE)
-    duration = anyio.current_time() - began
-    return StopSummary(served.in_flight, served.count_reading(), duration)
+        await supervision.attempt_async("close idle", callers.close_idle, report_fault)
+        await _wait_until_answered(callers, answer_by + MAX_WRITE_TIME_S)
+    duration = anyio.current_time() - began_at
+    return StopSummary(callers.in_flight, callers.count_reading(), duration)
 
 
-async def _wait_settled(served: CallerSide, end: float) -> None:
+async def _wait_until_answered(served: CallerSide, end: float) -> None:
     while served.is_owing() and anyio.current_time() < end:
-        await anyio.sleep(POLL)
+        await anyio.sleep(POLL_INTERVAL_S)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/supervision.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/supervision.py
@@ -1,7 +1,8 @@
-"""Keeps background tasks running, so that a fault in one ends no request.
+"""Keeps background tasks running, so that an error in one ends no request.
 
-An error that leaves a task group cancels all of it. Here that would be the listeners
-and all requests under way, for a fault in telling an opinion for instance.
+An error that leaves a task group cancels all its tasks. Here these would be the
+listeners and all requests under way, because of an error in sending estimates, for
+instance.
 """
 
 from __future__ import annotations
@@ -10,14 +11,15 @@
 
 import anyio
 
-RESTART_PAUSE = 0.5
-"""Seconds before a task that ended is started again: short beside the seconds after
-which others miss what it does; a fault that lasts must not take the processor."""
+RESTART_DELAY_S = 0.5
+"""Seconds before a task that ended is started again. This is short compared with the
+seconds after which other VMs miss its work, and long enough that a lasting error does
+not use up the processor."""
 
 Run = collections.abc.Callable[[], collections.abc.Awaitable[None]]
 
 ReportFault = collections.abc.Callable[[str, BaseException], None]
-"""Takes the name of a task and its error."""
+"""Called with the name of a task and its error."""
 
 
 async def keep_running(
@@ -25,19 +27,19 @@
     run: Run,
     report_fault: ReportFault,
 ) -> None:
-    """Run a task until cancelled, and start it again after each fault."""
+    """Run a task until cancelled, and start it again after each error."""
     while True:
         try:
             await run()
         except Exception as error:
             report_fault(name, error)
-        await anyio.sleep(RESTART_PAUSE)
+        await anyio.sleep(RESTART_DELAY_S)
 
 
 def attempt(
     name: str, act: collections.abc.Callable[[], None], report_fault: ReportFault
 ) -> None:
-    """Do one step; note its fault and go on with what follows."""
+    """Perform one step; report an error in it instead of raising."""
     try:
         act()
     except Exception as error:
@@ -49,7 +51,7 @@
     act: Run,
     report_fault: ReportFault,
 ) -> None:
-    """Do one step that waits; note its fault and go on with what follows."""
+    """Perform one asynchronous step; report an error in it instead of raising."""
     try:
         await act()
     except Exception as error:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspension.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspension.py
@@ -1,8 +1,8 @@
-"""Notices that this VM was suspended, though its steady clock says nothing of it.
+"""Detects that this VM was suspended, which its monotonic clock does not show.
 
-The steady clock stands still while a VM is suspended, so that every deadline in the
-process looks as far away as before. Callers have left by then, targets have drained,
-and connections are gone.
+The monotonic clock stands still while a VM is suspended, so every deadline in the
+process seems as far away as before. By then callers have left, targets have drained,
+and connections are lost.
 """
 
 from __future__ import annotations
@@ -11,45 +11,48 @@
 import time
 
 MIN_SUSPENSION_S = 0.05
-"""Seconds of suspension from which anything is done. Two clocks that are read one after
-the other differ by less."""
+"""Duration of a suspension in seconds above which it is handled. The times of two
+clocks that are read one after the other differ by less."""
 
-TakeGap = collections.abc.Callable[[float], None]
+HandleSuspension = collections.abc.Callable[[float], None]
 
 
-def read_lost_time() -> float:
-    """Return the seconds that the steady clock has not counted since the boot."""
+def read_suspended_time() -> float:
+    """Return the seconds since boot that the monotonic clock has not counted."""
     boot = time.clock_gettime(time.CLOCK_BOOTTIME)
     return boot - time.clock_gettime(time.CLOCK_MONOTONIC)
 
 
 class SuspensionWatch:
-    """Tells those who keep times of each suspension, before they act again.
+    """Reports each suspension before outdated times are used again.
 
     Parameters
     ----------
-    take_gap : callable
-        Called with the seconds of a suspension.
-    read_lost : callable, optional
-        Returns the seconds that the steady clock has not counted so far.
+    handle_suspension : callable
+        Called with the duration of a suspension in seconds.
+    read_suspended : callable, optional
+        Returns the seconds that the monotonic clock has not counted so far.
     """
 
     def __init__(
         self,
-        take_gap: TakeGap,
-        read_lost: collections.abc.Callable[[], float] = read_lost_time,
+        handle_suspension: HandleSuspension,
+        read_suspended: collections.abc.Callable[[], float] = read_suspended_time,
     ) -> None:
-        self._take_gap = take_gap
-        self._read_lost = read_lost
-        self._lost = read_lost()
+        self._handle_suspension = handle_suspension
+        self._read_suspended = read_suspended
+        self._suspended_time = read_suspended()
 
     def check(self) -> None:
-        """Look for a suspension since the last look.
+        """Check for a suspension since the previous check.
 
-        Called from time to time, and before anything is sent that says how much time is
-        left.
+        Called periodically, and before any message that states a remaining time is
+        sent.
         """
-        lost = self._read_lost()
-        gap, self._lost = lost - self._lost, lost
-        if gap > MIN_SUSPENSION_S:
-            self._take_gap(gap)
+        suspended_time = self._read_suspended()
+        duration, self._suspended_time = (
+            suspended_time - self._suspended_time,
+            suspended_time,
+        )
+        if duration > MIN_SUSPENSION_S:
+            self._handle_suspension(duration)
--- a/tests/edge/test_edge_daemon.py
+++ b/tests/edge/test_edge_daemon.py
@@ -1,4 +1,4 @@
-"""The whole path: callers, VMs, the store and targets, on loopback."""
+"""End-to-end tests over loopback: callers, VMs, the store and targets."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 
 
 async def test_only_one_vm_reads_the_targets_for_all() -> None:
-    # Calls to the store are priced, and 36 VMs that each poll it cost as much as the
-    # failures that they prevent.
+    # Calls to the store are billed. If each of 36 VMs polled it, that would cost as
+    # much as the failures that polling prevents.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         target = edge_site.Target("t1")
@@ -51,8 +51,8 @@
         assert site.store.calls - before <= 10
         before = edge_site.count_store_calls(vms)
         await anyio.sleep(3.0)
-        # One reader makes five; each VM for itself would make ten or more besides. It
-        # waits 1.5 s for a configuration.
+        # One reader makes five calls; if each VM read for itself, each would make ten
+        # or more. A call of the reader waits up to 1.5 s for a configuration.
         made = edge_site.count_store_calls(vms) - before
         assert made["follow targets"] <= 6
         assert made["follow configuration"] <= 3
@@ -63,7 +63,7 @@
         assert {answer.status_code for answer in answers} == {503}
 
 
-async def test_error_of_idempotent_work_is_tried_elsewhere() -> None:
+async def test_idempotent_request_is_retried_at_another_target_after_an_error() -> None:
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route(kind="safe")])
         for name in ("t1", "t2"):
@@ -74,9 +74,9 @@
         assert {answer.status_code for answer in answers} == {200}
 
 
-async def test_work_that_may_run_only_once_is_not_sent_twice() -> None:
-    # The target runs the request and answers with an error of its own. The caller
-    # gets that error; no other target sees the request.
+async def test_at_most_once_request_is_not_sent_twice() -> None:
+    # The target runs the request and answers with an error of its own. The caller gets
+    # that error; no other target receives the request.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         for name in ("t1", "t2"):
@@ -90,7 +90,7 @@
         assert sorted(ran) == [f"r{n}" for n in range(6)]
 
 
-async def test_work_that_targets_turn_away_is_told_not_to_have_run() -> None:
+async def test_request_shed_by_its_targets_is_answered_as_not_run() -> None:
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         await site.start_target(edge_site.Target("t1"))
@@ -103,8 +103,8 @@
 
 
 async def test_caller_gets_an_answer_at_the_routes_time_limit() -> None:
-    # A target hangs. The operator wants nobody to wait for longer than the route's
-    # limit; the work may have run, so nothing is promised.
+    # A target hangs. No caller may wait longer than the route's time limit. The target
+    # may have run the request, so the answer promises nothing about that.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route(timeout_ms=300)])
         await site.start_target(edge_site.Target("t1"))
@@ -114,13 +114,13 @@
         assert answer.status_code == 504
         [line] = [one for one in vm.read_log() if one["event"] == "answer"]
         assert line["why"] == "deadline"
-        # Long before the target would have answered, on however busy a machine.
-        took = line["ms"]
-        assert isinstance(took, int)
-        assert 300 <= took < 2500
+        # Well before the target would have answered, even on a busy machine.
+        duration = line["ms"]
+        assert isinstance(duration, int)
+        assert 300 <= duration < 2500
 
 
-async def test_idempotent_work_is_cancelled_when_its_caller_leaves() -> None:
+async def test_idempotent_request_is_cancelled_when_its_caller_disconnects() -> None:
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route(kind="safe", timeout_ms=60_000)])
         await site.start_target(edge_site.Target("t1"))
@@ -135,13 +135,15 @@
             group.start_soon(send)
             await edge_site.wait_until(lambda: target.ran == ["left"])
             group.cancel_scope.cancel()
-        # The target would work for a minute, and the route waits for as long.
+        # The target would work for a minute, and the route's time limit is as long.
         await edge_site.wait_until(lambda: target.cancelled == ["left"])
 
 
-async def test_unknown_path_is_not_found_and_unknown_everything_unavailable() -> None:
+async def test_unknown_path_is_not_found_and_missing_configuration_is_unavailable() -> (
+    None
+):
     # Without a configuration a VM cannot know which paths exist: "not found" would be
-    # false for a route that is there.
+    # wrong for a path that has a route.
     async with edge_site.run_site() as site:
         vm = await site.start_vm("vm-1")
         await anyio.sleep(0.3)
@@ -164,16 +166,18 @@
         assert (await edge_site.call(vm, "/old/x")).status_code == 404
 
 
-async def test_vm_that_cannot_reach_the_store_hears_from_its_peers() -> None:
-    # A VM starts while the store refuses it, knowing one peer from before. It would
-    # refuse every caller until the store is back, though its peer knows it all.
+async def test_vm_that_cannot_reach_the_store_gets_the_configuration_from_peers() -> (
+    None
+):
+    # A VM loses the store and knows one peer. Without the peer's configuration it would
+    # use the old one until the store is back.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route("/old/")])
         await site.start_target(edge_site.Target("t1"))
         first, second = await start(site, "vm-1", "vm-2")
         site.store.fault = edge_site.topic_store.Fault.SILENT
         await anyio.sleep(0.2)
-        # Only the first VM's own read gets through.
+        # The new configuration reaches only the first VM.
         site.publish([edge_site.make_route("/new/")])
         current = edge_site.store.decoding.decode_configuration(
             encoding.encode_configuration(site.version, [edge_site.make_route("/new/")])
@@ -183,9 +187,9 @@
         assert (await edge_site.call(second, "/new/x")).status_code == 200
 
 
-async def test_stop_answers_what_it_has_read_and_refuses_readiness_first() -> None:
-    # A planned stop: the balancer learns it first, requests under way are answered,
-    # kept connections are told to close.
+async def test_stop_answers_received_requests_and_reports_not_ready_first() -> None:
+    # In a planned stop the load balancer learns of it first, requests under way are
+    # answered, and kept-alive connections are asked to close.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         await site.start_target(edge_site.Target("t1"))
@@ -210,8 +214,8 @@
 
 
 async def test_dispatcher_that_dies_costs_no_request() -> None:
-    # The VM that dispatches a service stops without a word. The others notice by an
-    # unanswered ask, and go on with the next in rank.
+    # The VM that dispatches a service dies without announcing it. The others notice by
+    # an unanswered slot request, and continue with the next VM in rank.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         for name in ("t1", "t2"):
@@ -263,8 +267,8 @@
 async def test_settings_that_change_without_a_signal_come_into_force(
     tmp_path: pathlib.Path,
 ) -> None:
-    # Operators lower the bound of retries, and nobody sends a signal. The process
-    # would keep the old bound until its next start.
+    # An operator changes a bound in the file without sending a signal. Without a check
+    # of the file, the process would keep the old bound until its next start.
     path = tmp_path / "settings.json"
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
@@ -280,11 +284,11 @@
         )
 
 
-async def test_store_that_has_moved_is_called_where_it_is(
+async def test_store_that_has_moved_is_called_at_its_new_address(
     tmp_path: pathlib.Path,
 ) -> None:
-    # Guards against VMs that follow the old settings until their next start: they
-    # would keep the last configuration of a store that nobody writes to any more.
+    # Guards against VMs that use the old settings until their next start: they would
+    # keep the last configuration of a store to which nobody writes any more.
     path = tmp_path / "settings.json"
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route("/old/")])
@@ -292,7 +296,8 @@
         vm = await site.start_vm("vm-1", path)
         await edge_site.wait_ready(vm)
         former = site.store_port
-        # It has moved with all that it holds; the old one is served on, and stale.
+        # The store has moved with its contents; the old one still answers, with stale
+        # data.
         site.store = copy.deepcopy(site.store)
         await site.start_store()
         text = path.read_text()
@@ -308,7 +313,7 @@
         assert (await edge_site.call(vm, "/new/x")).status_code == 200
 
 
-async def test_settings_with_findings_are_refused_whole(
+async def test_settings_with_findings_are_rejected_as_a_whole(
     tmp_path: pathlib.Path,
 ) -> None:
     path = tmp_path / "settings.json"
@@ -321,10 +326,11 @@
         assert "data_centre" in str(line["why"])
 
 
-async def test_overdue_work_is_not_broken_off_while_there_is_no_other_slot() -> None:
-    # A lookup takes much longer than usual, and no other target has a slot. It was
-    # broken off all the same, and its caller got 502 although the target was at work;
-    # around a planned stop that also breaks the promise to finish what was read.
+async def test_overdue_request_is_not_abandoned_while_no_other_slot_is_free() -> None:
+    # A lookup takes much longer than usual, and no other target has a slot. If it were
+    # abandoned all the same, its caller would get 502 although the target is working on
+    # it; during a planned stop that would also break the promise to finish received
+    # requests.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route(kind="safe")])
         target = edge_site.Target("t1")
@@ -337,9 +343,9 @@
         assert target.cancelled == []
 
 
-async def test_overdue_work_moves_once_another_target_has_a_slot() -> None:
-    # A target hangs. The lookup goes to another one while there is time for it, and
-    # the hanging target is told to stop.
+async def test_overdue_request_moves_once_another_target_has_a_slot() -> None:
+    # A target hangs. The lookup goes to another one while there is time for it, and the
+    # hanging target's request is cancelled.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route(kind="safe")])
         hanging = edge_site.Target("t1")
--- a/tests/edge/test_log_lines.py
+++ b/tests/edge/test_log_lines.py
@@ -23,11 +23,11 @@
     assert record["time"] > 0
 
 
-def test_reader_that_stalls_neither_blocks_nor_fills_the_memory(
+def test_stalled_reader_neither_blocks_nor_fills_memory(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Whoever collects the log has stopped reading. Callers must not wait for it; what
-    # does not fit is dropped, and the first line that gets through says how much.
+    # The log collector has stopped reading. Callers must not wait for it; lines that do
+    # not fit are dropped, and the first line that gets through says how many.
     monkeypatch.setattr(log_lines, "MAX_LINES_PER_S", 1_000_000)
     reader, writer = os.pipe()
     log = log_lines.LogLines("vm-1", writer)
@@ -65,7 +65,7 @@
     assert "store_lost" in events
 
 
-def test_closed_pipe_ends_nothing() -> None:
+def test_closed_pipe_raises_no_error() -> None:
     reader, writer = os.pipe()
     log = log_lines.LogLines("vm-1", writer)
     os.close(reader)
--- a/tests/edge/test_suspension.py
+++ b/tests/edge/test_suspension.py
@@ -1,6 +1,6 @@
-"""A VM that was suspended acts on nothing that went by meanwhile.
+"""A VM that was suspended does not act on outdated times, targets or connections.
 
-Its steady clock says that no time has passed.
+The monotonic clock does not count the time of the suspension.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 pytestmark = pytest.mark.anyio
 
 
-class LostTime:
-    """The seconds that the steady clock has not counted, as a test sets them."""
+class SuspendedTime:
+    """The seconds that the monotonic clock has not counted, as set by a test."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
@@ -25,42 +25,42 @@
         return self.seconds
 
 
-def test_each_suspension_is_told_once() -> None:
-    lost, gaps = LostTime(), []
-    watch = suspension.SuspensionWatch(gaps.append, lost.read)
+def test_each_suspension_is_reported_once() -> None:
+    suspended, durations = SuspendedTime(), []
+    watch = suspension.SuspensionWatch(durations.append, suspended.read)
     watch.check()
-    lost.seconds += suspension.MIN_SUSPENSION_S / 2
+    suspended.seconds += suspension.MIN_SUSPENSION_S / 2
     watch.check()
-    assert gaps == []
-    lost.seconds += 3.0
+    assert durations == []
+    suspended.seconds += 3.0
     watch.check()
     watch.check()
-    assert gaps == [3.0]
+    assert durations == [3.0]
 
 
 def test_clocks_of_this_machine_can_be_read() -> None:
-    first = suspension.read_lost_time()
-    assert abs(suspension.read_lost_time() - first) < suspension.MIN_SUSPENSION_S
+    first = suspension.read_suspended_time()
+    assert abs(suspension.read_suspended_time() - first) < suspension.MIN_SUSPENSION_S
 
 
-async def start(site: edge_site.Site) -> tuple[edge_site.Vm, LostTime]:
-    """Start a VM whose suspensions the test makes."""
+async def start(site: edge_site.Site) -> tuple[edge_site.Vm, SuspendedTime]:
+    """Start a VM whose suspensions are simulated by the test."""
     vm = await site.start_vm("vm-1")
     await edge_site.wait_ready(vm)
-    lost = LostTime()
+    suspended = SuspendedTime()
     watch = vm.daemon._suspension
-    watch._read_lost, watch._lost = lost.read, 0.0
-    return vm, lost
+    watch._read_suspended, watch._suspended_time = suspended.read, 0.0
+    return vm, suspended
 
 
-async def test_caller_is_answered_by_its_own_time() -> None:
-    # Guards against holding a request for as long as the clock has missed.
+async def test_caller_is_answered_by_its_own_deadline() -> None:
+    # Guards against waiting for an answer as long as the monotonic clock would allow.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route(timeout_ms=3000)])
         target = edge_site.Target("t1")
         target.delay = 2.5
         await site.start_target(target)
-        vm, lost = await start(site)
+        vm, suspended = await start(site)
         statuses: list[int] = []
 
         async def call() -> None:
@@ -69,22 +69,22 @@
         async with anyio.create_task_group() as group:
             group.start_soon(call)
             await edge_site.wait_until(lambda: bool(target.ran))
-            lost.seconds = 10.0
+            suspended.seconds = 10.0
             with anyio.fail_after(0.5):
                 while not statuses:
                     await anyio.sleep(0.01)
         assert statuses == [504]
 
 
-async def test_second_target_is_told_the_time_that_is_really_left() -> None:
-    # Guards against handing on more time than the caller has.
+async def test_second_target_gets_the_time_that_is_really_left() -> None:
+    # Guards against sending a target more time than the caller has left.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route(kind="safe", timeout_ms=3000)])
         targets = [edge_site.Target("t1"), edge_site.Target("t2")]
         for target in targets:
             target.status, target.delay = 500, 0.3
             await site.start_target(target)
-        vm, lost = await start(site)
+        vm, suspended = await start(site)
 
         async def call() -> None:
             await edge_site.call(vm, time_left=3000, method="GET", body=b"")
@@ -92,22 +92,22 @@
         async with anyio.create_task_group() as group:
             group.start_soon(call)
             await edge_site.wait_until(lambda: any(one.ran for one in targets))
-            lost.seconds = 1.5
+            suspended.seconds = 1.5
         first, second = sorted(left for one in targets for left in one.time_left)
         assert second - first >= 1500
 
 
-async def test_target_that_left_meanwhile_gets_nothing(
+async def test_target_that_left_during_the_suspension_gets_no_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against routing by what was read before the suspension.
+    # Guards against routing by targets that were read before the suspension.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         for name in ("t1", "t2"):
             await site.start_target(edge_site.Target(name))
-        vm, lost = await start(site)
+        vm, suspended = await start(site)
         await anyio.sleep(1.0)
-        # The reader's wait stands for the suspended time: it is never answered.
+        # The reader's call stands for the suspended time: it is never answered.
 
         async def hang(*_: object) -> None:
             await anyio.sleep_forever()
@@ -116,24 +116,24 @@
             patch.setattr(vm.daemon._store, "read_target_changes", hang)
             await anyio.sleep(0.6)
             site.register(site.targets["t1"], "draining")
-        lost.seconds = 5.0
+        suspended.seconds = 5.0
         await anyio.sleep(0.3)
         for number in range(8):
             await edge_site.call(vm, request_id=f"r{number}")
         assert site.targets["t1"].ran == []
 
 
-async def test_idle_connections_are_not_used_after_it() -> None:
-    # Guards against sending on connections that went silent meanwhile.
+async def test_idle_connections_are_not_used_after_a_suspension() -> None:
+    # Guards against sending on connections that broke silently during the suspension.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route(kind="safe")])
         await site.start_target(edge_site.Target("t1"))
-        vm, lost = await start(site)
+        vm, suspended = await start(site)
         await edge_site.call(vm, method="GET", body=b"")
         client = vm.daemon._client
         now = anyio.current_time()
         assert client.list_open(services.Work.IDEMPOTENT, now) == ["t1"]
-        lost.seconds = 2.0
+        suspended.seconds = 2.0
         await anyio.sleep(0.1)
         now = anyio.current_time()
         assert client.list_open(services.Work.IDEMPOTENT, now) == []
