--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
@@ -16,6 +16,7 @@
 from zinniastand_core.deployment import configuration
 
 from . import (
+    broadcasting,
     configuration_codec,
     datagrams,
     forwarder,
@@ -24,7 +25,6 @@
     peer_link,
     ports,
     reading_turn,
-    spreading,
     start_turn,
     store_contact,
     target_record,
@@ -96,11 +96,11 @@
     ----------
     source : Source
         Where it comes from.
-    knowledge : forwarder.Knowledge
+    knowledge : forwarder.RoutingState
         Where it is put in force.
     fleet : members.Members
         The VMs.
-    spreader : spreading.Spreader
+    broadcaster : broadcasting.Broadcaster
         Pushes what was read.
     link : peer_link.PeerLink
         Datagrams to other VMs.
@@ -113,9 +113,9 @@
     def __init__(
         self,
         source: Source,
-        knowledge: forwarder.Knowledge,
+        knowledge: forwarder.RoutingState,
         fleet: members.Members,
-        spreader: spreading.Spreader,
+        broadcaster: broadcasting.Broadcaster,
         link: peer_link.PeerLink,
         log: log_lines.LogLines,
         rng: random.Random,
@@ -126,7 +126,7 @@
         self._fetch = source.fetch
         self._knowledge = knowledge
         self._fleet = fleet
-        self._spreader = spreader
+        self._broadcaster = broadcaster
         self._link = link
         self._log = log
         self._rng = rng
@@ -165,7 +165,7 @@
             self._take_page(page)
             if page.newest is not None:
                 await anyio.sleep(VERSION_PAUSE)
-            elif self._knowledge.configured.current is None:
+            elif self._knowledge.configuration_state.current is None:
                 await anyio.sleep(EMPTY_PAUSE)
 
     async def read_now(self) -> None:
@@ -186,7 +186,7 @@
             if vm is None:
                 continue
             version, _ = self._told.pop(vm)
-            if self._knowledge.configured.current is None:
+            if self._knowledge.configuration_state.current is None:
                 await self._fetch(vm)
                 continue
             with (
@@ -194,12 +194,12 @@
                 anyio.move_on_after(STORE_PATIENCE),
             ):
                 await self.read_now()
-            if self._knowledge.configured.version < version:
+            if self._knowledge.configuration_state.version < version:
                 await self._fetch(vm)
 
     def take_version(self, vm: str, version: int) -> None:
         """Take in which version another VM has."""
-        if version > self._knowledge.configured.version:
+        if version > self._knowledge.configuration_state.version:
             self._told.setdefault(vm, (version, anyio.current_time()))
 
     def take_published(self, published: datagrams.ConfigurationUpdate) -> None:
@@ -210,24 +210,24 @@
         ValueError
             If there is none in it.
         """
-        if published.version <= self._knowledge.configured.version:
+        if published.version <= self._knowledge.configuration_state.version:
             return
         candidate = configuration_codec.decode(
             configuration_codec.unpack(published.data)
         )
         # Passed on only once, and only after it was read: a broken one stops here.
-        self._spreader.pass_on(published)
+        self._broadcaster.relay(published)
         self.use(candidate, published.vm)
 
     def use(self, candidate: configuration.Configuration, source: str) -> None:
         """Take a configuration, if it is newer than the one in force."""
-        is_first = self._knowledge.configured.current is None
-        if not self._knowledge.configured.offer(candidate):
+        is_first = self._knowledge.configuration_state.current is None
+        if not self._knowledge.configuration_state.offer(candidate):
             return
         if source in (target_record.STORE, OPERATOR):
             self._push(candidate)
         self._tell_version(to_all_near=is_first and source == target_record.STORE)
-        self._knowledge.router.use(candidate)
+        self._knowledge.router.apply(candidate)
         self._log.write(
             "configuration_in_force",
             version=candidate.version,
@@ -245,7 +245,7 @@
             self._wait_scope.cancel()
 
     def _may_follow(self, now: float) -> bool:
-        if self._knowledge.configured.current is None:
+        if self._knowledge.configuration_state.current is None:
             return self._start.may_read(now)
         return self._turn.is_reader(now)
 
@@ -268,7 +268,7 @@
 
     def _choose_holder(self, now: float) -> str | None:
         """Return a VM that has told of a version which does not come by itself."""
-        version = self._knowledge.configured.version
+        version = self._knowledge.configuration_state.version
         self._told = {
             vm: (known, at) for vm, (known, at) in self._told.items() if known > version
         }
@@ -282,7 +282,7 @@
         data = configuration_codec.pack(configuration_codec.encode(current))
         if len(data) <= MOST_PUSHED:
             vm = self._fleet.own.vm
-            self._spreader.tell(
+            self._broadcaster.broadcast(
                 datagrams.ConfigurationUpdate(vm, current.version, data), now
             )
 
@@ -292,7 +292,7 @@
         Where this VM had none before, the others may lack it as well: it is the first
         version of all, or the whole fleet has started anew.
         """
-        version = self._knowledge.configured.version
+        version = self._knowledge.configuration_state.version
         notice = datagrams.VersionNotice(self._fleet.own.vm, version)
         others = self._fleet.list_others()
         drawn = self._rng.sample(others, min(TOLD_OF_VERSION, len(others)))
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
@@ -164,7 +164,7 @@
     vm: str
     """Name of the requesting VM."""
 
-    ask: messages.Ask
+    ask: messages.SlotRequest
     """The request."""
 
 
@@ -175,7 +175,7 @@
     vm: str
     """Name of the VM."""
 
-    held: messages.Held
+    held: messages.HeldSlot
     """The slot."""
 
 
@@ -194,7 +194,7 @@
     service: str
     """Name of the service."""
 
-    counts: tuple[retry_window.Count, ...]
+    counts: tuple[retry_window.CounterHistory, ...]
     """The sender's own counts and those received from others, each with the name of the
     VM that counted."""
 
@@ -302,7 +302,7 @@
             return ["a", message.vm, *_pack_ask(message.ask, now)]
         case SlotHeld():
             held = message.held
-            return ["k", message.vm, held.target_id, *_pack_ask(held.ask, now)]
+            return ["k", message.vm, held.target_id, *_pack_ask(held.slot_request, now)]
         case SuspectRequests():
             return ["s", suspect_codec.pack(message.items, now)]
         case RetryUsage():
@@ -361,7 +361,7 @@
         case "e":
             return _unpack_report(rest)
         case "k":
-            held = messages.Held(_unpack_ask(rest[2:], now), rest[1])
+            held = messages.HeldSlot(_unpack_ask(rest[2:], now), rest[1])
             return SlotHeld(rest[0], held)
         case _:
             raise UnreadableError(f"unknown kind {kind!r:.20}")
@@ -391,7 +391,7 @@
     return [shard.service, shard.data_centre, shard.index, shard.count]
 
 
-def _pack_ask(ask: messages.Ask, now: float) -> list[object]:
+def _pack_ask(ask: messages.SlotRequest, now: float) -> list[object]:
     return [
         *_pack_shard(ask.shard),
         ask.ticket,
@@ -403,15 +403,15 @@
         ask.attempt,
         ask.data_centre,
         list(ask.excluded),
-        list(ask.open_to),
+        list(ask.connected_targets),
         ask.is_first,
     ]
 
 
-def _unpack_ask(fields: list, now: float) -> messages.Ask:
+def _unpack_ask(fields: list, now: float) -> messages.SlotRequest:
     ticket, kind, may_retry, priority, objective, deadline = fields[4:10]
     attempt, data_centre, excluded, open_to, is_first = fields[10:]
-    return messages.Ask(
+    return messages.SlotRequest(
         ticket,
         shards.Shard(*fields[:4]),
         kind,
@@ -442,7 +442,7 @@
 
 def pack_change(change: targets.Change, now: float) -> list[object]:
     """Return a change of a target as CBOR values; `now` is in monotonic seconds."""
-    if isinstance(change, targets.Gone):
+    if isinstance(change, targets.Removal):
         return [change.target_id, change.position]
     cold_left = max(0.0, change.cold_until - now)
     return [
@@ -463,7 +463,7 @@
 def unpack_change(fields: list, now: float) -> targets.Change:
     """Return a change of a target from CBOR values; `now` is in monotonic seconds."""
     if len(fields) == 2:
-        return targets.Gone(fields[0], fields[1])
+        return targets.Removal(fields[0], fields[1])
     target_id, position, service, host, port, data_centre, slots = fields[:7]
     phase, born, cold_left, *sequence = fields[7:]
     return targets.Entry(
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -19,13 +19,14 @@
 from . import (
     calls,
     configuration_keeper,
-    desk,
     edge_settings,
     fleet_messenger,
     forwarder,
+    header_names,
     http_server,
     knowledge_exchange,
     knowledge_keeper,
+    local_dispatchers,
     log_lines,
     members,
     pages,
@@ -38,7 +39,6 @@
     suspect_exchange,
     suspension,
     target_client,
-    vocabulary,
 )
 
 DISPATCH_INTERVAL_S = 0.05
@@ -71,7 +71,7 @@
         Settings at the start.
     store : ports.Store
         The platform's store.
-    words : vocabulary.Vocabulary
+    words : header_names.HeaderNames
         Header names of the platform.
     log : log_lines.LogLines
         Logs events and decisions.
@@ -85,7 +85,7 @@
         self,
         settings: edge_settings.Settings,
         store: ports.Store,
-        words: vocabulary.Vocabulary,
+        words: header_names.HeaderNames,
         log: log_lines.LogLines,
         rng: random.Random,
         settings_file: edge_settings.SettingsFile | None = None,
@@ -120,7 +120,7 @@
         self._log.write(
             "stopping",
             in_flight=self._callers.in_flight,
-            reading=self._callers.count_reading(),
+            reading=self._callers.count_receiving(),
             limit_ms=round((answer_by - anyio.current_time()) * MS_PER_S),
         )
 
@@ -162,7 +162,9 @@
             if getattr(new_settings, field.name) != getattr(self._settings, field.name)
         ]
         self._settings = new_settings
-        self._desk.retries.use_budget(new_settings.retries, anyio.current_time())
+        self._local_dispatchers.retries.use_budget(
+            new_settings.retries, anyio.current_time()
+        )
         self._store.use_address(new_settings.store.host, new_settings.store.port)
         waiting = [name for name in changed if name not in CHANGEABLE]
         self._log.write("reload", outcome="in force", changed=changed, waiting=waiting)
@@ -225,7 +227,7 @@
             ("receive datagrams", lambda: self._link.run(self._messenger.receive)),
             ("serve knowledge", self._serve_knowledge),
             ("keep knowledge", self._keeper.run),
-            ("wake desk", self._wake_dispatchers),
+            ("wake desk", self._wake_local_dispatchers),
             ("tell opinions", self._messenger.send_estimates_periodically),
             ("greet", self._messenger.greet),
             ("tell suspects", self._suspects.run),
@@ -241,7 +243,7 @@
 
     def _build(self) -> None:
         own = self._build_fleet()
-        knowledge = forwarder.Knowledge(
+        knowledge = forwarder.RoutingState(
             self._configuration_state, routing.Router(self._rng), self._registry
         )
         self._keeper = knowledge_keeper.KnowledgeKeeper(
@@ -255,15 +257,15 @@
             self._resignation,
         )
         hearers = fleet_messenger.Receivers(
-            self._desk, self._keeper, self._placement, self._suspects
+            self._local_dispatchers, self._keeper, self._placement, self._suspects
         )
         self._messenger = fleet_messenger.FleetMessenger(
             self._fleet, self._link, hearers, self._log, self._report_fault
         )
-        self._desk.retries.use_announcer(self._messenger.send_retry_counts)
+        self._local_dispatchers.retries.use_announcer(self._messenger.send_retry_counts)
         self._client = target_client.TargetClient(self._words)
         self._suspension = suspension.SuspensionWatch(self._handle_suspension)
-        dependencies = forwarder.Tools(
+        dependencies = forwarder.Dependencies(
             knowledge,
             self._placement,
             self._client,
@@ -295,7 +297,7 @@
         self._resignation = resignation.Resignation(self._fleet, self._link, log)
         self._configuration_state = configuration.ConfigurationState()
         self._registry = targets.Registry()
-        self._desk = desk.Desk(
+        self._local_dispatchers = local_dispatchers.LocalDispatchers(
             self._fleet,
             self._registry,
             settings.retries,
@@ -304,7 +306,7 @@
             settings.is_new_fleet,
         )
         self._placement = placement.Placement(self._fleet, self._link, log, self._rng)
-        self._placement.use_desk(self._desk)
+        self._placement.use_local_dispatchers(self._local_dispatchers)
         self._suspects = suspect_exchange.SuspectExchange(
             quarantine.Quarantine(), self._fleet, self._link, log, self._rng
         )
@@ -350,10 +352,19 @@
             ("zinniastand_requests_in_flight", self._callers.in_flight),
             ("zinniastand_datagrams_sent_total", self._link.sent),
             ("zinniastand_datagram_bytes_sent_total", self._link.sent_bytes),
-            ("zinniastand_target_connections_opened_total", self._client.opened),
-            ("zinniastand_target_answers_foreign_total", self._client.foreign),
-            ("zinniastand_target_answers_unnamed_total", self._client.unnamed),
-            ("zinniastand_target_limits_unreadable_total", self._client.odd_limits),
+            (
+                "zinniastand_target_connections_opened_total",
+                self._client.opened_connections,
+            ),
+            ("zinniastand_target_answers_foreign_total", self._client.foreign_answers),
+            (
+                "zinniastand_target_answers_unnamed_total",
+                self._client.unidentified_answers,
+            ),
+            (
+                "zinniastand_target_limits_unreadable_total",
+                self._client.malformed_limits,
+            ),
             ("zinniastand_configuration_version", self._configuration_state.version),
             ("zinniastand_requests_quarantined", self._suspects.count_quarantined()),
             ("zinniastand_store_era", self._store.era),
@@ -368,8 +379,8 @@
     def _set_retry_metrics(self) -> None:
         """Set the metrics of the retry totals of each service."""
         now = anyio.current_time()
-        for service in self._desk.list_services():
-            totals = self._desk.retries.find_counted(service, now)
+        for service in self._local_dispatchers.list_services():
+            totals = self._local_dispatchers.retries.find_totals(service, now)
             labels = metrics.label(service=service)
             for field in dataclasses.fields(totals):
                 name = f"zinniastand_retry_{field.name}"
@@ -381,20 +392,20 @@
         The monotonic clock did not count the seconds of the suspension.
         """
         self._log.write("suspended", seconds=round(seconds, 3))
-        self._forwarder.lose_time(seconds)
+        self._forwarder.compensate_suspension(seconds)
         self._keeper.lose_time(seconds)
-        self._client.distrust_idle()
-        self._suspects.lose_time(seconds)
-        self._desk.forget()
+        self._client.expire_idle()
+        self._suspects.compensate_suspension(seconds)
+        self._local_dispatchers.reset()
         self._fleet.restart_settling(anyio.current_time())
 
     def _apply_targets(self) -> None:
-        self._desk.update_targets(anyio.current_time())
+        self._local_dispatchers.update_targets(anyio.current_time())
 
     def _deliver(self, vm: str, decision: messages.Decision) -> None:
         member = self._fleet.find(vm)
         if vm == self._fleet.own.vm:
-            self._placement.take_decision(decision)
+            self._placement.handle_decision(decision)
         elif member is not None:
             self._link.send(decision, member)
 
@@ -406,17 +417,17 @@
         """Announce to the others that this VM is leaving."""
         self._messenger.announce_leaving()
 
-    async def _wake_dispatchers(self) -> None:
+    async def _wake_local_dispatchers(self) -> None:
         while True:
             due_at = anyio.current_time() + DISPATCH_INTERVAL_S
             await anyio.sleep_until(due_at)
             self._suspension.check()
             now = anyio.current_time()
-            has_tasks = bool(self._desk.list_busy())
+            has_tasks = bool(self._local_dispatchers.list_busy())
             self._resignation.record_lateness(now - due_at, has_tasks)
-            if self._registry.drop_lapsed(now):
-                self._desk.update_targets(now)
-            self._desk.wake(now)
+            if self._registry.drop_vanished(now):
+                self._local_dispatchers.update_targets(now)
+            self._local_dispatchers.wake(now)
 
     async def _follow_settings(self) -> None:
         while True:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_messenger.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_messenger.py
@@ -11,8 +11,8 @@
 
 from . import (
     datagrams,
-    desk,
     knowledge_keeper,
+    local_dispatchers,
     log_lines,
     members,
     peer_link,
@@ -54,7 +54,7 @@
 class Receivers:
     """The parts of this VM that handle received messages."""
 
-    desk: desk.Desk
+    local_dispatchers: local_dispatchers.LocalDispatchers
     """The dispatchers of this VM."""
 
     keeper: knowledge_keeper.KnowledgeKeeper
@@ -127,26 +127,28 @@
             case datagrams.VersionNotice():
                 self._receivers.keeper.take_version(message.vm, message.version)
             case datagrams.TargetEstimates():
-                self._receivers.desk.take_opinions(message, now)
+                self._receivers.local_dispatchers.apply_estimates(message, now)
             case datagrams.SlotRequested():
                 self._fleet.record_contact(message.vm, now)
-                self._receivers.desk.ask(message.vm, message.ask, now)
+                self._receivers.local_dispatchers.request_slot(
+                    message.vm, message.ask, now
+                )
             case datagrams.SlotHeld():
-                self._receivers.desk.adopt(message.vm, message.held, now)
+                self._receivers.local_dispatchers.adopt(message.vm, message.held, now)
             case datagrams.RetryUsage():
-                self._receivers.desk.take_retries(message, now)
+                self._receivers.local_dispatchers.apply_retry_counts(message, now)
             case datagrams.SuspectRequests():
-                self._receivers.suspects.take(message)
+                self._receivers.suspects.apply(message)
             case messages.Report():
-                self._receivers.desk.report(message, now)
+                self._receivers.local_dispatchers.report(message, now)
             case messages.Grant() | messages.Refuse() | messages.Wait():
-                self._receivers.placement.take_decision(message)
+                self._receivers.placement.handle_decision(message)
 
     def _handle_hello(self, hello: datagrams.Hello, now: float) -> None:
         if self._fleet.add(hello.member):
             self._log.write("vm_joined", peer=hello.member.vm)
             if self._sends_suspects_to_new_vms(now):
-                self._receivers.suspects.tell(hello.member)
+                self._receivers.suspects.announce_to(hello.member)
         self._fleet.record_contact(hello.member.vm, now)
         self._receivers.keeper.take_position(hello.member.vm, hello.position)
         if hello.wants_answer:
@@ -187,16 +189,16 @@
         """
         now = anyio.current_time()
         own = self._fleet.own.vm
-        for shard in self._receivers.desk.list_busy():
+        for shard in self._receivers.local_dispatchers.list_busy():
             reachable = self._fleet.rank_reachable(shard.task, now, shard.data_centre)
             ranked = [vm for vm in reachable if vm != own]
             chosen = ranked[: MAX_BROADCAST_VMS if is_broadcast else SUCCESSOR_COUNT]
             recipients = [self._fleet.find(vm) for vm in chosen]
             self._link.send_many(
-                self._receivers.desk.summarize(shard, now),
+                self._receivers.local_dispatchers.summarize_estimates(shard, now),
                 [member for member in recipients if member is not None],
             )
-        for service in self._receivers.desk.list_services():
+        for service in self._receivers.local_dispatchers.list_services():
             self.send_retry_counts(service, is_whole=is_broadcast)
 
     def send_retry_counts(self, service: str, is_whole: bool = False) -> None:
@@ -207,17 +209,17 @@
         not know the retries granted by others would grant them once more.
         """
         now = anyio.current_time()
-        desk, fleet = self._receivers.desk, self._fleet
+        dispatchers, fleet = self._receivers.local_dispatchers, self._fleet
         names = {
             vm
-            for shard in desk.list_shards(service)
+            for shard in dispatchers.list_shards(service)
             for vm in fleet.rank_reachable(shard.task, now, shard.data_centre)[
                 :RETRY_COUNTING_VMS
             ]
         }
         names.discard(fleet.own.vm)
         receivers = [fleet.find(vm) for vm in sorted(names)]
-        for usage in desk.retries.tell(service, now, is_whole):
+        for usage in dispatchers.retries.make_updates(service, now, is_whole):
             self._link.send_many(usage, [one for one in receivers if one is not None])
 
     async def greet(self) -> None:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/stopping.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/stopping.py
@@ -54,11 +54,11 @@
         """Requests that were received completely and are not answered yet."""
         ...
 
-    def is_owing(self) -> bool:
+    def has_unfinished_work(self) -> bool:
         """Return whether any request is received in part or awaits its answer."""
         ...
 
-    def count_reading(self) -> int:
+    def count_receiving(self) -> int:
         """Return the number of requests that are received in part."""
         ...
 
@@ -117,9 +117,9 @@
         await supervision.attempt_async("close idle", callers.close_idle, report_fault)
         await _wait_until_answered(callers, answer_by + MAX_WRITE_TIME_S)
     duration = anyio.current_time() - began_at
-    return StopSummary(callers.in_flight, callers.count_reading(), duration)
+    return StopSummary(callers.in_flight, callers.count_receiving(), duration)
 
 
 async def _wait_until_answered(served: CallerSide, end: float) -> None:
-    while served.is_owing() and anyio.current_time() < end:
+    while served.has_unfinished_work() and anyio.current_time() < end:
         await anyio.sleep(POLL_INTERVAL_S)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_update_sender.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_update_sender.py
@@ -11,7 +11,7 @@
 
 from zinniastand_core.deployment import configuration
 
-from . import datagrams, reading_turn, spreading, target_record
+from . import broadcasting, datagrams, reading_turn, target_record
 
 CHECK_INTERVAL_S = 0.1
 """Seconds between two checks whether an update is due."""
@@ -40,7 +40,7 @@
         Whether it is this VM's turn.
     configuration_state : configuration.ConfigurationState
         Its version is part of each update.
-    spreader : spreading.Spreader
+    broadcaster : broadcasting.Broadcaster
         Distributes updates to the other VMs.
     vm : str
         Name of this VM.
@@ -54,14 +54,14 @@
         record: target_record.TargetRecord,
         turn: reading_turn.ReadingTurn,
         configuration_state: configuration.ConfigurationState,
-        spreader: spreading.Spreader,
+        broadcaster: broadcasting.Broadcaster,
         vm: str,
         has_configuration_read: collections.abc.Callable[[float], bool],
     ) -> None:
         self._record = record
         self._turn = turn
         self._configuration_state = configuration_state
-        self._spreader = spreader
+        self._broadcaster = broadcaster
         self._vm = vm
         self._has_configuration_read = has_configuration_read
         self._sent_at = 0.0
@@ -100,4 +100,4 @@
             since,
             changes,
         )
-        self._spreader.tell(update, now, relays=1)
+        self._broadcaster.broadcast(update, now, relays=1)
--- a/tests/edge/test_datagrams.py
+++ b/tests/edge/test_datagrams.py
@@ -15,7 +15,9 @@
 from zinniastand_proxy.edge import datagrams, ports
 
 SHARD = shards.Shard("desk", "a", 1, 4)
-ASK = messages.Ask("vm:1:2", SHARD, "r", True, 1, 0.5, 1.5, 2, "a", ("t1", "t2"))
+ASK = messages.SlotRequest(
+    "vm:1:2", SHARD, "r", True, 1, 0.5, 1.5, 2, "a", ("t1", "t2")
+)
 ENTRY = targets.Entry(
     "t1", "desk", "10.0.0.1", 80, "a", 3, targets.Phase.DRAINING, 7, 4.0, 12
 )
@@ -23,7 +25,7 @@
 MESSAGES = [
     datagrams.Hello(MEMBER, True),
     datagrams.Leaving("vm-1", 1),
-    datagrams.TargetUpdate("vm-1", 4, 20, 10, (ENTRY, targets.Gone("t2", 13))),
+    datagrams.TargetUpdate("vm-1", 4, 20, 10, (ENTRY, targets.Removal("t2", 13))),
     datagrams.VersionNotice("vm-1", 5),
     datagrams.TargetEstimates(
         SHARD, (datagrams.TargetEstimate("t1", 0.2, 1.5),), (("r", 0.2),)
@@ -35,7 +37,7 @@
         "vm-1",
     ),
     datagrams.SlotRequested("vm-1", ASK),
-    datagrams.SlotHeld("vm-1", messages.Held(ASK, "t1")),
+    datagrams.SlotHeld("vm-1", messages.HeldSlot(ASK, "t1")),
     datagrams.SuspectRequests(
         (
             (
@@ -45,7 +47,9 @@
             ("ffff2233aabbccdd", suspect.Suspect(answered_at=-2.0)),
         )
     ),
-    datagrams.RetryUsage("desk", (("vm-1:7:0", (retry_window.Part(40, 0.3, 12, 2),)),)),
+    datagrams.RetryUsage(
+        "desk", (("vm-1:7:0", (retry_window.Bucket(40, 0.3, 12, 2),)),)
+    ),
     messages.Grant("vm:1:2", "t1", 0.1, 0.2),
     messages.Refuse("vm:1:2", messages.RefusalReason.OVERLOADED, 2.0),
     messages.Wait("vm:1:2"),
--- a/tests/edge/test_stopping.py
+++ b/tests/edge/test_stopping.py
@@ -21,9 +21,9 @@
 from zinniastand_platform import encoding, words
 from zinniastand_proxy.edge import (
     datagrams,
-    desk,
     forwarder,
     knowledge_keeper,
+    local_dispatchers,
     log_lines,
     members,
     stopping,
@@ -113,8 +113,8 @@
 @pytest.mark.parametrize(
     ("owner", "function", "task"),
     [
-        (desk.Desk, "wake", "wake desk"),
-        (desk.Desk, "list_busy", "tell opinions"),
+        (local_dispatchers.LocalDispatchers, "wake", "wake desk"),
+        (local_dispatchers.LocalDispatchers, "list_busy", "tell opinions"),
         (members.Members, "list_suspects", "greet"),
         (target_client.TargetClient, "close_idle", "close idle"),
         (log_lines.LogLines, "flush", "write log"),
@@ -216,10 +216,10 @@
     def in_flight(self) -> int:
         return int(anyio.current_time() < self.answer_by + self.late)
 
-    def is_owing(self) -> bool:
+    def has_unfinished_work(self) -> bool:
         return self.in_flight > 0
 
-    def count_reading(self) -> int:
+    def count_receiving(self) -> int:
         return 0
 
     async def close_idle(self) -> None:
