--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/attempt_ends.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/attempt_ends.py
@@ -1,4 +1,4 @@
-"""How attempts at targets end, and who is told."""
+"""Results of attempts, reported to dispatchers and recorded in log and metrics."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeldSlot:
-    """A slot of a target that this request holds."""
+    """A target slot held by a request."""
 
     request: messages.SlotRequest
-    """What was asked."""
+    """The slot request that was granted."""
 
     grant: messages.Grant
-    """The slot."""
+    """The grant of the slot."""
 
     wait_time: float
-    """Seconds until it was granted."""
+    """Seconds from the slot request to the grant."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -38,51 +38,51 @@
     """How an attempt ended."""
 
     outcome: messages.Outcome
-    """What it means for its target."""
+    """Outcome as reported to the dispatcher."""
 
     why: str
-    """What ended it."""
+    """Reason, as written to the log."""
 
     duration: float
-    """Seconds that it took."""
+    """Duration in seconds."""
 
     has_crashed: bool = False
-    """Whether the target crashed meanwhile."""
+    """Whether the target crashed during the attempt."""
 
     rate_limit: float | None = None
-    """Requests a second that the target takes; None where nothing tells."""
+    """Rate limit announced by the target, in requests per second; None if unknown."""
 
     is_resent: bool = False
-    """Whether it was sent once more, since a kept connection broke under it."""
+    """Whether the request was resent because a reused connection broke."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoggedRequest:
-    """The request of an attempt, as it is noted."""
+    """Fields that identify the request in the log lines of its attempts."""
 
     request_id: str
-    """Name that the caller gave it."""
+    """Request id sent by the caller."""
 
     fingerprint: str
-    """Names what it asks for."""
+    """Fingerprint of the request's content."""
 
     service: str
-    """The service that it goes to."""
+    """Service that the request is routed to."""
 
 
 UNUSED = AttemptEnd(messages.Outcome.UNUSED, "", 0.0)
-"""A slot was given and nothing was sent."""
+"""The slot was granted, but nothing was sent."""
 
 
 def report(
     dependencies: run_dependencies.RunDependencies, slot: HeldSlot, end: AttemptEnd
 ) -> None:
-    """Give the slot back, and tell how the attempt went."""
-    ask = slot.request
+    """Release the slot and report the result of the attempt."""
+    request = slot.request
     dependencies.slots.report(
         messages.Report(
-            ask.ticket,
-            ask.shard,
+            request.ticket,
+            request.shard,
             slot.grant.target_id,
             end.outcome,
             end.duration,
@@ -94,24 +94,24 @@
 
 
 def record(
-    parts: run_dependencies.RunDependencies,
-    asked: LoggedRequest,
+    dependencies: run_dependencies.RunDependencies,
+    logged_request: LoggedRequest,
     slot: HeldSlot,
-    ended: AttemptEnd,
+    end: AttemptEnd,
 ) -> None:
-    """Note an attempt in the log and the metrics."""
-    parts.recorder.record_attempt(
+    """Record an attempt in the log and the metrics."""
+    dependencies.recorder.record_attempt(
         request_recorder.Attempt(
-            asked.request_id,
-            asked.fingerprint,
-            asked.service,
+            logged_request.request_id,
+            logged_request.fingerprint,
+            logged_request.service,
             slot.grant,
             slot.wait_time,
-            ended.outcome,
-            ended.why,
-            ended.duration,
+            end.outcome,
+            end.why,
+            end.duration,
             number=slot.request.attempt,
-            has_crashed=ended.has_crashed,
-            rate_limit=ended.rate_limit,
+            has_crashed=end.has_crashed,
+            rate_limit=end.rate_limit,
         )
     )
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/broadcasting.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/broadcasting.py
@@ -1,6 +1,7 @@
-"""Spreads what one VM has read to all others, with one hop between data centres.
+"""Broadcasts updates to all VMs, through relays in the other data centres.
 
-Told to every VM directly, news would make up most of what goes between data centres.
+Updates sent to every VM directly would make up most of the traffic between data
+centres.
 """
 
 from __future__ import annotations
@@ -10,25 +11,25 @@
 from . import datagrams, members, peer_link, ports
 
 RELAY_COUNT = 2
-"""VMs of another data centre that pass on there what is told. Where one of the two is
-dead, regular news through one of them in turn still come every second time."""
+"""Number of relay VMs in each other data centre. If one of the two is dead, regular
+updates sent through one relay in turn still arrive every second time."""
 
 RELAY_TASK = "relay news"
-"""Name of the task of passing on."""
+"""Task name by which relays are ranked."""
 
 BroadcastMessage = datagrams.TargetUpdate | datagrams.ConfigurationUpdate
-"""Messages that are spread."""
+"""Messages that are broadcast."""
 
 
 class Broadcaster:
-    """Tells the own data centre, and relays of the others.
+    """Sends messages to the VMs of the own data centre and to relays in the others.
 
     Parameters
     ----------
     fleet : members.Members
-        The VMs.
+        The VMs of the fleet.
     link : peer_link.PeerLink
-        Datagrams to them.
+        Sends datagrams to them.
     """
 
     def __init__(self, fleet: members.Members, link: peer_link.PeerLink) -> None:
@@ -39,27 +40,31 @@
     def broadcast(
         self, message: BroadcastMessage, now: float, relays: int = RELAY_COUNT
     ) -> None:
-        """Tell the own data centre and some relays of each other, in turn."""
+        """Send a message to the own data centre and to `relays` VMs of each other one.
+
+        The relays are taken in turn.
+        """
         self._turns += 1
         self._link.send_many(message, self._fleet.list_in(self._own_data_centre))
         relayed = dataclasses.replace(message, is_for_relay=True)
         self._link.send_many(relayed, self._choose_relays(now, relays))
 
     def relay(self, message: BroadcastMessage) -> None:
-        """Tell what came from another data centre in this one, if it is relayed."""
+        """Forward a message to the own data centre if it was sent for relaying."""
         if message.is_for_relay:
             passed = dataclasses.replace(message, is_for_relay=False)
             self._link.send_many(passed, self._fleet.list_in(self._own_data_centre))
 
     def _choose_relays(self, now: float, count: int) -> list[ports.Member]:
         relays: list[ports.Member] = []
-        for place in self._fleet.data_centres - {self._own_data_centre}:
-            ranked = self._fleet.rank(RELAY_TASK, now, RELAY_COUNT, place)
+        for other_data_centre in self._fleet.data_centres - {self._own_data_centre}:
+            ranked = self._fleet.rank(RELAY_TASK, now, RELAY_COUNT, other_data_centre)
             for number in range(min(count, len(ranked))):
                 vm = ranked[(self._turns + number) % len(ranked)]
                 member = self._fleet.find(vm)
-                # Where all that are known there leave or are silent, others rank.
-                if member is not None and member.data_centre == place:
+                # If all VMs there are leaving or silent, VMs of other data centres
+                # are ranked instead.
+                if member is not None and member.data_centre == other_data_centre:
                     relays.append(member)
         return relays
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/forwarder.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/forwarder.py
@@ -1,4 +1,4 @@
-"""Takes requests from their callers and hands each to a run of its own."""
+"""Routes the requests of callers and processes each in its own run."""
 
 from __future__ import annotations
 
@@ -28,57 +28,57 @@
 )
 
 MAX_REFUSAL_LEAD_S = 1.0
-"""Most seconds before the end of the process in which new requests are refused. Work
-takes some tenths of a second, whatever its route allows."""
+"""Maximum time in seconds before the end of the process in which new requests are
+refused. Work takes some tenths of a second, even if its route allows far more."""
 
 NO_CONFIGURATION_RETRY_AFTER_S = 0.5
-"""Seconds after which a caller may come back when this VM knows no configuration."""
+"""Retry-After delay in seconds while this VM has no configuration."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutingState:
-    """What requests are handled by."""
+    """Configuration and targets by which requests are routed."""
 
     configuration_state: configuration.ConfigurationState
     """The configuration in force."""
 
     router: routing.Router
-    """Its routes."""
+    """Routes of the configuration in force."""
 
     registry: targets.Registry
-    """Targets known."""
+    """Targets known to this VM."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dependencies:
-    """What a forwarder works with."""
+    """Collaborators of a forwarder."""
 
     routing_state: RoutingState
-    """What requests are handled by."""
+    """Configuration and targets by which requests are routed."""
 
     placement: ports.SlotSource
-    """Gets targets."""
+    """Acquires and releases slots of targets."""
 
     client: ports.TargetExchange
-    """Sends to targets."""
+    """Sends requests to targets."""
 
     suspects: ports.SuspectRecord
-    """Requests that crash their targets."""
+    """Record of requests suspected of crashing their targets."""
 
-    header_names: header_names.HeaderNames
-    """Headers of the platform."""
+    platform_headers: header_names.HeaderNames
+    """Names of the platform's headers."""
 
     log: log_lines.LogLines
-    """Decisions."""
+    """Log of attempts and answers."""
 
     metrics: metrics.Metrics
-    """Counts and latencies."""
+    """Counters and latency histograms."""
 
     check_suspension: collections.abc.Callable[[], None]
-    """Notices a suspension of this VM."""
+    """Detects a suspension of this VM and handles it."""
 
     wait_at_start: collections.abc.Callable[[], collections.abc.Awaitable[None]]
-    """Lets a request wait while a VM that has just started lacks what it needs."""
+    """Delays requests while a VM that has just started lacks what it needs."""
 
 
 class Forwarder:
@@ -87,20 +87,20 @@
     Parameters
     ----------
     dependencies : Dependencies
-        Its parts.
+        Collaborators.
     vm : str
         Name of this VM.
     data_centre : str
-        Where it runs.
+        Data centre of this VM.
     incarnation : int
-        Start of this process; makes its tickets unique.
+        Number of this start of the process; makes its tickets unique.
     """
 
     def __init__(
         self, dependencies: Dependencies, vm: str, data_centre: str, incarnation: int
     ) -> None:
         self._routing_state = dependencies.routing_state
-        self._header_names = dependencies.header_names
+        self._platform_headers = dependencies.platform_headers
         self._wait_at_start = dependencies.wait_at_start
         self._ticket_prefix = f"{vm}:{incarnation}:"
         self._ticket_numbers = itertools.count()
@@ -119,7 +119,7 @@
             dependencies.routing_state.registry,
             unreachable_targets.UnreachableTargets(),
             self._recorder,
-            dependencies.header_names,
+            dependencies.platform_headers,
             self._make_ticket,
             dependencies.suspects,
             crash_check.CrashCheck().is_down,
@@ -127,11 +127,10 @@
         )
 
     async def handle(self, incoming: calls.Incoming) -> calls.Reply:
-        """Return the answer to one request."""
+        """Return the reply to one request."""
         await self._wait_at_start()
         if self._routing_state.configuration_state.current is None:
-            # Without any configuration nothing is known of the route, so that
-            # "not found" could be false.
+            # Without a configuration, the route is unknown, and 404 might be wrong.
             return self._refuse(
                 incoming, 503, "no-configuration", NO_CONFIGURATION_RETRY_AFTER_S
             )
@@ -152,23 +151,23 @@
             self._runs.discard(run)
 
     def may_overlap(self, incoming: calls.Incoming) -> bool:
-        """Return whether a request may run beside others of its connection."""
+        """Return whether a request may run while others of its connection do."""
         path = incoming.request.path.decode("latin-1")
         route = self._routing_state.router.find(incoming.host, path)
         return route is None or route.work is services.Work.IDEMPOTENT
 
     def end_by(self, at: float) -> None:
-        """Give the final answer to each request, also to later ones, by `at`.
+        """Reply to every request, including later ones, by `at`.
 
-        A request that is still under way when the process ends would lose its
-        connection, and its caller would not know that anybody had read it.
+        A request still in progress when the process ends would lose its connection,
+        and its caller could not tell whether the request had been read.
         """
         self._ends_at = at
         for run in self._runs:
             run.end_by(at)
 
     def compensate_suspension(self, seconds: float) -> None:
-        """Take in that the clock has not counted some time."""
+        """Shorten all deadlines by `seconds` that the clock did not count."""
         self._ends_at -= seconds
         for run in self._runs:
             run.compensate_suspension(seconds)
@@ -176,7 +175,7 @@
     def _is_too_late(self, route: configuration.Route) -> bool:
         """Return whether the process ends too soon for a new request.
 
-        Another VM serves it then.
+        Its caller retries at another VM.
         """
         left = self._ends_at - anyio.current_time()
         return left < min(route.objective, MAX_REFUSAL_LEAD_S)
@@ -191,8 +190,8 @@
         reason: str,
         retry_after: float | None = None,
     ) -> calls.Reply:
-        request_id = run_messages.read_request_id(incoming, self._header_names)
-        self._recorder.record_answer(
+        request_id = run_messages.read_request_id(incoming, self._platform_headers)
+        self._recorder.record_final_answer(
             request_recorder.Answer(request_id, status, reason)
         )
         return replies.explain(status, reason, retry_after)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
@@ -1,9 +1,10 @@
-"""Gets a request its target: from a shard's dispatcher, or here if none answers.
+"""Acquires target slots from the dispatcher of a shard, or locally if none answers.
 
-Whoever holds a request asks the highest-ranking VM, then the next, then decides by
-itself. An ask is named by its ticket and may be sent again at any time. A dispatcher
-answers at once, if only that the request waits, so that a dead one is told from a busy
-one within milliseconds.
+A VM sends its slot request to the highest-ranking VM for the shard, then to the next,
+and finally decides with its own dispatcher. A slot request is identified by its ticket
+and may be resent at any time. A dispatcher answers immediately, if only to say that the
+request is queued, so that a dead dispatcher is distinguished from a busy one within
+milliseconds.
 """
 
 from __future__ import annotations
@@ -18,19 +19,20 @@
 from . import datagrams, local_dispatchers, log_lines, members, peer_link
 
 ANSWER_TIMEOUTS_S = (0.03, 0.06)
-"""Seconds to wait for the answer to the first and second sending of an ask: longer than
-a round trip, also to a busy VM."""
+"""Seconds to wait for a reply to the first and second transmission of a slot request:
+longer than a round trip, even to a busy VM."""
 
 WAIT_RESEND_INTERVAL_S = 0.2
-"""Seconds between two sendings of an ask that waits: shows that somebody lives."""
+"""Seconds between transmissions of a queued slot request; the replies show that the
+dispatcher is alive."""
 
 DISPATCHER_CANDIDATES = 2
-"""VMs that are asked before a VM decides by itself."""
+"""Number of VMs asked before a VM decides with its own dispatcher."""
 
 MAX_SHARDS = 2
-"""Shards of a service in which a request asks for a place. The second one costs a round
-trip, and helps where the first is full by chance; where two are full, so are the
-others."""
+"""Maximum number of shards of a service in which a request asks for a slot. The second
+one costs a round trip, and helps if the first happens to be full; if two are full, the
+others are usually full too."""
 
 OTHER_SHARD_REASONS = frozenset(
     {
@@ -39,8 +41,8 @@
         messages.RefusalReason.RETRY_BUDGET,
     }
 )
-"""Refusals after which another shard may have a place: each counts its own slots and
-its own part of the service's retries."""
+"""Refusals after which another shard may grant a slot: each shard counts its own slots
+and its own share of the service's retries."""
 
 Answer = messages.Grant | messages.Refuse
 
@@ -50,23 +52,23 @@
     """A dispatcher that counts a slot as in use."""
 
     vm: str
-    """Where it runs."""
+    """VM of the dispatcher."""
 
     shard: shards.Shard
-    """The shard in which it gave the slot, or took it over."""
+    """Shard in which the dispatcher granted or adopted the slot."""
 
 
-class _Pending:
-    """An ask without its final answer."""
+class _PendingRequest:
+    """A slot request without a final answer."""
 
     def __init__(self) -> None:
         self.answer: Answer | None = None
-        self.is_heard = False
+        self.has_reply = False
         self.changed = anyio.Event()
 
-    def take(self, decision: messages.Decision) -> None:
-        """Take in a decision."""
-        self.is_heard = True
+    def store_decision(self, decision: messages.Decision) -> None:
+        """Store a final answer and wake up the waiting task."""
+        self.has_reply = True
         if not isinstance(decision, messages.Wait) and self.answer is None:
             self.answer = decision
         self.changed.set()
@@ -74,18 +76,18 @@
 
 
 class Placement:
-    """Asks for targets and reports how attempts went.
+    """Acquires slots of targets and reports the outcomes of attempts.
 
     Parameters
     ----------
     fleet : members.Members
-        The VMs.
+        The VMs of the fleet.
     link : peer_link.PeerLink
-        Datagrams to them.
+        Sends datagrams to them.
     log : log_lines.LogLines
-        Where lost and regained dispatchers are noted.
+        Gets a line for each lost dispatcher.
     rng : random.Random
-        Draws shards.
+        Source of randomness for choosing shards.
     """
 
     def __init__(
@@ -100,36 +102,39 @@
         self._link = link
         self._log = log
         self._local_dispatchers: local_dispatchers.LocalDispatchers | None = None
-        self._pending: dict[str, _Pending] = {}
+        self._pending: dict[str, _PendingRequest] = {}
         self._held: dict[str, messages.HeldSlot] = {}
         self._granters: dict[str, list[_Granter]] = {}
-        self._dispatcher_of: dict[shards.Shard, str] = {}
+        self._dispatchers: dict[shards.Shard, str] = {}
 
     def use_local_dispatchers(
         self, dispatchers: local_dispatchers.LocalDispatchers
     ) -> None:
-        """Decide by these dispatchers where no other VM answers."""
+        """Use these dispatchers where this VM ranks first or no other VM answers."""
         self._local_dispatchers = dispatchers
 
-    async def acquire(self, ask: messages.SlotRequest) -> Answer:
-        """Return a target, or why there is none.
+    async def acquire(self, slot_request: messages.SlotRequest) -> Answer:
+        """Return a granted slot, or the refusal.
 
-        The ask names a service as a whole; it is placed in one of its shards.
+        The slot request names the service as a whole; it is sent to one of its shards,
+        and after some refusals to a second one.
         """
-        service = ask.shard.service
+        service = slot_request.shard.service
         if self._local_dispatchers is not None:
             self._local_dispatchers.retries.record_request(
                 service, anyio.current_time()
             )
         refused: list[shards.Shard] = []
-        answer: Answer = _refuse_late(ask)
+        answer: Answer = _make_late_refusal(slot_request)
         while len(refused) < MAX_SHARDS:
             now = anyio.current_time()
             shard = self._chooser.choose(self._list_shards(service), now, refused)
             if shard is None:
                 break
-            answer = await self._acquire_in(dataclasses.replace(ask, shard=shard))
-            ask = dataclasses.replace(ask, is_first=False)
+            answer = await self._acquire_in_shard(
+                dataclasses.replace(slot_request, shard=shard)
+            )
+            slot_request = dataclasses.replace(slot_request, is_first=False)
             self._chooser.note(shard, answer.pressure, anyio.current_time())
             if (
                 isinstance(answer, messages.Grant)
@@ -139,38 +144,42 @@
             refused.append(shard)
         return answer
 
-    async def _acquire_in(self, ask: messages.SlotRequest) -> Answer:
-        pending = self._pending[ask.ticket] = _Pending()
+    async def _acquire_in_shard(self, slot_request: messages.SlotRequest) -> Answer:
+        pending = self._pending[slot_request.ticket] = _PendingRequest()
         silent: set[str] = set()
-        vm = self._choose_dispatcher(ask.shard, silent)
+        vm = self._choose_dispatcher(slot_request.shard, silent)
         answer: Answer | None = None
         try:
-            while anyio.current_time() < ask.deadline_at:
-                answer = await self._ask(vm, ask, pending, silent)
+            while anyio.current_time() < slot_request.deadline_at:
+                answer = await self._request_from(vm, slot_request, pending, silent)
                 if answer is not None:
-                    return self._take(ask, vm, answer)
-                vm = self._move_on(vm, ask, silent)
-                ask = dataclasses.replace(ask, is_first=False)
-            return _refuse_late(ask)
+                    return self._register_grant(slot_request, vm, answer)
+                vm = self._choose_next_dispatcher(vm, slot_request, silent)
+                slot_request = dataclasses.replace(slot_request, is_first=False)
+            return _make_late_refusal(slot_request)
         finally:
-            del self._pending[ask.ticket]
+            del self._pending[slot_request.ticket]
             if answer is None:
-                self._withdraw(vm, ask)
+                self._withdraw(vm, slot_request)
 
-    def _move_on(self, vm: str, ask: messages.SlotRequest, silent: set[str]) -> str:
-        """Leave a dispatcher without an answer; return the one to ask next."""
-        self._withdraw(vm, ask)
+    def _choose_next_dispatcher(
+        self, vm: str, slot_request: messages.SlotRequest, silent: set[str]
+    ) -> str:
+        """Withdraw the request from a silent dispatcher; return the VM to ask next."""
+        self._withdraw(vm, slot_request)
         now = anyio.current_time()
-        if now >= ask.deadline_at:
-            return vm  # It kept the ask waiting, which is no silence.
-        if vm == self._choose_dispatcher(ask.shard, silent):
+        if now >= slot_request.deadline_at:
+            return vm  # The request was queued, so the VM was not silent.
+        if vm == self._choose_dispatcher(slot_request.shard, silent):
             silent.add(vm)
             if self._fleet.suspect(vm, now):
-                self._log.write("dispatcher_lost", peer=vm, shard=ask.shard.task)
-        return self._choose_dispatcher(ask.shard, silent)
+                self._log.write(
+                    "dispatcher_lost", peer=vm, shard=slot_request.shard.task
+                )
+        return self._choose_dispatcher(slot_request.shard, silent)
 
     def _choose_dispatcher(self, shard: shards.Shard, silent: set[str]) -> str:
-        """Return the VM to ask: the first in rank, this one after some silent ones."""
+        """Return the highest-ranking VM that is not silent, or this VM."""
         now = anyio.current_time()
         own = self._fleet.own.vm
         if len(silent) >= DISPATCHER_CANDIDATES:
@@ -182,10 +191,10 @@
         return left[0] if left else own
 
     def report(self, report: messages.Report) -> None:
-        """Tell all who count the slot as in use how the attempt went.
+        """Report the result to every dispatcher that counts the slot as in use.
 
-        A former dispatcher may still have asks that wait. Not told, it would keep them
-        waiting for a slot that has been free for long.
+        A former dispatcher may still have queued slot requests. Without the report, it
+        would keep them waiting for a slot that is already free.
         """
         self._held.pop(report.ticket, None)
         if self._local_dispatchers is not None and report.rate_limit is not None:
@@ -193,57 +202,66 @@
             self._local_dispatchers.record_rate_limit(
                 report.target_id, report.rate_limit, now
             )
-        usual = [_Granter(self._fleet.own.vm, report.shard)]
-        for granter in self._granters.pop(report.ticket, usual):
+        default = [_Granter(self._fleet.own.vm, report.shard)]
+        for granter in self._granters.pop(report.ticket, default):
             told = dataclasses.replace(report, shard=granter.shard)
-            self._tell(granter.vm, told)
+            self._send(granter.vm, told)
 
     def handle_decision(self, decision: messages.Decision) -> None:
-        """Take in the answer to an ask."""
+        """Pass a dispatcher's decision to the slot request that waits for it."""
         pending = self._pending.get(decision.ticket)
         if pending is not None:
-            pending.take(decision)
+            pending.store_decision(decision)
 
     def _list_shards(self, service: str) -> tuple[shards.Shard, ...]:
         if self._local_dispatchers is None:
             return (shards.Shard(service),)
         return self._local_dispatchers.list_shards(service)
 
-    async def _ask(
-        self, vm: str, ask: messages.SlotRequest, pending: _Pending, silent: set[str]
+    async def _request_from(
+        self,
+        vm: str,
+        slot_request: messages.SlotRequest,
+        pending: _PendingRequest,
+        silent: set[str],
     ) -> Answer | None:
-        """Return one VM's answer, or None where it gives none or is superseded."""
-        self._hand_over(ask.shard, vm)
-        pending.is_heard = False
+        """Return a VM's answer, or None if it is silent or no longer the dispatcher."""
+        self._send_held_slots(slot_request.shard, vm)
+        pending.has_reply = False
         misses = 0
         while misses < len(ANSWER_TIMEOUTS_S):
             now = anyio.current_time()
-            if now >= ask.deadline_at:
+            if now >= slot_request.deadline_at:
                 return None
-            if pending.is_heard and self._choose_dispatcher(ask.shard, silent) != vm:
+            if (
+                pending.has_reply
+                and self._choose_dispatcher(slot_request.shard, silent) != vm
+            ):
                 return None
             pause = (
                 WAIT_RESEND_INTERVAL_S
-                if pending.is_heard
+                if pending.has_reply
                 else ANSWER_TIMEOUTS_S[misses]
             )
-            # Before sending: this VM's own dispatcher answers at once.
-            pending.is_heard = False
-            self._send_ask(vm, ask, now)
-            ask = dataclasses.replace(ask, is_first=False)
-            await self._wait(pending, min(now + pause, ask.deadline_at))
+            # Reset before sending, since a local dispatcher answers synchronously.
+            pending.has_reply = False
+            self._send_request(vm, slot_request, now)
+            slot_request = dataclasses.replace(slot_request, is_first=False)
+            await self._wait_for_answer(
+                pending, min(now + pause, slot_request.deadline_at)
+            )
             if pending.answer is not None:
-                return self._judge(pending, vm, ask)
-            misses = 0 if pending.is_heard else misses + 1
+                return self._check_answer(pending, vm, slot_request)
+            misses = 0 if pending.has_reply else misses + 1
         return None
 
-    def _judge(
-        self, pending: _Pending, vm: str, ask: messages.SlotRequest
+    def _check_answer(
+        self, pending: _PendingRequest, vm: str, slot_request: messages.SlotRequest
     ) -> Answer | None:
-        """Return a VM's answer, or None where it knows less than this one.
+        """Return a VM's answer, or None if it knows fewer targets than this VM.
 
-        Load pattern: many VMs start at once. One that ranks first for a shard is asked
-        before it has heard of any target, and would refuse what can be served.
+        When many VMs start at once, the VM that ranks first for a shard may be asked
+        before it knows any target, and would refuse requests that can be served.
         """
         answer = pending.answer
         is_other = vm != self._fleet.own.vm and self._local_dispatchers is not None
@@ -253,66 +271,74 @@
             if (
                 is_empty
                 and self._local_dispatchers
-                and self._local_dispatchers.has_targets(ask.shard, now)
+                and self._local_dispatchers.has_targets(slot_request.shard, now)
             ):
                 pending.answer = None
                 return None
         return answer
 
-    async def _wait(self, pending: _Pending, until: float) -> None:
-        """Wait for the final answer, or until the time for the first word of one."""
+    async def _wait_for_answer(self, pending: _PendingRequest, until: float) -> None:
+        """Wait for the final answer, at most until the time `until`."""
         with anyio.CancelScope(deadline=until):
             while pending.answer is None:
                 await pending.changed.wait()
 
-    def _send_ask(self, vm: str, ask: messages.SlotRequest, now: float) -> None:
+    def _send_request(
+        self, vm: str, slot_request: messages.SlotRequest, now: float
+    ) -> None:
         own = self._fleet.own.vm
         if vm == own and self._local_dispatchers is not None:
-            self._local_dispatchers.request_slot(own, ask, now)
+            self._local_dispatchers.request_slot(own, slot_request, now)
             return
         member = self._fleet.find(vm)
         if member is not None:
-            self._link.send(datagrams.SlotRequested(own, ask), member)
+            self._link.send(datagrams.SlotRequested(own, slot_request), member)
 
-    def _hand_over(self, shard: shards.Shard, vm: str) -> None:
-        """Tell a VM that dispatches from now on which slots are in use here.
+    def _send_held_slots(self, shard: shards.Shard, vm: str) -> None:
+        """Send the slots held by this VM to the new dispatcher of a shard.
 
-        They may have been given in another shard, if the service was divided anew.
+        They may have been granted in another shard, if the service was divided again.
         """
-        if self._dispatcher_of.get(shard) == vm:
+        if self._dispatchers.get(shard) == vm:
             return
-        self._dispatcher_of[shard] = vm
+        self._dispatchers[shard] = vm
         for ticket, held in list(self._held.items()):
             if held.slot_request.shard.service != shard.service:
                 continue
             if self._local_dispatchers is not None and self._local_dispatchers.covers(
                 shard, held.target_id
             ):
-                ask = dataclasses.replace(held.slot_request, shard=shard)
-                moved = self._held[ticket] = dataclasses.replace(held, ask=ask)
+                slot_request = dataclasses.replace(held.slot_request, shard=shard)
+                moved = self._held[ticket] = dataclasses.replace(
+                    held, slot_request=slot_request
+                )
                 self._granters.setdefault(ticket, []).append(_Granter(vm, shard))
-                self._tell(vm, datagrams.SlotHeld(self._fleet.own.vm, moved))
+                self._send(vm, datagrams.SlotHeld(self._fleet.own.vm, moved))
 
-    def _take(self, ask: messages.SlotRequest, vm: str, answer: Answer) -> Answer:
+    def _register_grant(
+        self, slot_request: messages.SlotRequest, vm: str, answer: Answer
+    ) -> Answer:
         if isinstance(answer, messages.Grant):
-            self._granters[ask.ticket] = [_Granter(vm, ask.shard)]
-            self._held[ask.ticket] = messages.HeldSlot(ask, answer.target_id)
+            self._granters[slot_request.ticket] = [_Granter(vm, slot_request.shard)]
+            self._held[slot_request.ticket] = messages.HeldSlot(
+                slot_request, answer.target_id
+            )
             return dataclasses.replace(answer, dispatcher=vm)
         return answer
 
-    def _withdraw(self, vm: str, ask: messages.SlotRequest) -> None:
-        """Give back what an ask may get after nobody waits for it any more."""
+    def _withdraw(self, vm: str, slot_request: messages.SlotRequest) -> None:
+        """Withdraw a slot request, and release the slot if one is granted for it."""
         report = messages.Report(
-            ask.ticket,
-            ask.shard,
+            slot_request.ticket,
+            slot_request.shard,
             "",
             messages.Outcome.UNUSED,
             0.0,
             self._fleet.own.vm,
         )
-        self._tell(vm, report)
+        self._send(vm, report)
 
-    def _tell(self, vm: str, message: messages.Report | datagrams.SlotHeld) -> None:
+    def _send(self, vm: str, message: messages.Report | datagrams.SlotHeld) -> None:
         own = self._fleet.own.vm
         member = self._fleet.find(vm)
         if vm != own and member is not None:
@@ -325,5 +351,7 @@
                 self._local_dispatchers.adopt(own, message.held, now)
 
 
-def _refuse_late(ask: messages.SlotRequest) -> messages.Refuse:
-    return messages.Refuse(ask.ticket, messages.RefusalReason.TOO_LATE, ask.deadline_at)
+def _make_late_refusal(slot_request: messages.SlotRequest) -> messages.Refuse:
+    return messages.Refuse(
+        slot_request.ticket, messages.RefusalReason.TOO_LATE, slot_request.deadline_at
+    )
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/ports.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/ports.py
@@ -120,7 +120,7 @@
     """Where requests get slots of targets."""
 
     async def acquire(
-        self, ask: messages.SlotRequest
+        self, slot_request: messages.SlotRequest
     ) -> messages.Grant | messages.Refuse:
         """Return a slot of a target, or why there is none."""
         ...
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_recorder.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_recorder.py
@@ -1,4 +1,4 @@
-"""Notes in log and metrics what became of requests."""
+"""Records attempts and answers of requests in the log and the metrics."""
 
 from __future__ import annotations
 
@@ -15,88 +15,90 @@
 MILLISECONDS = 1000.0
 
 MAX_TRACE_CHARS = 2_000
-"""Characters of a traceback that go into the log: its end names the place."""
+"""Maximum length of a logged traceback. Its last characters are kept, since they show
+where the exception was raised."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attempt:
-    """One attempt at a target, as it stands in the log."""
+    """One attempt at a target, as logged."""
 
     request_id: str
-    """The request."""
+    """Request id sent by the caller."""
 
     fingerprint: str
-    """Names what it asks for; the same when it returns under another id."""
+    """Fingerprint of the request's content; the same if it is repeated under another
+    id."""
 
     service: str
-    """The service that it goes to."""
+    """Service that the request is routed to."""
 
     grant: messages.Grant
-    """The slot that it was made with."""
+    """Grant of the slot used for the attempt."""
 
     wait_time: float
-    """Seconds until the slot was granted."""
+    """Seconds from the slot request to the grant."""
 
     outcome: messages.Outcome
-    """How it went."""
+    """Outcome as reported to the dispatcher."""
 
     why: str
-    """What ended it."""
+    """Reason for the outcome."""
 
     duration: float
-    """Seconds that it took."""
+    """Duration in seconds."""
 
     number: int = 1
-    """Which target of the request it is; those that were not reached do not count."""
+    """Number of the attempt, from 1; targets that could not be reached do not count."""
 
     has_crashed: bool = False
-    """Whether the target crashed while it held the request."""
+    """Whether the target crashed during the attempt."""
 
     rate_limit: float | None = None
-    """Requests a second that the target takes, infinite where its answer names none;
-    None where no answer tells."""
+    """Rate limit announced in the target's answer, in requests per second; infinite if
+    the answer names none, None if there is no answer."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """The one answer to a request, as it stands in the log."""
+    """The answer to a request, as logged."""
 
     request_id: str
-    """The request."""
+    """Request id sent by the caller."""
 
     status: int
-    """Status code."""
+    """HTTP status code."""
 
     why: str
-    """The target's status, or why there is no answer of a target."""
+    """Status of the target, or the reason why no target answered."""
 
     duration: float = 0.0
-    """Seconds from the request's first byte."""
+    """Seconds since the first byte of the request was received."""
 
     attempts: int = 0
-    """Targets that it was tried at."""
+    """Number of targets tried."""
 
     service: str = ""
-    """The service that it goes to; empty where it has none."""
+    """Service that the request was routed to; empty if none."""
 
     route: str = ""
-    """Its route; empty where it has none."""
+    """Name of the route; empty if none."""
 
     objective: float | None = None
-    """Seconds from its first byte within which an answer is in time."""
+    """Latency objective in seconds from the first byte; None if there is no route."""
 
 
 class RequestRecorder:
-    """Where decisions about requests are noted.
+    """Writes attempts and answers to the log and updates the metrics.
 
     Parameters
     ----------
     log : log_lines.LogLines
-        A line for each attempt and each answer.
+        Gets one line for each attempt and each answer.
     counters : metrics.Metrics
-        Counts and latencies.
-    configured : configuration.ConfigurationState
-        Its version stands in each answer's line.
+        Counters and latency histograms.
+    configuration_state : configuration.ConfigurationState
+        Source of the version logged with each answer.
     """
 
     def __init__(
@@ -110,7 +112,7 @@
         self._configuration_state = configuration_state
 
     def record_attempt(self, attempt: Attempt) -> None:
-        """Note how an attempt ended."""
+        """Record a finished attempt."""
         grant = attempt.grant
         self._log.write(
             "attempt",
@@ -132,8 +134,8 @@
             "zinniastand_attempts_total", metrics.label(outcome=attempt.outcome.value)
         )
 
-    def record_answer(self, answer: Answer) -> None:
-        """Note the one answer to a request."""
+    def record_final_answer(self, answer: Answer) -> None:
+        """Record the answer to a request."""
         fields: dict[str, log_lines.Value] = {}
         if answer.objective is not None:
             fields["service"] = answer.service
@@ -156,7 +158,7 @@
         self._counters.record("zinniastand_answer_seconds", answer.duration)
 
     def log_error(self, request_id: str, error: Exception) -> None:
-        """Note an error that no part expected, so that it is not lost."""
+        """Log the traceback of an unexpected exception."""
         text = "".join(traceback.format_exception(error))
         self._log.write(
             "unexpected_error", request=request_id, trace=text[-MAX_TRACE_CHARS:]
@@ -164,7 +166,7 @@
 
 
 def _make_target_fields(attempt: Attempt) -> dict[str, log_lines.Value]:
-    """Return what an attempt tells of its target's state, where that is unusual."""
+    """Return the log fields for a crash or a rate limit of the target, if any."""
     fields: dict[str, log_lines.Value] = {}
     if attempt.has_crashed:
         fields["crashed"] = True
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
@@ -1,4 +1,4 @@
-"""Runs one request: asks for targets, sends to them, and ends with its one answer."""
+"""Processes one request: acquires target slots, sends attempts and makes the reply."""
 
 from __future__ import annotations
 
@@ -23,27 +23,30 @@
 )
 
 OVERDUE_FACTOR = 4.0
-"""Times the expected time after which idempotent work is tried at another target too.
-Times of work spread by a factor of two; one piece in a hundred takes five times as
-long."""
+"""Multiple of the expected duration after which an attempt of idempotent work is
+overdue and a backup attempt starts at another target. Durations vary by a factor of
+two; one attempt in a hundred takes five times as long."""
 
 OVERDUE_FACTOR_WHEN_FAILING = 1.5
-"""The same at a target that surely fails. Idempotent work finds out about targets in
-doubt, and some of them hang instead of failing: after four times the expected time
-there is too little left for another target."""
+"""Value of `OVERDUE_FACTOR` for a target whose failure probability is 1. Idempotent
+requests serve as trials of targets that may be failing, and some of these hang instead
+of failing: after four times the expected duration, too little time would be left for
+another target."""
 
 MIN_OVERDUE_S = 0.25
-"""Seconds before which no attempt counts as overdue, whatever is expected."""
+"""Minimum time in seconds before an attempt is overdue, however short the expected
+duration."""
 
 MIN_TIME_LEFT_FACTOR = 1.5
-"""Times the expected time that must be left for another attempt to be worth it."""
+"""Multiple of the expected duration that must remain before the deadline for a backup
+attempt to be worthwhile."""
 
 DEFAULT_RETRY_AFTER_S = 0.5
-"""Seconds after which a caller may come back where the dispatcher names no time."""
+"""Retry-After delay in seconds if the dispatcher gives no time."""
 
 STOPPING_RETRY_AFTER_S = 0.05
-"""Seconds after which a caller may come back whom a stopping VM refuses: the balancer
-sends it to another VM by then."""
+"""Retry-After delay in seconds for callers refused by a stopping VM: by then the load
+balancer routes them to another VM."""
 
 MILLISECONDS = 1000.0
 
@@ -57,18 +60,18 @@
 
 
 class Run:
-    """The run of one request.
+    """Processing of one request, from acquiring a slot to the reply.
 
     Parameters
     ----------
     dependencies : run_dependencies.RunDependencies
-        What it works with.
+        Collaborators shared by all runs of this VM.
     incoming : calls.Incoming
-        The request.
+        The request as received from the caller.
     route : configuration.Route
-        Its route.
+        The route that the request matched.
     service : str
-        The service of the route that it goes to.
+        The service that was chosen from the route.
     """
 
     def __init__(
@@ -83,15 +86,15 @@
         self._route = route
         self._service = service
         self._request_id = run_messages.read_request_id(
-            incoming, dependencies.header_names
+            incoming, dependencies.platform_headers
         )
         self._fingerprint = fingerprints.make_fingerprint(
-            incoming.request, incoming.host, dependencies.header_names
+            incoming.request, incoming.host, dependencies.platform_headers
         )
         limit = incoming.first_byte_at + min(
             route.time_limit,
             run_messages.read_time_left(
-                incoming, dependencies.header_names, route.time_limit
+                incoming, dependencies.platform_headers, route.time_limit
             ),
         )
         objective = min(limit, incoming.first_byte_at + route.objective)
@@ -106,7 +109,7 @@
         self._why = ""
 
     async def run(self) -> calls.Reply:
-        """Return the one answer, by the deadline."""
+        """Return the reply to the caller, by the deadline at the latest."""
         with self._scope:
             self._incoming.caller.watch(self._scope, self._may_cancel)
             return self._finish(await self._try_targets())
@@ -115,27 +118,27 @@
         return self._finish(self._plan.expire())
 
     def end_by(self, at: float) -> None:
-        """Give the final answer by `at`, since the process ends then."""
+        """Bring the deadline forward to `at`, because the process ends then."""
         if at < self._plan.times.deadline_at:
             self._is_ending = True
             self._plan.end_by(at)
             self._scope.deadline = at
 
     def compensate_suspension(self, seconds: float) -> None:
-        """Take in that the clock has not counted some time: less is left."""
+        """Shorten the remaining time by `seconds` that the clock did not count."""
         self._plan.lose_time(seconds)
         self._scope.deadline = self._plan.times.deadline_at
 
     def _may_cancel(self) -> bool:
-        """Return whether to stop when the caller has left.
+        """Return whether the run may be cancelled when the caller disconnects.
 
-        Work that may run only once and is under way goes on: breaking it off would
-        leave its caller without knowing how much of it was done.
+        At-most-once work that may have started continues: cancelling it would leave
+        the caller unable to know how much of it was done.
         """
         return self._plan.is_idempotent or not self._plan.may_have_run
 
     async def _try_targets(self) -> plan.Step:
-        """Try one target after the other; return what ends the tries."""
+        """Try targets one after the other; return the step that ends the attempts."""
         step = plan.Step.TRY_AGAIN
         while step is plan.Step.TRY_AGAIN:
             step = await self._try_once()
@@ -157,9 +160,9 @@
         target = self._dependencies.registry.find_usable(slot.grant.target_id)
         self._plan.start_attempt(slot.grant.target_id)
         if target is None:
-            # The dispatcher knows a target that this VM does not know yet, or has not
-            # heard that this one is leaving. A dispatcher that is cut off from the
-            # store would otherwise make every VM send work to targets that leave.
+            # Either this VM does not know the target yet, or the dispatcher does not
+            # know that the target is leaving. Without this check, a dispatcher cut off
+            # from the store would make every VM send work to leaving targets.
             attempt_ends.report(self._dependencies, slot, attempt_ends.UNUSED)
             now = anyio.current_time()
             return self._plan.end_attempt(plan.Result.UNREACHABLE, now)
@@ -169,7 +172,7 @@
         return await self._attempt(slot, target, overdue_at)
 
     def _check_quarantine(self) -> bool:
-        """Return whether the request is kept from all targets, and note why."""
+        """Return whether the request is quarantined; if so, store reason and end."""
         hold = self._dependencies.suspects.find_hold_end(
             self._fingerprint, anyio.current_time()
         )
@@ -180,7 +183,7 @@
         return True
 
     async def _acquire_slot(self) -> attempt_ends.HeldSlot | None:
-        """Return a slot, or None where the dispatcher refuses."""
+        """Return a slot, or None if it is refused or asking for it fails."""
         requested_at = anyio.current_time()
         slot_request = run_messages.make_slot_request(
             self._dependencies, self._plan, self._route, self._service, requested_at
@@ -188,7 +191,7 @@
         try:
             answer = await self._dependencies.slots.acquire(slot_request)
         except Exception as error:
-            # Like a refusal: another attempt may be under way, and goes on.
+            # Handled like a refusal, so that another attempt in progress continues.
             self._dependencies.recorder.log_error(self._request_id, error)
             self._why = UNEXPECTED_ERROR
             return None
@@ -201,13 +204,12 @@
         return None
 
     def _find_overdue_at(self, grant: messages.Grant, now: float) -> float:
-        """Return from when on another target is tried too; infinite for never."""
+        """Return the time from which a backup attempt may start; infinite for never."""
         left = self._plan.times.deadline_at - now
         factor = (
             OVERDUE_FACTOR
             + (OVERDUE_FACTOR_WHEN_FAILING - OVERDUE_FACTOR) * grant.failure_probability
         )
-        )
         overdue = max(MIN_OVERDUE_S, factor * grant.expected_duration)
         if not self._plan.may_back_up:
             return math.inf
@@ -218,11 +220,11 @@
     async def _attempt_with_backup(
         self, slot: attempt_ends.HeldSlot, target: targets.Entry, overdue_at: float
     ) -> plan.Step:
-        """Attempt; once that is overdue, try other targets beside it.
+        """Send an attempt; once it is overdue, try other targets in parallel.
 
-        The first answer ends all. An overdue attempt that was broken off for another
-        one left its caller with 502 where the other failed, while its own target was
-        at work. So it goes on until there is an answer to give in its place.
+        The first answer ends all attempts. The overdue attempt is not cancelled before
+        there is an answer: if the backup failed, the caller would get 502 although the
+        first target was still working.
         """
         step = plan.Step.WAIT
         is_overdue = False
@@ -243,14 +245,15 @@
             if self._plan.is_answered:
                 group.cancel_scope.cancel()
         if step is plan.Step.WAIT or self._plan.is_answered:
-            # Attempts that end in one turn of the loop may report in any order.
+            # Attempts that end in the same iteration of the event loop may update the
+            # plan in any order, so that `step` may be outdated.
             return self._plan.find_next(anyio.current_time())
         return step
 
     async def _attempt(
         self, slot: attempt_ends.HeldSlot, target: targets.Entry, overdue_at: float
     ) -> plan.Step:
-        """Send to one target; take in, report and note how that ended."""
+        """Send to one target; report, record and handle the result."""
         started = anyio.current_time()
         outcome, why = messages.Outcome.ABANDONED, CALLER_LEFT
         has_crashed, is_resent, rate_limit = False, False, None
@@ -284,13 +287,13 @@
     async def _send(self, target: targets.Entry, now: float) -> target_client.Attempt:
         """Send to one target.
 
-        An error that no part expected ends this attempt only. It would otherwise end
-        the group, and with it an attempt at which another target is at work.
+        An unexpected exception ends this attempt only. Otherwise it would cancel the
+        task group, including an attempt that another target is working on.
         """
         try:
             request = run_messages.make_request(
                 self._incoming.request,
-                self._dependencies.header_names,
+                self._dependencies.platform_headers,
                 target,
                 self._plan.times.deadline_at - now,
             )
@@ -317,13 +320,13 @@
     def _classify_cancellation(
         self, now: float, overdue_at: float
     ) -> tuple[messages.Outcome, str]:
-        """Return how an attempt counts that was broken off, and why it was."""
+        """Return the outcome of a cancelled attempt and the reason for it."""
         if self._plan.is_answered and now >= overdue_at:
             return messages.Outcome.SILENT, OVERDUE
         if self._plan.is_answered:
             return messages.Outcome.ABANDONED, OTHER_ANSWERED
         if self._is_ending and now >= self._plan.times.deadline_at:
-            # The process ends, which says nothing of the target.
+            # The process is ending, which says nothing about the target.
             return messages.Outcome.ABANDONED, STOPPING
         if now >= self._plan.times.deadline_at:
             return messages.Outcome.SILENT, DEADLINE
@@ -336,7 +339,7 @@
         now = anyio.current_time()
         reply = self._make_reply(step, now)
         duration = now - self._incoming.first_byte_at
-        self._dependencies.recorder.record_answer(
+        self._dependencies.recorder.record_final_answer(
             request_recorder.Answer(
                 self._request_id,
                 reply.status,
@@ -360,7 +363,7 @@
         return replies.explain(status, self._why)
 
     def _find_retry_after(self, now: float) -> float:
-        """Return the seconds after which the caller may come back."""
+        """Return the Retry-After delay in seconds."""
         if self._is_ending:
             return STOPPING_RETRY_AFTER_S
         if self._retry_at is None:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_codec.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_codec.py
@@ -1,4 +1,4 @@
-"""Counts of requests and retries as plain values."""
+"""Converts counts of requests and retries to and from plain values for datagrams."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def pack(counts: collections.abc.Iterable[retry_window.Count]) -> list[object]:
-    """Return counts as plain values."""
+    """Return counts as nested lists of plain values."""
     return [
         [counter, [list(dataclasses.astuple(part)) for part in parts]]
         for counter, parts in counts
@@ -18,26 +18,31 @@
 
 
 def unpack(values: list) -> tuple[retry_window.Count, ...]:
-    """Return the counts in plain values.
+    """Return the counts that `pack` made into plain values.
 
     Raises
     ------
     ValueError
-        If they hold none.
+        If the values are not valid counts.
     """
     return tuple((str(counter), _unpack_parts(parts)) for counter, parts in values)
 
 
 def _unpack_parts(value: object) -> tuple[retry_window.Part, ...]:
-    """Return what was counted; counts below zero would allow retries."""
+    """Return the parts of one count.
+
+    Negative counts are rejected, since they would allow extra retries.
+    """
     if not isinstance(value, list) or len(value) > retry_window.KEPT:
-        raise ValueError("no list of counts")
+        raise ValueError("expected a list of counts that is not too long")
     parts: list[retry_window.Part] = []
-    for number, ago, requests, retries in value:
+    for number, age, requests, retries in value:
         counts = (number, requests, retries)
         if not all(type(one) is int and one >= 0 for one in counts):
-            raise ValueError("counts that are none")
-        if not 0.0 <= ago < math.inf:
-            raise ValueError("a time that is none")
-        parts.append(retry_window.Part(number, float(ago), requests, retries))
+            raise ValueError(
+                f"expected integers of at least 0 as counts, got {counts!r}"
+            )
+        if not 0.0 <= age < math.inf:
+            raise ValueError(f"expected a finite age of at least 0 s, got {age!r}")
+        parts.append(retry_window.Part(number, float(age), requests, retries))
     return tuple(parts)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
@@ -1,4 +1,4 @@
-"""What this VM counts of the retries of each service, and what others have told it."""
+"""Counts the retries of each service, including the counts received from other VMs."""
 
 from __future__ import annotations
 
@@ -14,31 +14,34 @@
 from . import datagrams, members
 
 SLACK_SHARE = 0.65
-"""Share of the slack of retries that the dispatchers of a service give out. What is
-left is for what they have not told each other yet, and for retries that take long to
+"""Share of the retry slack that the dispatchers of a service grant. The rest covers
+grants that they have not announced to each other yet, and retries that take long to
 arrive."""
 
 INITIAL_SLACK_SHARE = 0.25
-"""The same for one that does not know what others have given out: the one before it
-may have given out its own share just now."""
+"""The same share for a dispatcher that does not know what others have granted: its
+predecessor may just have granted its own share."""
 
 MAX_GAP_S = 2.5
-"""Seconds without an ask or a word from others after which a VM counts as one that has
-just begun: whoever may have to dispatch is told whole counts each second."""
+"""Seconds without slot requests or updates for a service after which a VM starts
+counting again: every VM that may become its dispatcher receives full counts each
+second."""
 
 MAX_UNSENT_SHARE = 0.1
-"""Share of the slack of retries that is given out until the other dispatchers are told
-at once: so much of what one has given out is unknown to the next at most."""
+"""Share of the retry slack whose grants may be unsent before an update is sent at once.
+It limits the grants that the next dispatcher does not know about."""
 
 NEW_FLEET_DURATION_S = 1.0
-"""Seconds after the first request of a service that a VM of a new fleet sees for which
-it knows that nobody has given out any retry: all see their first ones about then."""
+"""Seconds after the first request of a service during which a VM of a new fleet assumes
+that no retry has been granted: all VMs see their first requests at about the same
+time."""
 
 KEPT_WINDOWS = 3
-"""Spans for which the counts of a service without targets are kept."""
+"""Number of budget windows for which the counts of a service without targets are
+kept."""
 
 MAX_PARTS_PER_DATAGRAM = 1_500
-"""Parts of counts in one datagram, to which those of one count may be added."""
+"""Number of parts from which a datagram is sent. The last count added may exceed it."""
 
 Announce = collections.abc.Callable[[str], None]
 IsAlone = collections.abc.Callable[[str], bool]
@@ -46,52 +49,52 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetryBudget:
-    """The retries that a service may get."""
+    """Limit on the retries of a service."""
 
     ratio: float
-    """Retries per request."""
+    """Retries allowed per request."""
 
     slack: float
-    """Retries beyond that."""
+    """Additional retries allowed in each window."""
 
     window: float
-    """Seconds over which both are counted."""
+    """Length in seconds of the window over which both are counted."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetryTotals:
-    """What a VM has counted of the retries of a service."""
+    """Totals counted by this VM for a service."""
 
     requests: int
-    """Requests that it was the first to be asked for."""
+    """Requests whose first slot request came to this VM."""
 
     spent: int
-    """Retries that it gave out, without those that were returned."""
+    """Retries granted, without those that were returned."""
 
     resent: int
-    """Of these, sendings on a second connection, for which it was not asked."""
+    """Of these, requests resent on a second connection without a slot request."""
 
     returned: int
-    """Retries that reached no target."""
+    """Retries returned because they reached no target."""
 
     left: float
-    """How many more it may give out now."""
+    """Retries that may still be granted now."""
 
 
 class RetryCounts:
-    """Counts of all services that this VM dispatches, or may have to.
+    """Counts for all services that this VM dispatches or may have to dispatch.
 
     Parameters
     ----------
     fleet : members.Members
-        The VMs.
+        The VMs of the fleet.
     budget : RetryBudget
-        Retries allowed.
+        Limit on the retries of each service.
     is_alone : callable
-        Returns whether no other VM asks here for targets of a service.
+        Returns whether no other VM requests slots of a service here.
     is_new_fleet : bool, optional
-        Whether this VM starts together with the whole fleet, so that nobody has given
-        out any retry before.
+        Whether this VM starts together with the whole fleet, so that no retry was
+        granted before.
     """
 
     def __init__(
@@ -115,17 +118,17 @@
         self._announce: Announce = _announce_nothing
 
     def use_announcer(self, announce: Announce) -> None:
-        """Call this with a service of whose retries other dispatchers shall hear."""
+        """Set the callback that sends a service's counts to other dispatchers."""
         self._announce = announce
 
     def use_budget(self, budget: RetryBudget, now: float) -> None:
-        """Give out retries by this budget from now on."""
+        """Apply this budget from now on."""
         self._budget = budget
         for window in self._windows.values():
             window.use(budget.ratio, budget.window, now)
 
     def open(self, service: str, now: float) -> retry_window.RetryWindow:
-        """Return the counts of a service: those of all its shards together."""
+        """Return the retry window of a service, shared by all its shards."""
         window = self._windows.get(service)
         if window is None:
             window = self._windows[service] = retry_window.RetryWindow(
@@ -138,11 +141,11 @@
         return window
 
     def record_request(self, service: str, now: float) -> None:
-        """Take in that a caller asks this VM for a service."""
+        """Record that this VM received a request for a service."""
         self._first_seen.setdefault(service, now)
 
     def record_activity(self, service: str, now: float) -> None:
-        """Take in that this VM dispatches a service, or is told of those who do."""
+        """Record that this VM dispatches a service, or received counts of it."""
         gap = now - self._active_at.get(service, -math.inf)
         if gap > MAX_GAP_S:
             self._counting_since[service] = now
@@ -153,41 +156,41 @@
         self._active_at[service] = now
 
     def announce_unsent(self, service: str) -> None:
-        """Let the others hear at once where much has been given out."""
-        untold = self._windows[service].untold
-        if untold and untold >= MAX_UNSENT_SHARE * self._budget.slack:
+        """Announce the counts at once if many granted retries are unsent."""
+        unsent = self._windows[service].untold
+        if unsent and unsent >= MAX_UNSENT_SHARE * self._budget.slack:
             self._announce(service)
 
     def make_updates(
         self, service: str, now: float, is_whole: bool
     ) -> list[datagrams.RetryCounts]:
-        """Return what was counted here lately of a service, or all that is known.
+        """Return messages with the recent counts of this VM, or with all known counts.
 
-        Where many VMs decide alone, it does not fit one datagram.
+        If many VMs decide alone, the counts do not fit into one datagram.
         """
-        is_sure = is_whole and self._is_fully_informed(service, now)
-        told: list[datagrams.RetryCounts] = []
+        is_complete = is_whole and self._is_fully_informed(service, now)
+        updates: list[datagrams.RetryCounts] = []
         counts: list[retry_window.Count] = []
         for count in self.open(service, now).tell(now, is_whole):
             counts.append(count)
             if sum(len(parts) for _, parts in counts) >= MAX_PARTS_PER_DATAGRAM:
-                told.append(datagrams.RetryCounts(service, tuple(counts)))
+                updates.append(datagrams.RetryCounts(service, tuple(counts)))
                 counts = []
-        if counts or (is_sure and told):
-            told.append(datagrams.RetryCounts(service, tuple(counts), is_sure))
-        return told
-
-    def apply_update(self, told: datagrams.RetryCounts, now: float) -> None:
-        """Take in what another VM knows."""
-        window = self.open(told.service, now)
-        for count in told.counts:
+        if counts or (is_complete and updates):
+            updates.append(datagrams.RetryCounts(service, tuple(counts), is_complete))
+        return updates
+
+    def apply_update(self, update: datagrams.RetryCounts, now: float) -> None:
+        """Merge counts received from another VM."""
+        window = self.open(update.service, now)
+        for count in update.counts:
             window.take(count, now)
-        self.record_activity(told.service, now)
-        if told.is_complete:
-            self._fully_informed.add(told.service)
+        self.record_activity(update.service, now)
+        if update.is_complete:
+            self._fully_informed.add(update.service)
 
     def find_totals(self, service: str, now: float) -> RetryTotals:
-        """Return what was counted here of a service since this VM counts for it."""
+        """Return the totals of a service since this VM started counting it."""
         window = self.open(service, now)
         left = max(0.0, window.find_left(now))
         return RetryTotals(
@@ -199,12 +202,12 @@
         )
 
     def count_requests(self, service: str) -> int:
-        """Return the requests of a service that were counted here."""
+        """Return the number of requests of a service counted here."""
         window = self._windows.get(service)
         return window.requests if window is not None else 0
 
     def reset(self) -> None:
-        """Begin a new count, as a process that starts does."""
+        """Discard all counts and count under a new name, as after a process start."""
         self._windows.clear()
         self._counting_since.clear()
         self._active_at.clear()
@@ -215,9 +218,9 @@
     def remove_gone_services(
         self, services: collections.abc.Container[str], now: float
     ) -> None:
-        """Forget services other than these, once nothing counted of them matters.
+        """Remove services other than `services` once their counts have expired.
 
-        One whose targets are all gone for a moment may be back in the next.
+        A service whose targets are all gone may have targets again a moment later.
         """
         oldest = now - KEPT_WINDOWS * self._budget.window
         for service in list(self._windows):
@@ -228,13 +231,13 @@
             self._fully_informed.discard(service)
 
     def _find_slack(self, service: str) -> float:
-        """Return the retries that the dispatchers may give out beyond the share.
+        """Return the retries that dispatchers may grant beyond the ratio of requests.
 
-        VMs that reach no common dispatcher each decide alone. With the whole slack
-        for each, a fleet of them would go beyond it many times over.
+        VMs that reach no common dispatcher each decide alone. If each used the whole
+        slack, the fleet would exceed it many times over.
         """
-        is_sure = self._is_fully_informed(service, anyio.current_time())
-        share = SLACK_SHARE if is_sure else INITIAL_SLACK_SHARE
+        is_informed = self._is_fully_informed(service, anyio.current_time())
+        share = SLACK_SHARE if is_informed else INITIAL_SLACK_SHARE
         if self._is_alone(service):
             share /= self._fleet.count()
         return share * self._budget.slack
@@ -247,10 +250,11 @@
         return retry_window.Basis.NONE
 
     def _is_fully_informed(self, service: str, now: float) -> bool:
-        """Return whether this VM knows of all retries that were given out lately.
+        """Return whether this VM knows all retries granted within the window.
 
-        It does where it was told by one that does, where it has dispatched or been told
-        for a whole span, and where requests of a new fleet have just begun.
+        It does if a VM that knows them sent their counts, if it has dispatched or
+        received counts for a whole window, or if the first requests of a new fleet
+        have just arrived.
         """
         if service in self._fully_informed:
             return True
@@ -258,10 +262,10 @@
         return now - since >= self._budget.window
 
     def _make_counter_name(self) -> str:
-        """Return a name for what is counted here from now on."""
+        """Return a new unique name for the counts of this VM."""
         own = self._fleet.own
         return f"{own.vm}:{own.incarnation}:{next(self._numbers)}"
 
 
 def _announce_nothing(service: str) -> None:
-    """Leave it to the regular telling."""
+    """Do nothing: the periodic updates contain the counts."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_dependencies.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_dependencies.py
@@ -1,4 +1,4 @@
-"""What all runs of a VM work with."""
+"""Collaborators shared by all runs of a VM."""
 
 from __future__ import annotations
 
@@ -12,42 +12,43 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunDependencies:
-    """What all runs of a VM work with."""
+    """Collaborators shared by all runs of a VM."""
 
     vm: str
     """Name of this VM."""
 
     data_centre: str
-    """Where it runs."""
+    """Data centre of this VM."""
 
     slots: ports.SlotSource
-    """Gets slots of targets."""
+    """Acquires and releases slots of targets."""
 
     exchange: ports.TargetExchange
-    """Sends to targets."""
+    """Sends requests to targets."""
 
     registry: targets.Registry
-    """Targets known."""
+    """Targets known to this VM."""
 
     unreachable: unreachable_targets.UnreachableTargets
-    """Targets that this VM leaves out."""
+    """Targets that this VM excludes because it could not connect to them."""
 
     recorder: request_recorder.RequestRecorder
-    """Decisions."""
+    """Writes attempts and answers to the log and the metrics."""
 
-    header_names: header_names.HeaderNames
-    """Headers of the platform."""
+    platform_headers: header_names.HeaderNames
+    """Names of the platform's headers."""
 
     make_ticket: collections.abc.Callable[[], str]
-    """Returns a name for an ask that is unique over the fleet."""
+    """Returns a ticket for a slot request, unique in the fleet."""
 
     suspects: ports.SuspectRecord
-    """Requests that crash their targets."""
+    """Record of requests suspected of crashing their targets."""
 
     is_down: collections.abc.Callable[
         [targets.Entry, float], collections.abc.Awaitable[bool]
     ]
-    """Returns whether a target refuses connections since an answer broke off."""
+    """Returns whether a target refuses connections after a response was cut off; takes
+    the target and the time of the cut."""
 
     check_suspension: collections.abc.Callable[[], None]
-    """Notices a suspension, and takes its time from all runs."""
+    """Detects a suspension of this VM and deducts its duration from all runs."""
--- a/tests/edge/test_earned_retries.py
+++ b/tests/edge/test_earned_retries.py
@@ -14,19 +14,19 @@
 Result = plan.Result
 
 
-class CountingSlots(scripted_run.ScriptedSlots):
+class RecordingSlots(scripted_run.ScriptedSlots):
     """Keeps what was asked."""
 
     def __init__(self, names: list[str]) -> None:
         super().__init__(names)
-        self.asked: list[messages.SlotRequest] = []
+        self.slot_requests: list[messages.SlotRequest] = []
 
     async def acquire(
-        self, ask: messages.SlotRequest
+        self, slot_request: messages.SlotRequest
     ) -> messages.Grant | messages.Refuse:
         """Return the next target."""
-        self.asked.append(ask)
-        return await super().acquire(ask)
+        self.slot_requests.append(slot_request)
+        return await super().acquire(slot_request)
 
 
 def test_request_whose_target_is_unreachable_earns_nothing_again() -> None:
@@ -35,15 +35,15 @@
     scripts = {
         f"t{n}": scripted_run.Script(result, 0.01) for n, result in enumerate(results)
     }
-    slots = CountingSlots(list(scripts))
+    slots = RecordingSlots(list(scripts))
     exchange = scripted_run.ScriptedTargets(scripts)
 
     async def main() -> None:
         await scripted_run.run_once(slots, exchange, list(scripts))
 
-    scripted_run.run_virtually(main)
-    assert [ask.attempt for ask in slots.asked] == [1, 1, 1]
-    assert [ask.is_first for ask in slots.asked] == [True, False, False]
+    scripted_run.run_in_virtual_time(main)
+    assert [ask.attempt for ask in slots.slot_requests] == [1, 1, 1]
+    assert [ask.is_first for ask in slots.slot_requests] == [True, False, False]
 
 
 @pytest.mark.parametrize(
--- a/tests/edge/test_local_dispatchers.py
+++ b/tests/edge/test_local_dispatchers.py
@@ -22,12 +22,12 @@
 
 pytestmark = pytest.mark.anyio
 
-ASK = messages.SlotRequest(
+SLOT_REQUEST = messages.SlotRequest(
     "t", shards.Shard("desk"), "r", True, 1, 0.0, 0.0, 2, "a", is_first=False
 )
 
 
-def make_desk(
+def make_dispatchers(
     vms: int, count: int = 1, is_new_fleet: bool = False
 ) -> tuple[local_dispatchers.LocalDispatchers, list[messages.Decision]]:
     now = anyio.current_time()
@@ -44,7 +44,7 @@
     ]
     registry.apply(entries, now)
     decisions: list[messages.Decision] = []
-    made = local_dispatchers.LocalDispatchers(
+    dispatchers = local_dispatchers.LocalDispatchers(
         fleet,
         registry,
         retry_counts.RetryBudget(0.2, 50.0, 10.0),
@@ -52,11 +52,11 @@
         lambda _, decision: decisions.append(decision),
         is_new_fleet,
     )
-    return made, decisions
+    return dispatchers, decisions
 
 
-def count_retries(
-    made: local_dispatchers.LocalDispatchers,
+def count_granted_retries(
+    dispatchers: local_dispatchers.LocalDispatchers,
     decisions: list[messages.Decision],
     vm: str,
 ) -> int:
@@ -64,41 +64,43 @@
     before = len(decisions)
     for n in range(100):
         ask = dataclasses.replace(
-            ASK, ticket=f"{vm}{n}", objective_at=now + 1, deadline_at=now + 2
+            SLOT_REQUEST, ticket=f"{vm}{n}", objective_at=now + 1, deadline_at=now + 2
         )
-        made.request_slot(vm, ask, now)
+        dispatchers.request_slot(vm, ask, now)
     return sum(isinstance(one, messages.Grant) for one in decisions[before:])
 
 
 async def test_vms_that_decide_alone_share_the_slack() -> None:
     # All VMs lose each other at once and each places its own requests. Callers repeat
     # and targets fail: with the whole slack for each, retries would pile up 36 fold.
-    made, decisions = make_desk(vms=20)
-    assert count_retries(made, decisions, "own") <= 50 / 20
+    made, decisions = make_dispatchers(vms=20)
+    assert count_granted_retries(made, decisions, "own") <= 50 / 20
 
 
 async def test_dispatcher_of_the_fleet_gives_less_than_half_of_the_slack() -> None:
     # Two VMs may take themselves for the dispatcher for a while.
-    made, decisions = make_desk(vms=20)
-    assert 10 < count_retries(made, decisions, "vm-1") <= 25
+    made, decisions = make_dispatchers(vms=20)
+    assert 10 < count_granted_retries(made, decisions, "vm-1") <= 25
 
 
 async def test_dispatcher_that_begins_knows_limits_that_others_told() -> None:
     # A target in need got all that its slots take from each new dispatcher.
-    made, decisions = make_desk(vms=20)
+    made, decisions = make_dispatchers(vms=20)
     now = anyio.current_time()
     opinion = datagrams.TargetEstimate("t1", 0.1, 1.0, 1.0, 0.8)
     told = datagrams.TargetEstimates(shards.Shard("desk"), (opinion,), (), "vm-3")
     made.apply_estimates(told, now)
-    assert count_retries(made, decisions, "vm-1") == 0
+    assert count_granted_retries(made, decisions, "vm-1") == 0
 
 
 async def test_old_word_of_another_dispatcher_brings_no_lifted_limit_back() -> None:
     # One that has little work may not have heard of the lift for long, and goes on to
     # tell of the limit.
-    made, decisions = make_desk(vms=20)
+    made, decisions = make_dispatchers(vms=20)
     now = anyio.current_time()
-    first = dataclasses.replace(ASK, attempt=1, deadline_at=now + 9, objective_at=now)
+    first = dataclasses.replace(
+        SLOT_REQUEST, attempt=1, deadline_at=now + 9, objective_at=now
+    )
     made.request_slot("vm-1", dataclasses.replace(first, ticket="k1"), now)
     good = messages.Outcome.GOOD
     whole = shards.Shard("desk")
@@ -111,9 +113,11 @@
 
 async def test_dispatcher_that_others_ask_does_not_wait_for_a_small_part() -> None:
     # It asked itself first, and took itself for one that decides alone.
-    made, decisions = make_desk(vms=20)
+    made, decisions = make_dispatchers(vms=20)
     now = anyio.current_time()
-    first = dataclasses.replace(ASK, attempt=1, deadline_at=now + 9, objective_at=now)
+    first = dataclasses.replace(
+        SLOT_REQUEST, attempt=1, deadline_at=now + 9, objective_at=now
+    )
     made.record_rate_limit("t1", 2.0, now)
     made.request_slot("own", dataclasses.replace(first, ticket="k1"), now)
     made.request_slot("vm-1", dataclasses.replace(first, ticket="k2"), now)
@@ -122,9 +126,11 @@
 
 
 async def test_vm_that_decides_alone_uses_a_part_of_a_limit() -> None:
-    made, decisions = make_desk(vms=20)
+    made, decisions = make_dispatchers(vms=20)
     now = anyio.current_time()
-    first = dataclasses.replace(ASK, attempt=1, deadline_at=now + 9, objective_at=now)
+    first = dataclasses.replace(
+        SLOT_REQUEST, attempt=1, deadline_at=now + 9, objective_at=now
+    )
     made.record_rate_limit("t1", 2.0, now)
     for number in range(50):
         made.request_slot("own", dataclasses.replace(first, ticket=f"k{number}"), now)
@@ -140,26 +146,27 @@
 async def test_dispatcher_gives_more_once_it_has_counted_for_a_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    made, decisions = make_desk(vms=20)
+    made, decisions = make_dispatchers(vms=20)
     assert (
-        count_retries(made, decisions, "vm-1") <= 50 * retry_counts.INITIAL_SLACK_SHARE
+        count_granted_retries(made, decisions, "vm-1")
+        <= 50 * retry_counts.INITIAL_SLACK_SHARE
     )
     begin = later = anyio.current_time()
     monkeypatch.setattr(anyio, "current_time", lambda: later)
     for second in range(1, 11):
         later = begin + second * 1.01
-        ask = dataclasses.replace(ASK, ticket=f"{second}", attempt=1)
+        ask = dataclasses.replace(SLOT_REQUEST, ticket=f"{second}", attempt=1)
         made.request_slot(
             "vm-1", dataclasses.replace(ask, deadline_at=later + 1), later
         )
     most = 50 * retry_counts.SLACK_SHARE
-    assert 25 < count_retries(made, decisions, "vm-2") <= most
+    assert 25 < count_granted_retries(made, decisions, "vm-2") <= most
 
 
 async def test_shards_share_the_slack_of_their_service() -> None:
     # A service in four shards has four dispatchers. With the slack of the service for
     # each, retries would be four times what its targets may get.
-    made, decisions = make_desk(vms=20, count=100)
+    made, decisions = make_dispatchers(vms=20, count=100)
     now = anyio.current_time()
     made.update_targets(now)
     divided = made.list_shards("desk")
@@ -167,7 +174,7 @@
     for shard in divided:
         for n in range(100):
             ask = dataclasses.replace(
-                ASK,
+                SLOT_REQUEST,
                 ticket=f"{shard.index}/{n}",
                 shard=shard,
                 objective_at=now + 1,
@@ -181,13 +188,13 @@
 async def test_new_dispatcher_begins_with_what_others_thought() -> None:
     # A dispatcher is lost. The next one would take all targets for alike, and send
     # work that may run only once to those that were failing a moment ago.
-    made, _ = make_desk(vms=3)
+    made, _ = make_dispatchers(vms=3)
     now = anyio.current_time()
     opinion = datagrams.TargetEstimate("t1", 0.9, 3.0)
     made.apply_estimates(
         datagrams.TargetEstimates(shards.Shard("desk"), (opinion,), ()), now
     )
-    ask = dataclasses.replace(ASK, objective_at=now + 1, deadline_at=now + 2)
+    ask = dataclasses.replace(SLOT_REQUEST, objective_at=now + 1, deadline_at=now + 2)
     made.request_slot("vm-1", ask, now)
     [told] = made.summarize_estimates(shards.Shard("desk"), now).items
     assert told.failure_probability > 0.8
@@ -196,7 +203,7 @@
 
 async def test_dispatcher_that_begins_knows_what_others_have_given_out() -> None:
     # Guards against retries that are given out once more after a change of dispatcher.
-    made, decisions = make_desk(vms=20)
+    made, decisions = make_dispatchers(vms=20)
     now = anyio.current_time()
     made.update_targets(now)
     parts = (retry_window.Part(7, 1.0, 100, 50),)
@@ -204,14 +211,14 @@
     made.apply_retry_counts(
         datagrams.RetryCounts("desk", counts, is_complete=True), now
     )
-    assert count_retries(made, decisions, "vm-1") == 2
+    assert count_granted_retries(made, decisions, "vm-1") == 2
     counted = made.retries.find_totals("desk", now)
     assert (counted.requests, counted.spent) == (0, 2)
     assert counted.left < 1.0
 
 
 async def test_counts_of_services_that_nobody_knows_are_not_kept() -> None:
-    made, _ = make_desk(vms=20)
+    made, _ = make_dispatchers(vms=20)
     now = anyio.current_time()
     made.update_targets(now)
     parts = (retry_window.Part(7, 1.0, 100, 50),)
@@ -225,22 +232,22 @@
 
 async def test_many_retries_are_told_at_once() -> None:
     # Guards against retries that the next dispatcher does not hear of in time.
-    made, decisions = make_desk(vms=20)
+    made, decisions = make_dispatchers(vms=20)
     told: list[str] = []
     made.retries.use_announcer(told.append)
-    assert count_retries(made, decisions, "vm-1") >= 10
+    assert count_granted_retries(made, decisions, "vm-1") >= 10
     assert told
 
 
 async def test_dispatcher_that_was_away_counts_under_a_new_name() -> None:
     # Guards against counts of before a suspension that are added to at a later time.
-    made, decisions = make_desk(vms=20)
+    made, decisions = make_dispatchers(vms=20)
     now = anyio.current_time()
-    count_retries(made, decisions, "vm-1")
+    count_granted_retries(made, decisions, "vm-1")
     [told] = made.retries.make_updates("desk", now, is_whole=True)
     [(before, _)] = told.counts
     made.reset()
-    count_retries(made, decisions, "vm-2")
+    count_granted_retries(made, decisions, "vm-2")
     [told] = made.retries.make_updates("desk", now, is_whole=True)
     [(after, _)] = told.counts
     assert before != after
@@ -248,7 +255,7 @@
 
 async def test_counts_of_many_vms_fit_their_datagrams() -> None:
     # Guards against counts that are not told at all where all VMs decided alone.
-    made, _ = make_desk(vms=20)
+    made, _ = make_dispatchers(vms=20)
     now = anyio.current_time()
     made.update_targets(now)
     parts = tuple(retry_window.Part(n, 10.0 - n / 10, 9, 9) for n in range(100))
@@ -263,8 +270,8 @@
 
 async def test_service_whose_targets_are_gone_for_a_moment_keeps_its_counts() -> None:
     # Guards against a second slack for a service that the store lacks for a second.
-    made, decisions = make_desk(vms=20)
-    count_retries(made, decisions, "vm-1")
+    made, decisions = make_dispatchers(vms=20)
+    count_granted_retries(made, decisions, "vm-1")
     now = anyio.current_time()
     before = made.retries.find_totals("desk", now).spent
     assert before
@@ -278,10 +285,10 @@
     # Guards against a fleet that has no retries for the first seconds of its traffic,
     # and against one that takes a later change of dispatcher for its start.
     for since, most in ((0.5, retry_counts.SLACK_SHARE), (5.0, 0.25)):
-        made, decisions = make_desk(vms=20, is_new_fleet=True)
+        made, decisions = make_dispatchers(vms=20, is_new_fleet=True)
         now = anyio.current_time()
         made.retries.record_request("desk", now - since)
-        granted = count_retries(made, decisions, "vm-1")
+        granted = count_granted_retries(made, decisions, "vm-1")
         assert 0.8 * most * 50 < granted <= most * 50
 
 
@@ -292,9 +299,9 @@
     told = datagrams.RetryCounts("desk", (("vm-9:1:0", parts),), is_complete=True)
     granted: list[int] = []
     for ago in (1.0, 5.0):
-        made, decisions = make_desk(vms=20)
+        made, decisions = make_dispatchers(vms=20)
         made.update_targets(now)
         made.apply_retry_counts(told, now - ago)
-        granted.append(count_retries(made, decisions, "vm-1"))
+        granted.append(count_granted_retries(made, decisions, "vm-1"))
     assert granted[0] == 100
     assert granted[1] <= 50 * retry_counts.INITIAL_SLACK_SHARE
--- a/tests/edge/test_placement.py
+++ b/tests/edge/test_placement.py
@@ -48,7 +48,7 @@
             self.sent_messages.append((member.vm, message))
             self.answer(member.vm, message)
 
-    def list_asked(self) -> list[str]:
+    def list_asked_vms(self) -> list[str]:
         return [
             vm
             for vm, one in self.sent_messages
@@ -88,7 +88,7 @@
     def now(self) -> float:
         return anyio.current_time()
 
-    def make_ask(self, ticket: str = "t:1") -> messages.SlotRequest:
+    def make_slot_request(self, ticket: str = "t:1") -> messages.SlotRequest:
         return messages.SlotRequest(
             ticket,
             shards.Shard(self.service),
@@ -128,9 +128,9 @@
 async def test_first_in_rank_is_asked_and_told_the_outcome() -> None:
     one = Fixture()
     one.answer_with_grant(one.first)
-    answer = await one.placement.acquire(one.make_ask())
+    answer = await one.placement.acquire(one.make_slot_request())
     assert isinstance(answer, messages.Grant)
-    assert one.link.list_asked() == [one.first]
+    assert one.link.list_asked_vms() == [one.first]
     report = messages.Report(
         "t:1", shards.Shard(one.service), "t1", messages.Outcome.GOOD, 0.1, "own"
     )
@@ -143,20 +143,20 @@
     # unanswered asks are enough to go on, and later requests do not ask it again.
     one = Fixture()
     one.answer_with_grant(one.second)
-    ask = one.make_ask()
+    ask = one.make_slot_request()
     assert isinstance(await one.placement.acquire(ask), messages.Grant)
     assert sum(placement.ANSWER_TIMEOUTS_S) < 0.1
     assert one.now < ask.objective_at
-    assert one.link.list_asked() == [one.first, one.first, one.second]
-    await one.placement.acquire(one.make_ask("t:2"))
-    assert one.link.list_asked()[3:] == [one.second]
+    assert one.link.list_asked_vms() == [one.first, one.first, one.second]
+    await one.placement.acquire(one.make_slot_request("t:2"))
+    assert one.link.list_asked_vms()[3:] == [one.second]
 
 
 async def test_ask_given_up_is_taken_back() -> None:
     # The grant of the silent one may still be on its way, and would hold a slot.
     one = Fixture()
     one.answer_with_grant(one.second)
-    await one.placement.acquire(one.make_ask())
+    await one.placement.acquire(one.make_slot_request())
     reports = [
         (vm, message.outcome)
         for vm, message in one.link.sent_messages
@@ -179,7 +179,7 @@
             lambda _, decision: one.placement.handle_decision(decision),
         )
     )
-    answer = await one.placement.acquire(one.make_ask())
+    answer = await one.placement.acquire(one.make_slot_request())
     assert isinstance(answer, messages.Grant)
     assert answer.target_id == "t1"
 
@@ -187,9 +187,9 @@
 async def test_new_dispatcher_hears_of_the_slots_in_use() -> None:
     one = Fixture()
     one.answer_with_grant(one.first, one.second)
-    await one.placement.acquire(one.make_ask("t:1"))
+    await one.placement.acquire(one.make_slot_request("t:1"))
     one.fleet.suspect(one.first, one.now)
-    await one.placement.acquire(one.make_ask("t:2"))
+    await one.placement.acquire(one.make_slot_request("t:2"))
     adopted = [
         (vm, message.held.slot_request.ticket)
         for vm, message in one.link.sent_messages
@@ -207,9 +207,9 @@
 
     one.link.answer = answer
     with anyio.move_on_after(0.7):
-        await one.placement.acquire(one.make_ask())
-    assert set(one.link.list_asked()) == {one.first}
-    assert 3 <= len(one.link.list_asked()) <= 6
+        await one.placement.acquire(one.make_slot_request())
+    assert set(one.link.list_asked_vms()) == {one.first}
+    assert 3 <= len(one.link.list_asked_vms()) <= 6
 
 
 async def test_deadline_of_an_ask_that_waits_makes_no_dispatcher_suspect() -> None:
@@ -222,7 +222,7 @@
             site.placement.handle_decision(messages.Wait(message.ask.ticket))
 
     site.link.answer = answer
-    ask = dataclasses.replace(site.make_ask(), deadline_at=site.now + 0.3)
+    ask = dataclasses.replace(site.make_slot_request(), deadline_at=site.now + 0.3)
     refused = await site.placement.acquire(ask)
     assert isinstance(refused, messages.Refuse)
     assert refused.reason is messages.RefusalReason.TOO_LATE
@@ -234,14 +234,14 @@
 async def test_caller_that_leaves_gives_its_place_back() -> None:
     one = Fixture()
     with anyio.move_on_after(0.01):
-        await one.placement.acquire(one.make_ask())
+        await one.placement.acquire(one.make_slot_request())
     vm, message = one.link.sent_messages[-1]
     assert vm == one.first
     assert isinstance(message, messages.Report)
     assert message.outcome is messages.Outcome.UNUSED
 
 
-def divide(one: Fixture, targets_count: int) -> None:
+def divide_service(one: Fixture, targets_count: int) -> None:
     """Let the service have so many targets that it is divided."""
     entries = [
         dataclasses.replace(
@@ -253,7 +253,7 @@
     one.local_dispatchers.update_targets(one.now)
 
 
-def list_shards_asked(one: Fixture) -> list[shards.Shard]:
+def list_requested_shards(one: Fixture) -> list[shards.Shard]:
     return [
         message.ask.shard
         for _, message in one.link.sent_messages
@@ -271,7 +271,7 @@
     # One shard of four has lost its targets, or their slots are all taken, while the
     # others have free ones. The caller would be refused although it can be served.
     one = Fixture()
-    divide(one, 100)
+    divide_service(one, 100)
     refusing: list[shards.Shard] = []
 
     def answer(vm: str, message: datagrams.Message) -> None:
@@ -286,9 +286,9 @@
         one.placement.handle_decision(decision)
 
     one.link.answer = answer
-    answered = await one.placement.acquire(one.make_ask())
+    answered = await one.placement.acquire(one.make_slot_request())
     assert isinstance(answered, messages.Grant)
-    first, second = list_shards_asked(one)
+    first, second = list_requested_shards(one)
     assert first != second
     assert {first.count, second.count} == {4}
 
@@ -297,7 +297,7 @@
     # All shards are full. Asking each of them in turn would hold the caller back and
     # load dispatchers that have nothing to give.
     one = Fixture()
-    divide(one, 100)
+    divide_service(one, 100)
 
     def answer(vm: str, message: datagrams.Message) -> None:
         if isinstance(message, datagrams.SlotRequested):
@@ -306,9 +306,9 @@
             one.placement.handle_decision(refuse)
 
     one.link.answer = answer
-    answered = await one.placement.acquire(one.make_ask())
+    answered = await one.placement.acquire(one.make_slot_request())
     assert isinstance(answered, messages.Refuse)
-    assert len(list_shards_asked(one)) == placement.MAX_SHARDS
+    assert len(list_requested_shards(one)) == placement.MAX_SHARDS
 
 
 async def test_slots_in_use_follow_their_targets_into_new_shards() -> None:
@@ -317,12 +317,12 @@
     one = Fixture()
     vms = ("vm-1", "vm-2")
     one.answer_with_grant(*vms)
-    await one.placement.acquire(one.make_ask("t:1"))
-    divide(one, 100)
+    await one.placement.acquire(one.make_slot_request("t:1"))
+    divide_service(one, 100)
     one.placement.use_local_dispatchers(one.local_dispatchers)
     one.link.sent_messages.clear()
     for n in range(40):
-        await one.placement.acquire(one.make_ask(f"n:{n}"))
+        await one.placement.acquire(one.make_slot_request(f"n:{n}"))
     moved = [
         message.held.slot_request.shard
         for _, message in one.link.sent_messages
@@ -363,6 +363,6 @@
         one.placement.handle_decision(decision)
 
     one.link.answer = answer
-    answered = await one.placement.acquire(one.make_ask())
+    answered = await one.placement.acquire(one.make_slot_request())
     assert isinstance(answered, messages.Grant) is is_known
-    assert (one.second in one.link.list_asked()) is is_known
+    assert (one.second in one.link.list_asked_vms()) is is_known
--- a/tests/edge/test_request_run.py
+++ b/tests/edge/test_request_run.py
@@ -29,7 +29,7 @@
         }
     )
     assert (seen.status, seen.body) == (200, b"t1")
-    assert seen.broken_off == ()
+    assert seen.cancelled == ()
 
 
 def test_overdue_attempt_goes_on_when_its_backup_is_unknown_here() -> None:
@@ -39,7 +39,7 @@
             "t1": scripted_run.Script(Result.ANSWERED, 0.8),
             "t2": scripted_run.Script(Result.ANSWERED, 0.1),
         },
-        known=["t1"],
+        known_targets=["t1"],
     )
     assert (seen.status, seen.body) == (200, b"t1")
 
@@ -58,7 +58,7 @@
         }
     )
     assert (seen.status, seen.body) == (200, b"t2")
-    assert seen.broken_off == ("t1",)
+    assert seen.cancelled == ("t1",)
     assert set(seen.outcomes) == {messages.Outcome.GOOD, messages.Outcome.SILENT}
 
 
@@ -71,7 +71,7 @@
         }
     )
     assert (seen.status, seen.body) == (200, b"t1")
-    assert seen.broken_off == ("t2",)
+    assert seen.cancelled == ("t2",)
     assert set(seen.outcomes) == {messages.Outcome.GOOD, messages.Outcome.ABANDONED}
 
 
@@ -107,7 +107,7 @@
     )
     assert seen.status == 504
     assert b"stopping" in seen.body
-    assert seen.took == pytest.approx(0.7)
+    assert seen.duration == pytest.approx(0.7)
 
 
 def test_request_without_a_slot_is_told_not_to_have_run_when_the_process_ends() -> None:
@@ -139,8 +139,8 @@
     # the answer of another one, or at the deadline.
     named = {f"t{number}": script for number, script in enumerate(scripts)}
     seen = scripted_run.play(named, work, attempts, [f"t{number}" for number in known])
-    if seen.broken_off and seen.took < scripted_run.TIME_LIMIT:
+    if seen.cancelled and seen.duration < scripted_run.TIME_LIMIT_S:
         assert seen.status == 200
     if seen.status == 200:
         assert named[seen.body.decode()].result is Result.ANSWERED
-    assert seen.took <= scripted_run.TIME_LIMIT + 0.001
+    assert seen.duration <= scripted_run.TIME_LIMIT_S + 0.001
--- a/tests/edge/test_run_races.py
+++ b/tests/edge/test_run_races.py
@@ -53,13 +53,17 @@
     """Grants without a wait, as a VM's own dispatcher does."""
 
     async def acquire(
-        self, ask: messages.SlotRequest
+        self, slot_request: messages.SlotRequest
     ) -> messages.Grant | messages.Refuse:
         """Return the next target."""
         if not self.names:
             reason = messages.RefusalReason.OVERLOADED
-            return messages.Refuse(ask.ticket, reason, ask.deadline_at)
-        return messages.Grant(ask.ticket, self.names.pop(0), 0.0, runs.EXPECTED)
+            return messages.Refuse(
+                slot_request.ticket, reason, slot_request.deadline_at
+            )
+        return messages.Grant(
+            slot_request.ticket, self.names.pop(0), 0.0, runs.EXPECTED_DURATION_S
+        )
 
 
 def play_timed(
@@ -78,7 +82,7 @@
         seen.append((reply.status, reply.body))
 
     if backend == "trio":
-        runs.run_virtually(main)
+        runs.run_in_virtual_time(main)
     else:
         anyio.run(main, backend="asyncio", backend_options={"use_uvloop": True})
     return seen[0]
@@ -101,12 +105,12 @@
     assert statuses == {200 if last is Result.ANSWERED else 500}
 
 
-class FailingAsOverdue(runs.ScriptedTargets):
+class FailingWhenOverdue(runs.ScriptedTargets):
     """The first attempt ends by an error in the turn in which it becomes overdue."""
 
     def __init__(self, scripts: dict[str, runs.Script], turn: anyio.Event) -> None:
         super().__init__(scripts)
-        self._turn = turn
+        self._overdue = turn
 
     async def attempt(
         self,
@@ -120,7 +124,7 @@
             return await super().attempt(target, request, work, mark_sent)
         mark_sent()
         await anyio.sleep(0.4)
-        self._turn.set()
+        self._overdue.set()
         answer = http_exchange.Answer(500, [], b"t1", True, b"")
         return target_client.Attempt(Result.ERROR, answer, "500")
 
@@ -141,12 +145,12 @@
 
         monkeypatch.setattr(anyio, "sleep_until", wait_for_turn)
         scripts = {"t2": runs.Script(Result.ANSWERED, 0.1)}
-        exchange = FailingAsOverdue(scripts, turn)
+        exchange = FailingWhenOverdue(scripts, turn)
         slots = InstantSlots(["t1", "t2"])
         reply = await runs.run_once(slots, exchange, ["t1", "t2"])
         seen.append((reply.status, reply.body))
 
-    runs.run_virtually(main)
+    runs.run_in_virtual_time(main)
     assert seen in ([(500, b"t1")], [(200, b"t2")])
 
 
@@ -177,7 +181,7 @@
         reply = await runs.run_once(slots, FaultyBackup(scripts), ["t1", "t2"])
         seen.append(reply.status)
 
-    runs.run_virtually(main)
+    runs.run_in_virtual_time(main)
     assert seen == [200]
 
 
--- a/tests/edge/test_stop_corners.py
+++ b/tests/edge/test_stop_corners.py
@@ -314,7 +314,7 @@
             await anyio.sleep(0.1)
             caller.mark_disconnected()
 
-    scripted_run.run_virtually(main)
+    scripted_run.run_in_virtual_time(main)
     assert slots.names == ["t2"]
 
 
@@ -323,7 +323,7 @@
     # is told that the target was silent, which counts as a failure of the target.
     scripts = {"t1": scripted_run.Script(plan.Result.ANSWERED, 1.5)}
     seen = scripted_run.play(scripts, services.Work.AT_MOST_ONCE, ends_at=0.3)
-    assert seen.broken_off == ("t1",)
+    assert seen.cancelled == ("t1",)
     assert seen.outcomes == (messages.Outcome.ABANDONED,)
 
 
@@ -362,5 +362,5 @@
     async def main() -> None:
         await scripted_run.run_once(slots, exchange, list(scripts))
 
-    scripted_run.run_virtually(main)
+    scripted_run.run_in_virtual_time(main)
     assert len(exchange.sent_to) <= 2, exchange.sent_to
--- a/tests/edge/test_suspect_exchange.py
+++ b/tests/edge/test_suspect_exchange.py
@@ -118,7 +118,7 @@
             await steps(network)
             group.cancel_scope.cancel()
 
-    scripted_run.run_virtually(main)
+    scripted_run.run_in_virtual_time(main)
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
--- a/tests/scripted_run.py
+++ b/tests/scripted_run.py
@@ -26,8 +26,8 @@
     unreachable_targets,
 )
 
-TIME_LIMIT = 2.0
-EXPECTED = 0.1
+TIME_LIMIT_S = 2.0
+EXPECTED_DURATION_S = 0.1
 """Expected seconds of work: an attempt without doubt is overdue after four times it."""
 
 Result = plan.Result
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seen:
+class RunResult:
     """How a run went."""
 
     status: int
@@ -58,10 +58,10 @@
     body: bytes
     """Body that the caller got."""
 
-    took: float
+    duration: float
     """Seconds until then."""
 
-    broken_off: tuple[str, ...]
+    cancelled: tuple[str, ...]
     """Targets whose attempt was broken off."""
 
     outcomes: tuple[messages.Outcome, ...]
@@ -76,14 +76,18 @@
         self.outcomes: list[messages.Outcome] = []
 
     async def acquire(
-        self, ask: messages.SlotRequest
+        self, slot_request: messages.SlotRequest
     ) -> messages.Grant | messages.Refuse:
         """Return the next target."""
         await anyio.sleep(0.001)
         if not self.names:
             reason = messages.RefusalReason.OVERLOADED
-            return messages.Refuse(ask.ticket, reason, ask.deadline_at)
-        return messages.Grant(ask.ticket, self.names.pop(0), 0.0, EXPECTED)
+            return messages.Refuse(
+                slot_request.ticket, reason, slot_request.deadline_at
+            )
+        return messages.Grant(
+            slot_request.ticket, self.names.pop(0), 0.0, EXPECTED_DURATION_S
+        )
 
     def report(self, report: messages.Report) -> None:
         """Take in how an attempt went."""
@@ -95,7 +99,7 @@
 
     def __init__(self, scripts: dict[str, Script]) -> None:
         self.scripts = scripts
-        self.broken_off: list[str] = []
+        self.cancelled: list[str] = []
 
     def list_connected_targets(self, work: services.Work, now: float) -> list[str]:
         """Return none: every attempt opens a connection."""
@@ -119,7 +123,7 @@
         try:
             await anyio.sleep(script.after)
         except BaseException:
-            self.broken_off.append(target.target_id)
+            self.cancelled.append(target.target_id)
             raise
         status = {Result.ANSWERED: 200, Result.ERROR: 500}.get(script.result)
         if status is None:
@@ -130,7 +134,7 @@
         return target_client.Attempt(script.result, answer, str(status))
 
 
-class Unsuspected:
+class NoSuspects:
     """Knows of no request that crashes its targets."""
 
     def find_hold_end(self, fingerprint: str, now: float) -> float | None:
@@ -155,7 +159,7 @@
         host="h",
         path_prefix="/",
         work=work,
-        time_limit=TIME_LIMIT,
+        time_limit=TIME_LIMIT_S,
         objective=0.6,
         max_attempts=attempts,
         priority=0,
@@ -163,7 +167,7 @@
     )
 
 
-def make_parts(
+def make_dependencies(
     slots: ScriptedSlots, exchange: ScriptedTargets, names: list[str]
 ) -> run_dependencies.RunDependencies:
     registry = targets.Registry()
@@ -184,7 +188,7 @@
     ]
     registry.replace(entries, 1, 0.0)
     log = log_lines.LogLines("vm-1", os.open(os.devnull, os.O_WRONLY))
-    notes = request_recorder.RequestRecorder(
+    recorder = request_recorder.RequestRecorder(
         log, metrics.Metrics(), configuration.ConfigurationState()
     )
     return run_dependencies.RunDependencies(
@@ -194,10 +198,10 @@
         exchange,
         registry,
         unreachable_targets.UnreachableTargets(),
-        notes,
+        recorder,
         words.HEADERS,
         lambda: "ticket",
-        Unsuspected(),
+        NoSuspects(),
         exchange.is_down,
         lambda: None,
     )
@@ -216,18 +220,18 @@
 
     `ends_at` is when the process tells its runs to end, in seconds from now.
     """
-    parts = make_parts(slots, exchange, names)
+    dependencies = make_dependencies(slots, exchange, names)
     begin = anyio.current_time()
     request = http_exchange.Request(b"GET", b"/x", [], b"", False)
     caller = caller or calls.Caller()
     incoming = calls.Incoming(request, "h", begin, caller)
-    run = request_run.Run(parts, incoming, make_route(work, attempts), "desk")
+    run = request_run.Run(dependencies, incoming, make_route(work, attempts), "desk")
     if ends_at is not None:
         run.end_by(begin + ends_at)
     return await run.run()
 
 
-def run_virtually(
+def run_in_virtual_time(
     main: collections.abc.Callable[[], collections.abc.Awaitable],
 ) -> None:
     """Run a coroutine in virtual time."""
@@ -239,30 +243,30 @@
     scripts: dict[str, Script],
     work: services.Work = services.Work.IDEMPOTENT,
     attempts: int = 2,
-    known: list[str] | None = None,
+    known_targets: list[str] | None = None,
     ends_at: float | None = None,
-) -> Seen:
+) -> RunResult:
     """Run one request against these targets, which are granted in their order.
 
     `known` are the targets that this VM knows, all by default; `ends_at` is when the
     process tells its runs to end.
     """
     slots, exchange = ScriptedSlots(list(scripts)), ScriptedTargets(scripts)
-    seen: list[Seen] = []
+    results: list[RunResult] = []
 
     async def main() -> None:
-        names = list(scripts) if known is None else known
+        names = list(scripts) if known_targets is None else known_targets
         begin = anyio.current_time()
         reply = await run_once(slots, exchange, names, attempts, work, None, ends_at)
-        seen.append(
-            Seen(
+        results.append(
+            RunResult(
                 reply.status,
                 reply.body,
                 anyio.current_time() - begin,
-                tuple(exchange.broken_off),
+                tuple(exchange.cancelled),
                 tuple(slots.outcomes),
             )
         )
 
-    run_virtually(main)
-    return seen[0]
+    run_in_virtual_time(main)
+    return results[0]
