--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
@@ -183,13 +183,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RetryCounts:
+class RetryUsage:
     """What a VM knows of the requests and retries of a service."""
 
     service: str
     """The service."""
 
-    counts: tuple[retry_window.Count, ...]
+    counts: tuple[retry_window.CounterHistory, ...]
     """What it has counted, and what others have, each with the name of the counter."""
 
     is_complete: bool = False
@@ -221,7 +221,7 @@
     | SlotRequested
     | SlotHeld
     | SuspectRequests
-    | RetryCounts
+    | RetryUsage
     | messages.Grant
     | messages.Refuse
     | messages.Wait
@@ -291,7 +291,7 @@
             return ["k", message.vm, held.target_id, *_pack_ask(held.slot_request, now)]
         case SuspectRequests():
             return ["s", suspect_codec.pack(message.items, now)]
-        case RetryCounts():
+        case RetryUsage():
             counts = retry_codec.pack(message.counts)
             return ["t", message.service, counts, message.is_complete]
         case messages.Grant():
@@ -334,7 +334,7 @@
             return SuspectRequests(suspect_codec.unpack(rest[0], now))
         case "t":
             counts = retry_codec.unpack(rest[1])
-            return RetryCounts(str(rest[0]), counts, rest[2] is True)
+            return RetryUsage(str(rest[0]), counts, rest[2] is True)
         case "g":
             return messages.Grant(*rest)
         case "r":
@@ -428,7 +428,7 @@
 
 def pack_change(change: targets.Change, now: float) -> list[object]:
     """Return a change of a target as plain values."""
-    if isinstance(change, targets.Gone):
+    if isinstance(change, targets.Removal):
         return [change.target_id, change.position]
     cold_left = max(0.0, change.cold_until - now)
     return [
@@ -449,7 +449,7 @@
 def unpack_change(fields: list, now: float) -> targets.Change:
     """Return the change of a target in plain values."""
     if len(fields) == 2:
-        return targets.Gone(fields[0], fields[1])
+        return targets.Removal(fields[0], fields[1])
     target_id, position, service, host, port, data_centre, slots = fields[:7]
     phase, born, cold_left, *sequence = fields[7:]
     return targets.Entry(
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_messenger.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_messenger.py
@@ -133,7 +133,7 @@
                 )
             case datagrams.SlotHeld():
                 self._hearers.local_dispatchers.adopt(message.vm, message.held, now)
-            case datagrams.RetryCounts():
+            case datagrams.RetryUsage():
                 self._hearers.local_dispatchers.apply_retry_counts(message, now)
             case datagrams.SuspectRequests():
                 self._hearers.suspects.apply(message)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/forwarder.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/forwarder.py
@@ -194,4 +194,4 @@
         self._recorder.record_final_answer(
             request_recorder.Answer(request_id, status, reason)
         )
-        return replies.explain(status, reason, retry_after)
+        return replies.make_problem_reply(status, reason, retry_after)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
@@ -123,21 +123,21 @@
             if self._find_share(slot_request.shard) < 1.0:
                 _use_full_limits(known, now)
             self._alone_from[slot_request.shard] = now + ALONE_AFTER_S
-        self._deliver_decisions(known.ask(slot_request, now))
+        self._deliver_decisions(known.request_slot(slot_request, now))
         self.retries.announce_unsent(slot_request.shard.service)
 
     def report(self, report: messages.Report, now: float) -> None:
         """Release a slot and apply the outcome of its attempt."""
         self._requesters.pop(report.ticket, None)
         self._deliver_decisions(
-            self._open_dispatcher(report.shard, now).report(report, now)
+            self._open_dispatcher(report.shard, now).handle_report(report, now)
         )
         self.retries.announce_unsent(report.shard.service)
 
     def adopt(self, vm: str, held: messages.HeldSlot, now: float) -> None:
         """Count a slot as in use that another dispatcher granted to a VM."""
         self._requesters[held.slot_request.ticket] = (vm, now + TICKET_RETENTION_S)
-        self._open_dispatcher(held.slot_request.shard, now).adopt(held, now)
+        self._open_dispatcher(held.slot_request.shard, now).adopt_slot(held, now)
 
     def update_targets(self, now: float) -> None:
         """Update all dispatchers to the current targets of the registry."""
@@ -148,7 +148,7 @@
             service: shards.divide(service, entries)
             for service, entries in by_service.items()
         }
-        self._limits.forget_gone(now)
+        self._limits.remove_expired(now)
         self.retries.remove_gone_services(
             {*self._divisions, *self.list_services()}, now
         )
@@ -207,14 +207,14 @@
         if known is not None:
             self._apply_received_estimates(known, shard, now)
 
-    def apply_retry_counts(self, counts: datagrams.RetryCounts, now: float) -> None:
+    def apply_retry_counts(self, counts: datagrams.RetryUsage, now: float) -> None:
         """Merge the retry counts of another VM, if the service is known here."""
         if counts.service in self._divisions:
             self.retries.apply_update(counts, now)
 
     def record_rate_limit(self, target_id: str, rate: float, now: float) -> None:
         """Record a rate limit from a target's answer to this VM, infinite for none."""
-        self._limits.note(target_id, rate, now, now)
+        self._limits.record(target_id, rate, now, now)
 
     def _record_received_limit(
         self, estimate: datagrams.TargetEstimate, vm: str, now: float
@@ -229,7 +229,7 @@
             return
         due_at = now + estimate.next_request_in
         named_at = now - estimate.rate_limit_age
-        self._limits.note(estimate.target_id, estimate.rate_limit, due_at, named_at)
+        self._limits.record(estimate.target_id, estimate.rate_limit, due_at, named_at)
         for shard, known in self._dispatchers.items():
             state = known.pool.find(estimate.target_id)
             if state is not None:
@@ -291,7 +291,7 @@
             self._apply_limit(state, shard, now)
             heard = self._received_estimates.get(state.entry.target_id)
             if heard is not None:
-                state.set_opinion(
+                state.set_estimates(
                     heard[0].failure_probability, heard[0].slowness, heard[1]
                 )
 
@@ -332,7 +332,7 @@
     """Return a dispatcher's estimate of a target."""
     estimate = datagrams.TargetEstimate(
         state.entry.target_id,
-        round(state.belief.find_failing(now), 3),
+        round(state.failure_estimate.find_failing_probability(now), 3),
         round(state.slowness.find(now), 2),
     )
     if state.limit is None:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
@@ -98,7 +98,7 @@
         rng: random.Random,
     ) -> None:
         self._fleet = fleet
-        self._chooser = shards.Chooser(fleet.own.data_centre, rng)
+        self._chooser = shards.ShardChooser(fleet.own.data_centre, rng)
         self._link = link
         self._log = log
         self._local_dispatchers: local_dispatchers.LocalDispatchers | None = None
@@ -135,7 +135,7 @@
                 dataclasses.replace(slot_request, shard=shard)
             )
             slot_request = dataclasses.replace(slot_request, is_first=False)
-            self._chooser.note(shard, answer.pressure, anyio.current_time())
+            self._chooser.record_pressure(shard, answer.pressure, anyio.current_time())
             if (
                 isinstance(answer, messages.Grant)
                 or answer.reason not in OTHER_SHARD_REASONS
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
@@ -98,7 +98,7 @@
             ),
         )
         objective = min(limit, incoming.first_byte_at + route.objective)
-        self._plan = plan.Plan(route, plan.Times(objective, limit))
+        self._plan = plan.Plan(route, plan.Deadlines(objective, limit))
         self._scope = anyio.CancelScope(deadline=limit)
         self._is_ending = False
         self._logged_request = attempt_ends.LoggedRequest(
@@ -115,19 +115,19 @@
             return self._finish(await self._try_targets())
         has_left = self._incoming.caller.has_disconnected
         self._why = CALLER_LEFT if has_left else self._find_deadline_reason()
-        return self._finish(self._plan.expire())
+        return self._finish(self._plan.decide_final())
 
     def end_by(self, at: float) -> None:
         """Bring the deadline forward to `at`, because the process ends then."""
-        if at < self._plan.times.deadline_at:
+        if at < self._plan.deadlines.deadline_at:
             self._is_ending = True
-            self._plan.end_by(at)
+            self._plan.bring_deadline_forward(at)
             self._scope.deadline = at
 
     def compensate_suspension(self, seconds: float) -> None:
         """Shorten the remaining time by `seconds` that the clock did not count."""
-        self._plan.lose_time(seconds)
-        self._scope.deadline = self._plan.times.deadline_at
+        self._plan.compensate_suspension(seconds)
+        self._scope.deadline = self._plan.deadlines.deadline_at
 
     def _may_cancel(self) -> bool:
         """Return whether the run may be cancelled when the caller disconnects.
@@ -205,13 +205,13 @@
 
     def _find_overdue_at(self, grant: messages.Grant, now: float) -> float:
         """Return the time from which a backup attempt may start; infinite for never."""
-        left = self._plan.times.deadline_at - now
+        left = self._plan.deadlines.deadline_at - now
         factor = (
             OVERDUE_FACTOR
             + (OVERDUE_FACTOR_WHEN_FAILING - OVERDUE_FACTOR) * grant.failure_probability
         )
         overdue = max(MIN_OVERDUE_S, factor * grant.expected_duration)
-        if not self._plan.may_back_up:
+        if not self._plan.may_send_backup:
             return math.inf
         if left - overdue <= MIN_TIME_LEFT_FACTOR * grant.expected_duration:
             return math.inf
@@ -239,7 +239,7 @@
             group.start_soon(_attempt)
             await anyio.sleep_until(overdue_at)
             is_overdue = True
-            step = self._plan.find_next(anyio.current_time())
+            step = self._plan.decide_next(anyio.current_time())
             if step is plan.Step.TRY_AGAIN:
                 step = await self._try_targets()
             if self._plan.is_answered:
@@ -247,7 +247,7 @@
         if step is plan.Step.WAIT or self._plan.is_answered:
             # Attempts that end in the same iteration of the event loop may update the
             # plan in any order, so that `step` may be outdated.
-            return self._plan.find_next(anyio.current_time())
+            return self._plan.decide_next(anyio.current_time())
         return step
 
     async def _attempt(
@@ -275,7 +275,7 @@
         finally:
             now = anyio.current_time()
             if outcome is messages.Outcome.ABANDONED:
-                self._plan.break_off()
+                self._plan.abandon_attempt()
                 outcome, why = self._classify_cancellation(now, overdue_at)
             end = attempt_ends.AttemptEnd(
                 outcome, why, now - started, has_crashed, rate_limit, is_resent
@@ -295,7 +295,7 @@
                 self._incoming.request,
                 self._dependencies.platform_headers,
                 target,
-                self._plan.times.deadline_at - now,
+                self._plan.deadlines.deadline_at - now,
             )
             return await self._dependencies.exchange.attempt(
                 target,
@@ -311,7 +311,7 @@
         self, attempt: target_client.Attempt, target: targets.Entry, now: float
     ) -> plan.Step:
         if attempt.result is plan.Result.UNREACHABLE:
-            self._dependencies.unreachable.note(target.target_id, now)
+            self._dependencies.unreachable.record(target.target_id, now)
         if not self._plan.is_answered:
             self._why = attempt.detail
             self._answer = attempt.answer or self._answer
@@ -325,10 +325,10 @@
             return messages.Outcome.SILENT, OVERDUE
         if self._plan.is_answered:
             return messages.Outcome.ABANDONED, OTHER_ANSWERED
-        if self._is_ending and now >= self._plan.times.deadline_at:
+        if self._is_ending and now >= self._plan.deadlines.deadline_at:
             # The process is ending, which says nothing about the target.
             return messages.Outcome.ABANDONED, STOPPING
-        if now >= self._plan.times.deadline_at:
+        if now >= self._plan.deadlines.deadline_at:
             return messages.Outcome.SILENT, DEADLINE
         return messages.Outcome.ABANDONED, CALLER_LEFT
 
@@ -348,7 +348,7 @@
                 self._plan.attempts,
                 self._service,
                 self._route.name,
-                self._plan.times.objective_at - self._incoming.first_byte_at,
+                self._plan.deadlines.objective_at - self._incoming.first_byte_at,
             )
         )
         return reply
@@ -357,10 +357,12 @@
         if step is plan.Step.RELAY and self._answer is not None:
             headers = http_exchange.strip_connection_headers(self._answer.headers)
             return calls.Reply(self._answer.status, headers, self._answer.body)
-        if step is plan.Step.SAY_NOT_RUN:
-            return replies.explain(503, self._why, self._find_retry_after(now))
-        status = 504 if now >= self._plan.times.deadline_at else 502
-        return replies.explain(status, self._why)
+        if step is plan.Step.ANSWER_NOT_RUN:
+            return replies.make_problem_reply(
+                503, self._why, self._find_retry_after(now)
+            )
+        status = 504 if now >= self._plan.deadlines.deadline_at else 502
+        return replies.make_problem_reply(status, self._why)
 
     def _find_retry_after(self, now: float) -> float:
         """Return the Retry-After delay in seconds."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_codec.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_codec.py
@@ -9,7 +9,7 @@
 from zinniastand_core.dispatch import retry_window
 
 
-def pack(counts: collections.abc.Iterable[retry_window.Count]) -> list[object]:
+def pack(counts: collections.abc.Iterable[retry_window.CounterHistory]) -> list[object]:
     """Return counts as nested lists of plain values."""
     return [
         [counter, [list(dataclasses.astuple(part)) for part in parts]]
@@ -17,7 +17,7 @@
     ]
 
 
-def unpack(values: list) -> tuple[retry_window.Count, ...]:
+def unpack(values: list) -> tuple[retry_window.CounterHistory, ...]:
     """Return the counts that `pack` made into plain values.
 
     Raises
@@ -28,14 +28,14 @@
     return tuple((str(counter), _unpack_parts(parts)) for counter, parts in values)
 
 
-def _unpack_parts(value: object) -> tuple[retry_window.Part, ...]:
+def _unpack_parts(value: object) -> tuple[retry_window.Bucket, ...]:
     """Return the parts of one count.
 
     Negative counts are rejected, since they would allow extra retries.
     """
-    if not isinstance(value, list) or len(value) > retry_window.KEPT:
+    if not isinstance(value, list) or len(value) > retry_window.KEPT_BUCKETS:
         raise ValueError("expected a list of counts that is not too long")
-    parts: list[retry_window.Part] = []
+    parts: list[retry_window.Bucket] = []
     for number, age, requests, retries in value:
         counts = (number, requests, retries)
         if not all(type(one) is int and one >= 0 for one in counts):
@@ -44,5 +44,5 @@
             )
         if not 0.0 <= age < math.inf:
             raise ValueError(f"expected a finite age of at least 0 s, got {age!r}")
-        parts.append(retry_window.Part(number, float(age), requests, retries))
+        parts.append(retry_window.Bucket(number, float(age), requests, retries))
     return tuple(parts)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
@@ -125,7 +125,7 @@
         """Apply this budget from now on."""
         self._budget = budget
         for window in self._windows.values():
-            window.use(budget.ratio, budget.window, now)
+            window.set_bounds(budget.ratio, budget.window, now)
 
     def open(self, service: str, now: float) -> retry_window.RetryWindow:
         """Return the retry window of a service, shared by all its shards."""
@@ -157,34 +157,34 @@
 
     def announce_unsent(self, service: str) -> None:
         """Announce the counts at once if many granted retries are unsent."""
-        unsent = self._windows[service].untold
+        unsent = self._windows[service].unsent_retries
         if unsent and unsent >= MAX_UNSENT_SHARE * self._budget.slack:
             self._announce(service)
 
     def make_updates(
         self, service: str, now: float, is_whole: bool
-    ) -> list[datagrams.RetryCounts]:
+    ) -> list[datagrams.RetryUsage]:
         """Return messages with the recent counts of this VM, or with all known counts.
 
         If many VMs decide alone, the counts do not fit into one datagram.
         """
         is_complete = is_whole and self._is_fully_informed(service, now)
-        updates: list[datagrams.RetryCounts] = []
-        counts: list[retry_window.Count] = []
-        for count in self.open(service, now).tell(now, is_whole):
+        updates: list[datagrams.RetryUsage] = []
+        counts: list[retry_window.CounterHistory] = []
+        for count in self.open(service, now).export_counts(now, is_whole):
             counts.append(count)
             if sum(len(parts) for _, parts in counts) >= MAX_PARTS_PER_DATAGRAM:
-                updates.append(datagrams.RetryCounts(service, tuple(counts)))
+                updates.append(datagrams.RetryUsage(service, tuple(counts)))
                 counts = []
         if counts or (is_complete and updates):
-            updates.append(datagrams.RetryCounts(service, tuple(counts), is_complete))
+            updates.append(datagrams.RetryUsage(service, tuple(counts), is_complete))
         return updates
 
-    def apply_update(self, update: datagrams.RetryCounts, now: float) -> None:
+    def apply_update(self, update: datagrams.RetryUsage, now: float) -> None:
         """Merge counts received from another VM."""
         window = self.open(update.service, now)
         for count in update.counts:
-            window.take(count, now)
+            window.merge_counts(count, now)
         self.record_activity(update.service, now)
         if update.is_complete:
             self._fully_informed.add(update.service)
@@ -192,7 +192,7 @@
     def find_totals(self, service: str, now: float) -> RetryTotals:
         """Return the totals of a service since this VM started counting it."""
         window = self.open(service, now)
-        left = max(0.0, window.find_left(now))
+        left = max(0.0, window.find_remaining(now))
         return RetryTotals(
             window.requests,
             window.retries,
--- a/soak/plants.py
+++ b/soak/plants.py
@@ -86,7 +86,7 @@
         (
             Change(
                 f"{EDGE}/stopping.py",
-                "while served.is_owing() and anyio.current_time() < end:",
+                "while served.has_unfinished_work() and anyio.current_time() < end:",
                 "while False:",
             ),
         ),
@@ -124,8 +124,8 @@
         "draining",
         (
             Change(
-                f"{CORE}/deployment/places.py",
-                "return era * OFFSETS + offset",
+                f"{CORE}/deployment/positions.py",
+                "return era * OFFSETS_PER_ERA + offset",
                 "return offset",
             ),
         ),
--- a/tests/edge/test_datagrams.py
+++ b/tests/edge/test_datagrams.py
@@ -25,7 +25,7 @@
 MESSAGES = [
     datagrams.Hello(MEMBER, True),
     datagrams.Leaving("vm-1", 1),
-    datagrams.TargetUpdate("vm-1", 4, 20, 10, (ENTRY, targets.Gone("t2", 13))),
+    datagrams.TargetUpdate("vm-1", 4, 20, 10, (ENTRY, targets.Removal("t2", 13))),
     datagrams.VersionNotice("vm-1", 5),
     datagrams.TargetEstimates(
         SHARD, (datagrams.TargetEstimate("t1", 0.2, 1.5),), (("r", 0.2),)
@@ -47,8 +47,8 @@
             ("ffff2233aabbccdd", suspect.Suspect(answered_at=-2.0)),
         )
     ),
-    datagrams.RetryCounts(
-        "desk", (("vm-1:7:0", (retry_window.Part(40, 0.3, 12, 2),)),)
+    datagrams.RetryUsage(
+        "desk", (("vm-1:7:0", (retry_window.Bucket(40, 0.3, 12, 2),)),)
     ),
     messages.Grant("vm:1:2", "t1", 0.1, 0.2),
     messages.Refuse("vm:1:2", messages.RefusalReason.OVERLOADED, 2.0),
