--- a/tests/edge/test_earned_retries.py
+++ b/tests/edge/test_earned_retries.py
@@ -1,4 +1,4 @@
-"""A request earns retries once, whoever is asked for its targets."""
+"""A request adds to the retry budget once, whichever dispatchers it asks for slots."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class RecordingSlots(scripted_run.ScriptedSlots):
-    """Keeps what was asked."""
+    """Records the slot requests."""
 
     def __init__(self, names: list[str]) -> None:
         super().__init__(names)
@@ -24,13 +24,13 @@
     async def acquire(
         self, slot_request: messages.SlotRequest
     ) -> messages.Grant | messages.Refuse:
-        """Return the next target."""
+        """Return a slot of the next target, or a refusal."""
         self.slot_requests.append(slot_request)
         return await super().acquire(slot_request)
 
 
-def test_request_whose_target_is_unreachable_earns_nothing_again() -> None:
-    # Guards against requests that earn retries at each target that is not there.
+def test_request_with_unreachable_targets_is_counted_once() -> None:
+    # Guards against requests that add to the budget for each unreachable target.
     results = [Result.UNREACHABLE, Result.UNREACHABLE, Result.ANSWERED]
     scripts = {
         f"t{n}": scripted_run.Script(result, 0.01) for n, result in enumerate(results)
@@ -59,15 +59,15 @@
 def test_no_more_requests_are_counted_than_callers_sent(
     changes: dict[str, object],
 ) -> None:
-    # Guards against retries that one request earns at several dispatchers.
+    # Guards against one request adding to the budget at several dispatchers.
     load = dataclasses.replace(retry_loads.Load(seconds=10.0), **changes)  # type: ignore[arg-type]
     fleet = retry_fleet.Fleet(load, 1)
     result = fleet.play()
     assert 0.9 * result.asked < fleet.count_requests() <= result.asked
 
 
-def test_request_that_is_refused_has_earned_its_share() -> None:
-    # Guards against an overload in which refused requests allow no retries.
+def test_refused_requests_add_to_the_retry_budget() -> None:
+    # Guards against an overload in which refused requests are not counted.
     load = retry_loads.Load(seconds=8.0, rate=700.0)
     fleet = retry_fleet.Fleet(load, 1)
     result = fleet.play()
--- a/tests/edge/test_giving_up.py
+++ b/tests/edge/test_giving_up.py
@@ -1,20 +1,9 @@
-"""A request at which a target is at work is given up only for an answer in hand.
-
-A caller got 502 from a VM that was stopping, although a target was at work on its
-lookup and would have answered. The work had taken four times as long as expected, so
-the VM broke it off to try another target; that failed too, and there was nothing left
-to give. Now the attempt goes on beside the second one, and the first answer ends both.
-Of the report and of the log of this test before the mend:
-
-    69.247  the target begins to work
-    69.320  the VM gets SIGTERM
-    69.845  the work ends as cut, 598 ms after it began
-    70.032  the caller gets 502, without a signature
-
-    stopping  in_flight=1
-    attempt   target=t1 outcome=silent why=overdue expected_ms=200 ms=723
-    attempt   target=t2 outcome=shed why="turned away with 503" ms=2
-    answer    status=502 why="turned away with 503" ms=726 attempts=2
+"""An attempt in progress is cancelled only when there is an answer to relay.
+
+An idempotent request runs four times as long as expected, so that a backup attempt
+starts at a second target and fails. If the overdue attempt were cancelled for it, the
+caller would get 502 although the first target was still working and would answer. So
+the overdue attempt continues beside its backup, and the first answer ends both.
 """
 
 from __future__ import annotations
@@ -33,7 +22,7 @@
 
 
 def make_failing_target(how: str) -> edge_site.Target:
-    """Return a second target that gives no success."""
+    """Return a second target that does not answer successfully."""
     target = edge_site.Target("t2")
     target.is_signed = how != "unsigned"
     target.status = {"turned-away": 503, "error": 500}.get(how, 200)
@@ -50,10 +39,10 @@
 
 
 @pytest.mark.parametrize("how", ["unreachable", "turned-away", "unsigned", "error"])
-async def test_overdue_work_goes_on_while_its_second_target_fails(how: str) -> None:
-    # A VM is stopping. A lookup takes long at its target, so that a slot of another
-    # one is asked for and granted, and there it fails. The first target answers in
-    # time; its caller must get that answer, and not the failure of the second.
+async def test_overdue_attempt_continues_while_its_backup_fails(how: str) -> None:
+    # A VM is stopping while an idempotent request takes long at its target. A backup
+    # attempt is granted a slot and fails. The first target answers in time, and the
+    # caller must get this answer, not the failure of the backup.
     async with edge_site.run_site() as site:
         limit = int(TIME_LIMIT * 1000)
         site.publish([edge_site.make_route(kind="safe", timeout_ms=limit)])
@@ -78,9 +67,10 @@
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe"])
-async def test_request_gets_a_final_answer_before_its_vm_ends(kind: str) -> None:
-    # A VM stops while a target hangs, and the request's own limit lies beyond the end
-    # of the process. Its caller saw the connection close, as if nobody had read it.
+async def test_request_gets_reply_before_its_vm_ends(kind: str) -> None:
+    # A VM stops while a target hangs, and the request's deadline lies after the end of
+    # the process. Guards against a closed connection without a reply, from which the
+    # caller could not tell whether the request had been read.
     async with edge_site.run_site() as site:
         site.stop_limit = 1.5
         site.publish([edge_site.make_route(kind=kind, timeout_ms=60_000)])
--- a/tests/edge/test_local_dispatchers.py
+++ b/tests/edge/test_local_dispatchers.py
@@ -1,4 +1,4 @@
-"""Retries that a VM's dispatchers give out, together with those of other VMs."""
+"""Retries and rate limits granted by the dispatchers of a VM among those of others."""
 
 from __future__ import annotations
 
@@ -70,21 +70,22 @@
     return sum(isinstance(one, messages.Grant) for one in decisions[before:])
 
 
-async def test_vms_that_decide_alone_share_the_slack() -> None:
-    # All VMs lose each other at once and each places its own requests. Callers repeat
-    # and targets fail: with the whole slack for each, retries would pile up 36 fold.
+async def test_vms_that_decide_alone_share_the_retry_slack() -> None:
+    # All VMs lose contact with each other, and each decides for its own requests. If
+    # each used the whole slack while targets fail, a fleet of 36 VMs would grant 36
+    # times as many retries.
     made, decisions = make_dispatchers(vms=20)
     assert count_granted_retries(made, decisions, "own") <= 50 / 20
 
 
-async def test_dispatcher_of_the_fleet_gives_less_than_half_of_the_slack() -> None:
-    # Two VMs may take themselves for the dispatcher for a while.
+async def test_dispatcher_of_the_fleet_grants_at_most_half_of_the_slack() -> None:
+    # Two VMs may regard themselves as the dispatcher at the same time.
     made, decisions = make_dispatchers(vms=20)
     assert 10 < count_granted_retries(made, decisions, "vm-1") <= 25
 
 
-async def test_dispatcher_that_begins_knows_limits_that_others_told() -> None:
-    # A target in need got all that its slots take from each new dispatcher.
+async def test_new_dispatcher_applies_rate_limits_received_from_others() -> None:
+    # Guards against each new dispatcher filling all slots of an overloaded target.
     made, decisions = make_dispatchers(vms=20)
     now = anyio.current_time()
     opinion = datagrams.TargetEstimate("t1", 0.1, 1.0, 1.0, 0.8)
@@ -93,9 +94,9 @@
     assert count_granted_retries(made, decisions, "vm-1") == 0
 
 
-async def test_old_word_of_another_dispatcher_brings_no_lifted_limit_back() -> None:
-    # One that has little work may not have heard of the lift for long, and goes on to
-    # tell of the limit.
+async def test_outdated_estimate_does_not_restore_a_removed_rate_limit() -> None:
+    # A dispatcher with little work may not learn for long that the limit was removed,
+    # and keeps sending it.
     made, decisions = make_dispatchers(vms=20)
     now = anyio.current_time()
     first = dataclasses.replace(
@@ -111,8 +112,8 @@
     assert sum(isinstance(one, messages.Grant) for one in decisions) == 2
 
 
-async def test_dispatcher_that_others_ask_does_not_wait_for_a_small_part() -> None:
-    # It asked itself first, and took itself for one that decides alone.
+async def test_dispatcher_for_other_vms_uses_the_whole_rate_limit() -> None:
+    # Its first slot request is its own, so that it first assumes that it decides alone.
     made, decisions = make_dispatchers(vms=20)
     now = anyio.current_time()
     first = dataclasses.replace(
@@ -125,7 +126,7 @@
     assert any(isinstance(one, messages.Grant) for one in decisions)
 
 
-async def test_vm_that_decides_alone_uses_a_part_of_a_limit() -> None:
+async def test_vm_that_decides_alone_uses_a_share_of_a_rate_limit() -> None:
     made, decisions = make_dispatchers(vms=20)
     now = anyio.current_time()
     first = dataclasses.replace(
@@ -138,12 +139,12 @@
     assert sum(isinstance(one, messages.Grant) for one in decisions) == 1
 
 
-def test_dispatcher_and_the_one_after_it_stay_within_the_slack() -> None:
-    # Guards against the whole slack being given out by each of two in a row.
+def test_dispatcher_and_its_successor_stay_within_the_slack() -> None:
+    # Guards against two successive dispatchers each granting the whole slack.
     assert retry_counts.SLACK_SHARE + retry_counts.INITIAL_SLACK_SHARE < 1.0
 
 
-async def test_dispatcher_gives_more_once_it_has_counted_for_a_window(
+async def test_dispatcher_grants_more_once_it_has_counted_for_a_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     made, decisions = make_dispatchers(vms=20)
@@ -164,8 +165,8 @@
 
 
 async def test_shards_share_the_slack_of_their_service() -> None:
-    # A service in four shards has four dispatchers. With the slack of the service for
-    # each, retries would be four times what its targets may get.
+    # A service in four shards has four dispatchers. If each used the slack of the
+    # whole service, there would be four times as many retries as allowed.
     made, decisions = make_dispatchers(vms=20, count=100)
     now = anyio.current_time()
     made.update_targets(now)
@@ -185,9 +186,9 @@
     assert 10 < granted <= 25
 
 
-async def test_new_dispatcher_begins_with_what_others_thought() -> None:
-    # A dispatcher is lost. The next one would take all targets for alike, and send
-    # work that may run only once to those that were failing a moment ago.
+async def test_new_dispatcher_starts_with_estimates_of_others() -> None:
+    # A dispatcher is lost. Guards against its successor regarding all targets as equal
+    # and sending at-most-once work to those that were failing a moment ago.
     made, _ = make_dispatchers(vms=3)
     now = anyio.current_time()
     opinion = datagrams.TargetEstimate("t1", 0.9, 3.0)
@@ -201,8 +202,8 @@
     assert told.slowness > 2.5
 
 
-async def test_dispatcher_that_begins_knows_what_others_have_given_out() -> None:
-    # Guards against retries that are given out once more after a change of dispatcher.
+async def test_new_dispatcher_counts_retries_granted_by_others() -> None:
+    # Guards against granting the same retries again after a change of dispatcher.
     made, decisions = make_dispatchers(vms=20)
     now = anyio.current_time()
     made.update_targets(now)
@@ -215,7 +216,7 @@
     assert counted.left < 1.0
 
 
-async def test_counts_of_services_that_nobody_knows_are_not_kept() -> None:
+async def test_counts_of_unknown_services_are_not_kept() -> None:
     made, _ = make_dispatchers(vms=20)
     now = anyio.current_time()
     made.update_targets(now)
@@ -228,8 +229,8 @@
     assert not made.retries.make_updates("other", now, is_whole=True)
 
 
-async def test_many_retries_are_told_at_once() -> None:
-    # Guards against retries that the next dispatcher does not hear of in time.
+async def test_many_granted_retries_are_announced_at_once() -> None:
+    # Guards against granted retries that the next dispatcher learns of too late.
     made, decisions = make_dispatchers(vms=20)
     told: list[str] = []
     made.retries.use_announcer(told.append)
@@ -237,8 +238,8 @@
     assert told
 
 
-async def test_dispatcher_that_was_away_counts_under_a_new_name() -> None:
-    # Guards against counts of before a suspension that are added to at a later time.
+async def test_dispatcher_counts_under_a_new_name_after_a_reset() -> None:
+    # Guards against adding to counts from before a suspension.
     made, decisions = make_dispatchers(vms=20)
     now = anyio.current_time()
     count_granted_retries(made, decisions, "vm-1")
@@ -251,8 +252,8 @@
     assert before != after
 
 
-async def test_counts_of_many_vms_fit_their_datagrams() -> None:
-    # Guards against counts that are not told at all where all VMs decided alone.
+async def test_counts_of_many_vms_fit_into_datagrams() -> None:
+    # Guards against counts that cannot be sent because all VMs decided alone.
     made, _ = make_dispatchers(vms=20)
     now = anyio.current_time()
     made.update_targets(now)
@@ -266,8 +267,9 @@
     assert {name for one in told for name, _ in one.counts} == set(names)
 
 
-async def test_service_whose_targets_are_gone_for_a_moment_keeps_its_counts() -> None:
-    # Guards against a second slack for a service that the store lacks for a second.
+async def test_service_briefly_without_targets_keeps_its_counts() -> None:
+    # Guards against a second slack for a service that is missing in the store for a
+    # second.
     made, decisions = make_dispatchers(vms=20)
     count_granted_retries(made, decisions, "vm-1")
     now = anyio.current_time()
@@ -279,9 +281,9 @@
     assert not made.retries.count_requests("desk")
 
 
-async def test_vm_of_a_new_fleet_knows_that_nothing_was_given_out() -> None:
-    # Guards against a fleet that has no retries for the first seconds of its traffic,
-    # and against one that takes a later change of dispatcher for its start.
+async def test_vm_of_a_new_fleet_knows_that_no_retry_was_granted() -> None:
+    # Guards against a fleet without retries in the first seconds of its traffic, and
+    # against mistaking a later change of dispatcher for the start of the fleet.
     for since, most in ((0.5, retry_counts.SLACK_SHARE), (5.0, 0.25)):
         made, decisions = make_dispatchers(vms=20, is_new_fleet=True)
         now = anyio.current_time()
@@ -290,8 +292,8 @@
         assert 0.8 * most * 50 < granted <= most * 50
 
 
-async def test_vm_that_was_told_long_ago_knows_nothing_any_more() -> None:
-    # Guards against retries that others gave out since this VM heard of them last.
+async def test_vm_does_not_rely_on_complete_counts_received_long_ago() -> None:
+    # Guards against missing the retries granted by others since the last update.
     now = anyio.current_time()
     parts = (retry_window.Bucket(7, 1.0, 1000, 0),)
     told = datagrams.RetryUsage("desk", (("vm-9:1:0", parts),), is_complete=True)
--- a/tests/edge/test_placement.py
+++ b/tests/edge/test_placement.py
@@ -1,4 +1,4 @@
-"""Getting a target from another VM, from the next one, or from this VM itself."""
+"""Acquiring a slot from the first dispatcher, from the next one, or locally."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class FakeLink(peer_link.PeerLink):
-    """Keeps what is sent, and lets a test answer it."""
+    """Records sent messages and lets a test answer them."""
 
     def __init__(self) -> None:
         self.sent_messages: list[tuple[str, datagrams.Message]] = []
@@ -57,7 +57,7 @@
 
 
 class Fixture:
-    """One VM among two others that it has heard from."""
+    """One VM with two others that it has received messages from."""
 
     def __init__(self) -> None:
         now = anyio.current_time() - members.SETTLE_TIME_S
@@ -110,9 +110,9 @@
         self.link.answer = answer
 
     def _find_service(self) -> str:
-        """Return a service whose first two dispatchers are other VMs.
+        """Return a service whose two highest-ranking dispatchers are other VMs.
 
-        Its shards are dispatched by other VMs too, if it is divided into four.
+        The same holds for its shards if it is divided into four.
         """
         for name in (f"desk-{n}" for n in range(5000)):
             parts = [
@@ -125,7 +125,7 @@
         raise AssertionError("no service dispatched by others")
 
 
-async def test_first_in_rank_is_asked_and_told_the_outcome() -> None:
+async def test_first_in_rank_gets_slot_request_and_report() -> None:
     one = Fixture()
     one.answer_with_grant(one.first)
     answer = await one.placement.acquire(one.make_slot_request())
@@ -138,9 +138,10 @@
     assert one.link.sent_messages[-1] == (one.first, report)
 
 
-async def test_silent_dispatcher_is_passed_over_long_before_the_deadline() -> None:
-    # The first in rank was killed. Its callers would wait until their deadlines; two
-    # unanswered asks are enough to go on, and later requests do not ask it again.
+async def test_silent_dispatcher_is_skipped_long_before_the_deadline() -> None:
+    # The first in rank was killed. Guards against callers waiting for it until their
+    # deadlines: two unanswered slot requests suffice to try the next VM, and later
+    # requests skip it.
     one = Fixture()
     one.answer_with_grant(one.second)
     ask = one.make_slot_request()
@@ -152,8 +153,9 @@
     assert one.link.list_asked_vms()[3:] == [one.second]
 
 
-async def test_ask_given_up_is_taken_back() -> None:
-    # The grant of the silent one may still be on its way, and would hold a slot.
+async def test_unanswered_slot_request_is_withdrawn() -> None:
+    # A grant of the silent dispatcher may still be in transit and would keep a slot
+    # in use.
     one = Fixture()
     one.answer_with_grant(one.second)
     await one.placement.acquire(one.make_slot_request())
@@ -165,9 +167,9 @@
     assert reports == [(one.first, messages.Outcome.UNUSED)]
 
 
-async def test_vm_that_reaches_nobody_decides_by_itself() -> None:
+async def test_vm_that_reaches_no_dispatcher_decides_locally() -> None:
     one = Fixture()
-    # The test's only target belongs to another service; give it to this one.
+    # The only target belongs to another service: register it for this one.
     registry = targets.Registry()
     registry.apply([dataclasses.replace(ENTRY, service=one.service)], one.now)
     one.placement.use_local_dispatchers(
@@ -184,7 +186,7 @@
     assert answer.target_id == "t1"
 
 
-async def test_new_dispatcher_hears_of_the_slots_in_use() -> None:
+async def test_new_dispatcher_receives_the_slots_in_use() -> None:
     one = Fixture()
     one.answer_with_grant(one.first, one.second)
     await one.placement.acquire(one.make_slot_request("t:1"))
@@ -198,7 +200,7 @@
     assert adopted == [(one.second, "t:1")]
 
 
-async def test_request_that_waits_keeps_asking_a_dispatcher_that_lives() -> None:
+async def test_queued_slot_request_is_resent_to_a_live_dispatcher() -> None:
     one = Fixture()
 
     def answer(vm: str, message: datagrams.Message) -> None:
@@ -212,9 +214,11 @@
     assert 3 <= len(one.link.list_asked_vms()) <= 6
 
 
-async def test_deadline_of_an_ask_that_waits_makes_no_dispatcher_suspect() -> None:
-    # A dispatcher keeps an ask waiting until its deadline, since all slots are taken.
-    # It lives; taken for dead, it would lose its tasks in the eyes of this VM.
+async def test_deadline_of_queued_slot_request_does_not_suspect_its_dispatcher() -> (
+    None
+):
+    # A dispatcher queues a slot request until its deadline, since all slots are in use.
+    # It is alive: if it were suspected, this VM would no longer rank it for its tasks.
     site = Fixture()
 
     def answer(vm: str, message: datagrams.Message) -> None:
@@ -231,7 +235,7 @@
     assert any(isinstance(one, messages.Report) for one in withdrawn)
 
 
-async def test_caller_that_leaves_gives_its_place_back() -> None:
+async def test_slot_request_is_withdrawn_when_the_caller_leaves() -> None:
     one = Fixture()
     with anyio.move_on_after(0.01):
         await one.placement.acquire(one.make_slot_request())
@@ -242,7 +246,7 @@
 
 
 def divide_service(one: Fixture, targets_count: int) -> None:
-    """Let the service have so many targets that it is divided."""
+    """Give the service enough targets to be divided into shards."""
     entries = [
         dataclasses.replace(
             ENTRY, target_id=f"t{n}", service=one.service, position=n + 10
@@ -265,11 +269,11 @@
     "reason",
     [messages.RefusalReason.OVERLOADED, messages.RefusalReason.RETRY_BUDGET],
 )
-async def test_request_refused_in_one_shard_is_placed_in_another(
+async def test_request_refused_in_one_shard_is_sent_to_another(
     reason: messages.RefusalReason,
 ) -> None:
-    # One shard of four has lost its targets, or their slots are all taken, while the
-    # others have free ones. The caller would be refused although it can be served.
+    # One shard of four has lost its targets or has no free slots, while the others
+    # have. Guards against refusing a caller that can be served.
     one = Fixture()
     divide_service(one, 100)
     refusing: list[shards.Shard] = []
@@ -294,8 +298,8 @@
 
 
 async def test_refusal_is_final_after_two_shards() -> None:
-    # All shards are full. Asking each of them in turn would hold the caller back and
-    # load dispatchers that have nothing to give.
+    # All shards are full. Asking each of them would delay the caller and load
+    # dispatchers that have no free slots.
     one = Fixture()
     divide_service(one, 100)
 
@@ -312,8 +316,9 @@
 
 
 async def test_slots_in_use_follow_their_targets_into_new_shards() -> None:
-    # The service grows while requests are under way, and is divided. The dispatchers
-    # of the new shards would give the same slots again, and targets turn work away.
+    # The service grows while requests are in progress, and is divided. Guards against
+    # dispatchers of the new shards granting the same slots again, so that targets
+    # reject work.
     one = Fixture()
     vms = ("vm-1", "vm-2")
     one.answer_with_grant(*vms)
@@ -342,11 +347,11 @@
 
 
 @pytest.mark.parametrize("is_known", [True, False])
-async def test_dispatcher_that_knows_no_target_yet_is_passed_over(
+async def test_dispatcher_that_knows_no_target_yet_is_skipped(
     is_known: bool,
 ) -> None:
-    # Guards against refusing, for a dispatcher that has just started, what this VM
-    # knows targets for.
+    # Guards against refusing a request because a dispatcher that has just started
+    # knows no targets, although this VM does.
     one = Fixture()
     if is_known:
         entry = dataclasses.replace(ENTRY, service=one.service, position=9)
--- a/tests/edge/test_request_run.py
+++ b/tests/edge/test_request_run.py
@@ -1,4 +1,4 @@
-"""The run of one request in virtual time, with scripted slots and targets."""
+"""Runs of one request in virtual time, with scripted slots and targets."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 @pytest.mark.parametrize("result", FAILURES)
-def test_overdue_attempt_goes_on_until_its_backup_has_an_answer(
+def test_overdue_attempt_continues_until_its_backup_is_answered(
     result: plan.Result,
 ) -> None:
-    # Idempotent work takes long at its target, and a second target is tried. That one
-    # fails; the caller got 502, or the second target's error, because the first attempt
-    # had been broken off for it, and its answer was 0.3 s away.
+    # Guards against cancelling the overdue attempt in favour of its backup: the backup
+    # fails, and the caller would get 502, or the error of the backup, although the
+    # first target answers 0.3 s later.
     seen = scripted_run.play(
         {
             "t1": scripted_run.Script(Result.ANSWERED, 0.8),
@@ -32,8 +32,8 @@
     assert seen.cancelled == ()
 
 
-def test_overdue_attempt_goes_on_when_its_backup_is_unknown_here() -> None:
-    # The dispatcher grants a slot of a target that this VM has not heard of yet.
+def test_overdue_attempt_continues_when_backup_target_is_unknown_here() -> None:
+    # The dispatcher grants a slot of a target that this VM does not know yet.
     seen = scripted_run.play(
         {
             "t1": scripted_run.Script(Result.ANSWERED, 0.8),
@@ -44,13 +44,13 @@
     assert (seen.status, seen.body) == (200, b"t1")
 
 
-def test_overdue_attempt_goes_on_when_no_slot_is_granted() -> None:
+def test_overdue_attempt_continues_when_no_slot_is_granted() -> None:
     seen = scripted_run.play({"t1": scripted_run.Script(Result.ANSWERED, 0.8)})
     assert (seen.status, seen.body) == (200, b"t1")
 
 
-def test_answer_of_the_backup_ends_the_overdue_attempt() -> None:
-    # The first target hangs. It counts as silent, so that others avoid it.
+def test_answer_of_backup_cancels_overdue_attempt() -> None:
+    # The first target hangs. It is reported as silent, so that it is avoided.
     seen = scripted_run.play(
         {
             "t1": scripted_run.Script(Result.ANSWERED, 60),
@@ -62,8 +62,8 @@
     assert set(seen.outcomes) == {messages.Outcome.GOOD, messages.Outcome.SILENT}
 
 
-def test_answer_of_the_overdue_attempt_ends_its_backup() -> None:
-    # The backup has done nothing wrong, and must not be avoided for it.
+def test_answer_of_overdue_attempt_cancels_its_backup() -> None:
+    # The backup target has not failed and must not be avoided afterwards.
     seen = scripted_run.play(
         {
             "t1": scripted_run.Script(Result.ANSWERED, 0.5),
@@ -75,7 +75,7 @@
     assert set(seen.outcomes) == {messages.Outcome.GOOD, messages.Outcome.ABANDONED}
 
 
-def test_error_of_an_overdue_attempt_waits_for_its_backup() -> None:
+def test_error_of_overdue_attempt_waits_for_its_backup() -> None:
     seen = scripted_run.play(
         {
             "t1": scripted_run.Script(Result.ERROR, 0.5),
@@ -85,7 +85,7 @@
     assert (seen.status, seen.body) == (200, b"t2")
 
 
-def test_work_that_may_run_only_once_has_no_backup() -> None:
+def test_at_most_once_work_has_no_backup() -> None:
     seen = scripted_run.play(
         {
             "t1": scripted_run.Script(Result.ANSWERED, 1.5),
@@ -97,11 +97,11 @@
 
 
 @pytest.mark.parametrize("work", list(services.Work))
-def test_caller_gets_a_final_answer_before_the_process_ends(
+def test_caller_gets_reply_before_process_ends(
     work: services.Work,
 ) -> None:
-    # A VM stops while a target hangs. Its caller would see the connection close, and
-    # could not tell that from a request that nobody had read.
+    # A VM stops while a target hangs. Without a reply, the caller would see a closed
+    # connection and could not tell whether the request had been read.
     seen = scripted_run.play(
         {"t1": scripted_run.Script(Result.ANSWERED, 60)}, work=work, ends_at=0.7
     )
@@ -110,7 +110,7 @@
     assert seen.duration == pytest.approx(0.7)
 
 
-def test_request_without_a_slot_is_told_not_to_have_run_when_the_process_ends() -> None:
+def test_request_without_slot_is_refused_when_process_ends() -> None:
     seen = scripted_run.play({}, ends_at=0.7)
     assert seen.status == 503
 
@@ -129,14 +129,14 @@
     ),
     known=st.sets(st.integers(0, 4)),
 )
-def test_work_is_broken_off_only_for_an_answer_or_at_the_deadline(
+def test_attempt_is_cancelled_only_for_an_answer_or_at_the_deadline(
     work: services.Work,
     attempts: int,
     scripts: list[scripted_run.Script],
     known: set[int],
 ) -> None:
-    # Whatever becomes of all other attempts, one that is under way ends by itself, for
-    # the answer of another one, or at the deadline.
+    # Whatever happens to other attempts, an attempt in progress ends by itself, is
+    # cancelled because another one was answered, or is cancelled at the deadline.
     named = {f"t{number}": script for number, script in enumerate(scripts)}
     seen = scripted_run.play(named, work, attempts, [f"t{number}" for number in known])
     if seen.cancelled and seen.duration < scripted_run.TIME_LIMIT_S:
--- a/tests/edge/test_retry_bound.py
+++ b/tests/edge/test_retry_bound.py
@@ -1,4 +1,4 @@
-"""The bound on a service's retries, counted at its targets, in virtual time."""
+"""The limit on the retries of a service, counted at its targets in virtual time."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 @pytest.mark.parametrize("kills", [(9.5,), (9.5, 11.5)])
-def test_next_dispatcher_does_not_give_out_the_retries_of_the_last_one(
+def test_next_dispatcher_does_not_grant_the_retries_of_its_predecessor_again(
     kills: tuple[float, ...],
 ) -> None:
-    # Guards against counts that are lost with the VM that dispatched.
+    # Guards against losing the counts with the VM that dispatched.
     kinds = tuple(retry_loads.Kill(at, 0.2) for at in kills)
     result = play(dataclasses.replace(SMALL, kills=kinds))
     assert result.worst.excess <= 0, result
@@ -44,38 +44,38 @@
     ],
     ids=["all", "half, twice"],
 )
-def test_dispatcher_that_nobody_tells_gives_out_little(
+def test_dispatcher_without_counts_of_others_grants_few_retries(
     kills: tuple[retry_loads.Kill, ...],
 ) -> None:
-    # Guards against counts that are lost since all who knew of them are killed at once.
+    # Guards against losing the counts because all VMs that had them are killed at once.
     for seed in (1, 2, 3):
         result = play(dataclasses.replace(SMALL, kills=kills), seed)
         assert result.worst.excess <= 0, result
 
 
-def test_dispatchers_that_are_taken_for_lost_give_out_no_retries_twice() -> None:
-    # Guards against two dispatchers that count one request each, and each a slack.
+def test_dispatchers_wrongly_taken_for_lost_grant_no_retries_twice() -> None:
+    # Guards against two dispatchers that both count a request and both use the slack.
     lag = retry_loads.Spell(0.0, 20.0, 0.3)
     result = play(dataclasses.replace(SMALL, lag=lag, slow=0.15))
     assert result.worst.excess <= 0, result
 
 
-def test_retries_of_a_burst_are_not_all_given_out_after_it() -> None:
-    # Guards against a span of retries that begins when the burst is half over.
+def test_retries_of_a_burst_are_not_all_granted_after_it() -> None:
+    # Guards against a window of retries that begins when the burst is half over.
     surge = retry_loads.Spell(0.0, 8.0, 0.7)
     result = play(dataclasses.replace(SMALL, surge=surge))
     assert result.worst.excess <= 0, result
 
 
-def test_shards_whose_loads_swing_by_turns_keep_one_bound() -> None:
-    # Guards against a busiest span for each shard, which add up to more than that of
-    # the service.
+def test_shards_with_alternating_loads_keep_the_limit_of_the_service() -> None:
+    # Guards against using the busiest window of each shard: their sum exceeds that of
+    # the busiest window of the service.
     result = play(dataclasses.replace(LARGE, wave=0.3))
     assert result.worst.excess <= 0, result
 
 
-def test_calm_fleet_is_not_kept_from_retries() -> None:
-    # Guards against a bound that is kept by giving up what it allows.
+def test_fleet_within_the_limit_gets_all_retries() -> None:
+    # Guards against keeping the limit by refusing retries that it allows.
     failing = retry_loads.Spell(0.0, 20.0, 0.1)
     load = dataclasses.replace(SMALL, shed=retry_loads.NEVER, failing=failing)
     result = play(dataclasses.replace(load, idempotent=1.0))
--- a/tests/edge/test_run_races.py
+++ b/tests/edge/test_run_races.py
@@ -1,4 +1,4 @@
-"""Attempts of one request that end in one turn of the loop, or meet a fault."""
+"""Attempts of one request that end in the same event loop iteration, or raise."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class TimedTargets(runs.ScriptedTargets):
-    """Ends attempts at given times after the request's start."""
+    """Ends attempts at fixed times after the start of the request."""
 
     def __init__(self, scripts: dict[str, runs.Script], begin: float) -> None:
         super().__init__(scripts)
@@ -36,7 +36,7 @@
         work: services.Work,
         mark_sent: collections.abc.Callable[[], None],
     ) -> target_client.Attempt:
-        """Play one attempt."""
+        """Run one attempt according to its script."""
         script = self.scripts[target.target_id]
         if script.result not in runs.NOT_SENT:
             mark_sent()
@@ -50,12 +50,12 @@
 
 
 class InstantSlots(runs.ScriptedSlots):
-    """Grants without a wait, as a VM's own dispatcher does."""
+    """Grants without waiting, as the dispatcher in the same VM does."""
 
     async def acquire(
         self, slot_request: messages.SlotRequest
     ) -> messages.Grant | messages.Refuse:
-        """Return the next target."""
+        """Return a slot of the next target, or a refusal."""
         if not self.names:
             reason = messages.RefusalReason.OVERLOADED
             return messages.Refuse(
@@ -72,7 +72,7 @@
     slots_type: type[runs.ScriptedSlots] = runs.ScriptedSlots,
     backend: str = "trio",
 ) -> tuple[int, bytes]:
-    """Run one request; return the caller's status and body."""
+    """Run one request; return the status and body of the reply."""
     seen: list[tuple[int, bytes]] = []
 
     async def main() -> None:
@@ -89,13 +89,13 @@
 
 
 @pytest.mark.parametrize("last", [Result.ANSWERED, Result.ERROR])
-def test_answer_counts_though_a_nested_backup_fails_in_the_same_turn(
+def test_answer_is_relayed_if_nested_backup_fails_in_same_loop_iteration(
     last: plan.Result,
 ) -> None:
-    # Three attempts are under way. The second fails in the very turn in which the first
-    # is answered. The outcome of the group within then overwrites that of the first:
-    # "wait", although nothing is under way, and the caller gets 502 with an answer in
-    # hand. Trio draws the order within a turn, so this is played some times.
+    # Of three concurrent attempts, the second fails in the loop iteration in which the
+    # first is answered. Guards against the step of the nested task group ("wait")
+    # replacing that of the first attempt, so that the caller gets 502 although there is
+    # an answer. Trio randomizes the order within an iteration, hence the repetitions.
     scripts = {
         "t1": runs.Script(last, 1.0),
         "t2": runs.Script(Result.BROKEN, 1.0),
@@ -106,7 +106,7 @@
 
 
 class FailingWhenOverdue(runs.ScriptedTargets):
-    """The first attempt ends by an error in the turn in which it becomes overdue."""
+    """The first attempt fails in the loop iteration in which it becomes overdue."""
 
     def __init__(self, scripts: dict[str, runs.Script], turn: anyio.Event) -> None:
         super().__init__(scripts)
@@ -119,7 +119,7 @@
         work: services.Work,
         mark_sent: collections.abc.Callable[[], None],
     ) -> target_client.Attempt:
-        """Play one attempt."""
+        """Run one attempt according to its script."""
         if target.target_id != "t1":
             return await super().attempt(target, request, work, mark_sent)
         mark_sent()
@@ -129,12 +129,13 @@
         return target_client.Attempt(Result.ERROR, answer, "500")
 
 
-def test_error_counts_though_the_first_attempt_failed_as_it_became_overdue(
+def test_error_is_relayed_if_first_attempt_fails_as_it_becomes_overdue(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The first attempt fails in the turn in which it becomes overdue. The backup has
-    # its slot at once, is broken off before it is sent, and never counts as ended: the
-    # plan waits for it for ever, and the caller gets 502 instead of the target's error.
+    # The first attempt fails in the loop iteration in which it becomes overdue. The
+    # backup gets its slot at once and is cancelled before it is sent. Guards against
+    # never counting the backup as ended: the plan would wait for it forever, and the
+    # caller would get 502 instead of the target's error.
     seen: list[tuple[int, bytes]] = []
 
     async def main() -> None:
@@ -155,7 +156,7 @@
 
 
 class FaultyBackup(runs.ScriptedTargets):
-    """Fails in a way that no part expects when it sends to the second target."""
+    """Raises an unexpected exception when sending to the second target."""
 
     async def attempt(
         self,
@@ -164,15 +165,15 @@
         work: services.Work,
         mark_sent: collections.abc.Callable[[], None],
     ) -> target_client.Attempt:
-        """Play one attempt."""
+        """Run one attempt according to its script."""
         if target.target_id == "t2":
             raise RuntimeError("unexpected")
         return await super().attempt(target, request, work, mark_sent)
 
 
-def test_fault_in_a_backup_leaves_the_attempt_under_way_alone() -> None:
-    # A fault that nobody expected, met while a backup is sent, takes down the group
-    # with the attempt at which a target is at work; its caller gets no answer of it.
+def test_exception_in_backup_does_not_cancel_first_attempt() -> None:
+    # Guards against an unexpected exception while a backup is sent: it would cancel the
+    # task group with the first attempt, whose target is still working.
     seen: list[int] = []
 
     async def main() -> None:
@@ -186,7 +187,7 @@
 
 
 class EndingTogether(runs.ScriptedTargets):
-    """The second attempt fails, and in the same turn the first is answered."""
+    """The second attempt fails in the loop iteration in which the first is answered."""
 
     def __init__(self, last: plan.Result) -> None:
         super().__init__({"t3": runs.Script(Result.BROKEN, 0.01)})
@@ -201,7 +202,7 @@
         work: services.Work,
         mark_sent: collections.abc.Callable[[], None],
     ) -> target_client.Attempt:
-        """Play one attempt."""
+        """Run one attempt according to its script."""
         if target.target_id == "t3":
             return await super().attempt(target, request, work, mark_sent)
         mark_sent()
@@ -216,10 +217,10 @@
 
 @pytest.mark.anyio
 @pytest.mark.parametrize("last", [Result.ANSWERED, Result.ERROR])
-async def test_answer_in_the_turn_in_which_a_nested_backup_fails_counts_on_asyncio(
+async def test_answer_is_relayed_if_nested_backup_fails_at_once_on_asyncio(
     last: plan.Result,
 ) -> None:
-    # The same as above on the daemon's loop, with the order of the turn set.
+    # The same race as above on asyncio, which the daemon uses, with a fixed order.
     exchange = EndingTogether(last)
     names = ["t1", "t2", "t3"]
     replies: list[calls.Reply] = []
--- a/tests/scripted_run.py
+++ b/tests/scripted_run.py
@@ -1,4 +1,4 @@
-"""Runs of one request in virtual time, with scripted slots and targets."""
+"""Runs single requests in virtual time against scripted slots and targets."""
 
 from __future__ import annotations
 
@@ -28,7 +28,8 @@
 
 TIME_LIMIT_S = 2.0
 EXPECTED_DURATION_S = 0.1
-"""Expected seconds of work: an attempt without doubt is overdue after four times it."""
+"""Expected duration in seconds. An attempt at a target that surely works is overdue
+after four times this duration."""
 
 Result = plan.Result
 NOT_SENT = {Result.UNREACHABLE}
@@ -36,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Script:
-    """What one target does with the request."""
+    """Behaviour of one target."""
 
     result: plan.Result
     """How the attempt ends."""
@@ -45,31 +46,31 @@
     """Seconds after which it ends."""
 
     has_crashed: bool = False
-    """Whether the target crashes then."""
+    """Whether the target crashes at that time."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunResult:
-    """How a run went."""
+    """Result of a run."""
 
     status: int
-    """Status that the caller got."""
+    """HTTP status of the reply."""
 
     body: bytes
-    """Body that the caller got."""
+    """Body of the reply."""
 
     duration: float
-    """Seconds until then."""
+    """Seconds until the reply."""
 
     cancelled: tuple[str, ...]
-    """Targets whose attempt was broken off."""
+    """Targets whose attempt was cancelled."""
 
     outcomes: tuple[messages.Outcome, ...]
-    """What the dispatcher was told of attempts, in order."""
+    """Outcomes reported to the dispatcher, in order."""
 
 
 class ScriptedSlots:
-    """Grants the targets of a script in their order, then refuses."""
+    """Grants the given targets in order, then refuses."""
 
     def __init__(self, names: collections.abc.Sequence[str]) -> None:
         self.names = list(names)
@@ -78,7 +79,7 @@
     async def acquire(
         self, slot_request: messages.SlotRequest
     ) -> messages.Grant | messages.Refuse:
-        """Return the next target."""
+        """Return a slot of the next target, or a refusal."""
         await anyio.sleep(0.001)
         if not self.names:
             reason = messages.RefusalReason.OVERLOADED
@@ -90,23 +91,23 @@
         )
 
     def report(self, report: messages.Report) -> None:
-        """Take in how an attempt went."""
+        """Record the outcome of an attempt."""
         self.outcomes.append(report.outcome)
 
 
 class ScriptedTargets:
-    """Ends attempts as their scripts say."""
+    """Ends attempts according to their scripts."""
 
     def __init__(self, scripts: dict[str, Script]) -> None:
         self.scripts = scripts
         self.cancelled: list[str] = []
 
     def list_connected_targets(self, work: services.Work, now: float) -> list[str]:
-        """Return none: every attempt opens a connection."""
+        """Return no targets: every attempt opens a connection."""
         return []
 
     async def is_down(self, target: targets.Entry, broke_at: float) -> bool:
-        """Return whether a target has crashed."""
+        """Return whether the target crashes according to its script."""
         return self.scripts[target.target_id].has_crashed
 
     async def attempt(
@@ -116,7 +117,7 @@
         work: services.Work,
         mark_sent: collections.abc.Callable[[], None],
     ) -> target_client.Attempt:
-        """Play one attempt."""
+        """Run one attempt according to its script."""
         script = self.scripts[target.target_id]
         if script.result not in NOT_SENT:
             mark_sent()
@@ -135,22 +136,22 @@
 
 
 class NoSuspects:
-    """Knows of no request that crashes its targets."""
+    """Suspect record without suspects."""
 
     def find_hold_end(self, fingerprint: str, now: float) -> float | None:
-        """Return that it may go to targets."""
+        """Return None: the request is not quarantined."""
         return None
 
     def begin_attempt(self, fingerprint: str, now: float) -> None:
-        """Take in that a request is about to be sent."""
+        """Ignore the start of an attempt."""
 
     def record_crash(
         self, fingerprint: str, target: targets.Entry, started_at: float
     ) -> None:
-        """Take in a crash."""
+        """Ignore a crash."""
 
     def record_answer(self, fingerprint: str) -> None:
-        """Take in an answer."""
+        """Ignore an answer."""
 
 
 def make_route(work: services.Work, attempts: int) -> configuration.Route:
@@ -216,9 +217,9 @@
     caller: calls.Caller | None = None,
     ends_at: float | None = None,
 ) -> calls.Reply:
-    """Run one request before the targets of these names, and return its answer.
+    """Run one request with targets of these names and return the reply.
 
-    `ends_at` is when the process tells its runs to end, in seconds from now.
+    `ends_at` is the time in seconds from now by which the process ends, if any.
     """
     dependencies = make_dependencies(slots, exchange, names)
     begin = anyio.current_time()
@@ -246,10 +247,10 @@
     known_targets: list[str] | None = None,
     ends_at: float | None = None,
 ) -> RunResult:
-    """Run one request against these targets, which are granted in their order.
+    """Run one request against these targets, whose slots are granted in order.
 
-    `known` are the targets that this VM knows, all by default; `ends_at` is when the
-    process tells its runs to end.
+    `known_targets` are the targets that this VM knows, all by default; `ends_at` is
+    the time in seconds by which the process ends, if any.
     """
     slots, exchange = ScriptedSlots(list(scripts)), ScriptedTargets(scripts)
     results: list[RunResult] = []
