--- a/tests/scripted_run.py
+++ b/tests/scripted_run.py
@@ -1,4 +1,4 @@
-"""Runs of one request in virtual time, with scripted slots and targets."""
+"""Runs single requests in virtual time against scripted slots and targets."""
 
 from __future__ import annotations
 
@@ -26,9 +26,10 @@
     unreachable_targets,
 )
 
-TIME_LIMIT = 2.0
-EXPECTED = 0.1
-"""Expected seconds of work: an attempt without doubt is overdue after four times it."""
+TIME_LIMIT_S = 2.0
+EXPECTED_DURATION_S = 0.1
+"""Expected duration in seconds. An attempt at a target that surely works is overdue
+after four times this duration."""
 
 Result = plan.Result
 NOT_SENT = {Result.UNREACHABLE}
@@ -36,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Script:
-    """What one target does with the request."""
+    """Behaviour of one target."""
 
     result: plan.Result
     """How the attempt ends."""
@@ -45,64 +46,68 @@
     """Seconds after which it ends."""
 
     has_crashed: bool = False
-    """Whether the target crashes then."""
+    """Whether the target crashes at that time."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seen:
-    """How a run went."""
+class RunResult:
+    """Result of a run."""
 
     status: int
-    """Status that the caller got."""
+    """HTTP status of the reply."""
 
     body: bytes
-    """Body that the caller got."""
+    """Body of the reply."""
 
-    took: float
-    """Seconds until then."""
+    duration: float
+    """Seconds until the reply."""
 
-    broken_off: tuple[str, ...]
-    """Targets whose attempt was broken off."""
+    cancelled: tuple[str, ...]
+    """Targets whose attempt was cancelled."""
 
     outcomes: tuple[messages.Outcome, ...]
-    """What the dispatcher was told of attempts, in order."""
+    """Outcomes reported to the dispatcher, in order."""
 
 
 class ScriptedSlots:
-    """Grants the targets of a script in their order, then refuses."""
+    """Grants the given targets in order, then refuses."""
 
     def __init__(self, names: collections.abc.Sequence[str]) -> None:
         self.names = list(names)
         self.outcomes: list[messages.Outcome] = []
 
     async def acquire(
-        self, ask: messages.SlotRequest
+        self, slot_request: messages.SlotRequest
     ) -> messages.Grant | messages.Refuse:
-        """Return the next target."""
+        """Return a slot of the next target, or a refusal."""
         await anyio.sleep(0.001)
         if not self.names:
             reason = messages.RefusalReason.OVERLOADED
-            return messages.Refuse(ask.ticket, reason, ask.deadline_at)
-        return messages.Grant(ask.ticket, self.names.pop(0), 0.0, EXPECTED)
+            return messages.Refuse(
+                slot_request.ticket, reason, slot_request.deadline_at
+            )
+        return messages.Grant(
+            slot_request.ticket, self.names.pop(0), 0.0, EXPECTED_DURATION_S
+        )
 
     def report(self, report: messages.Report) -> None:
-        """Take in how an attempt went."""
+        """Record the outcome of an attempt."""
         self.outcomes.append(report.outcome)
 
 
 class ScriptedTargets:
-    """Ends attempts as their scripts say."""
+    """Ends attempts according to their scripts."""
 
     def __init__(self, scripts: dict[str, Script]) -> None:
         self.scripts = scripts
-        self.broken_off: list[str] = []
+        self.cancelled: list[str] = []
 
     def list_connected_targets(self, work: services.Work, now: float) -> list[str]:
-        """Return none: every attempt opens a connection."""
+        """Return no targets: every attempt opens a connection."""
         return []
 
     async def is_down(self, target: targets.Entry, broke_at: float) -> bool:
-        """Return whether a target has crashed."""
+        """Return whether the target crashes according to its script."""
         return self.scripts[target.target_id].has_crashed
 
     async def attempt(
@@ -112,14 +117,14 @@
         work: services.Work,
         mark_sent: collections.abc.Callable[[], None],
     ) -> target_client.Attempt:
-        """Play one attempt."""
+        """Run one attempt according to its script."""
         script = self.scripts[target.target_id]
         if script.result not in NOT_SENT:
             mark_sent()
         try:
             await anyio.sleep(script.after)
         except BaseException:
-            self.broken_off.append(target.target_id)
+            self.cancelled.append(target.target_id)
             raise
         status = {Result.ANSWERED: 200, Result.ERROR: 500}.get(script.result)
         if status is None:
@@ -130,23 +135,23 @@
         return target_client.Attempt(script.result, answer, str(status))
 
 
-class Unsuspected:
-    """Knows of no request that crashes its targets."""
+class NoSuspects:
+    """Suspect record without suspects."""
 
     def find_hold_end(self, fingerprint: str, now: float) -> float | None:
-        """Return that it may go to targets."""
+        """Return None: the request is not quarantined."""
         return None
 
     def begin_attempt(self, fingerprint: str, now: float) -> None:
-        """Take in that a request is about to be sent."""
+        """Ignore the start of an attempt."""
 
     def record_crash(
         self, fingerprint: str, target: targets.Entry, started_at: float
     ) -> None:
-        """Take in a crash."""
+        """Ignore a crash."""
 
     def record_answer(self, fingerprint: str) -> None:
-        """Take in an answer."""
+        """Ignore an answer."""
 
 
 def make_route(work: services.Work, attempts: int) -> configuration.Route:
@@ -155,7 +160,7 @@
         host="h",
         path_prefix="/",
         work=work,
-        time_limit=TIME_LIMIT,
+        time_limit=TIME_LIMIT_S,
         objective=0.6,
         max_attempts=attempts,
         priority=0,
@@ -163,7 +168,7 @@
     )
 
 
-def make_parts(
+def make_dependencies(
     slots: ScriptedSlots, exchange: ScriptedTargets, names: list[str]
 ) -> run_dependencies.RunDependencies:
     registry = targets.Registry()
@@ -184,7 +189,7 @@
     ]
     registry.replace(entries, 1, 0.0)
     log = log_lines.LogLines("vm-1", os.open(os.devnull, os.O_WRONLY))
-    notes = request_recorder.RequestRecorder(
+    recorder = request_recorder.RequestRecorder(
         log, metrics.Metrics(), configuration.ConfigurationState()
     )
     return run_dependencies.RunDependencies(
@@ -194,10 +199,10 @@
         exchange,
         registry,
         unreachable_targets.UnreachableTargets(),
-        notes,
+        recorder,
         words.HEADERS,
         lambda: "ticket",
-        Unsuspected(),
+        NoSuspects(),
         exchange.is_down,
         lambda: None,
     )
@@ -212,22 +217,22 @@
     caller: calls.Caller | None = None,
     ends_at: float | None = None,
 ) -> calls.Reply:
-    """Run one request before the targets of these names, and return its answer.
+    """Run one request with targets of these names and return the reply.
 
-    `ends_at` is when the process tells its runs to end, in seconds from now.
+    `ends_at` is the time in seconds from now by which the process ends, if any.
     """
-    parts = make_parts(slots, exchange, names)
+    dependencies = make_dependencies(slots, exchange, names)
     begin = anyio.current_time()
     request = http_exchange.Request(b"GET", b"/x", [], b"", False)
     caller = caller or calls.Caller()
     incoming = calls.Incoming(request, "h", begin, caller)
-    run = request_run.Run(parts, incoming, make_route(work, attempts), "desk")
+    run = request_run.Run(dependencies, incoming, make_route(work, attempts), "desk")
     if ends_at is not None:
         run.end_by(begin + ends_at)
     return await run.run()
 
 
-def run_virtually(
+def run_in_virtual_time(
     main: collections.abc.Callable[[], collections.abc.Awaitable],
 ) -> None:
     """Run a coroutine in virtual time."""
@@ -239,30 +244,30 @@
     scripts: dict[str, Script],
     work: services.Work = services.Work.IDEMPOTENT,
     attempts: int = 2,
-    known: list[str] | None = None,
+    known_targets: list[str] | None = None,
     ends_at: float | None = None,
-) -> Seen:
-    """Run one request against these targets, which are granted in their order.
+) -> RunResult:
+    """Run one request against these targets, whose slots are granted in order.
 
-    `known` are the targets that this VM knows, all by default; `ends_at` is when the
-    process tells its runs to end.
+    `known_targets` are the targets that this VM knows, all by default; `ends_at` is
+    the time in seconds by which the process ends, if any.
     """
     slots, exchange = ScriptedSlots(list(scripts)), ScriptedTargets(scripts)
-    seen: list[Seen] = []
+    results: list[RunResult] = []
 
     async def main() -> None:
-        names = list(scripts) if known is None else known
+        names = list(scripts) if known_targets is None else known_targets
         begin = anyio.current_time()
         reply = await run_once(slots, exchange, names, attempts, work, None, ends_at)
-        seen.append(
-            Seen(
+        results.append(
+            RunResult(
                 reply.status,
                 reply.body,
                 anyio.current_time() - begin,
-                tuple(exchange.broken_off),
+                tuple(exchange.cancelled),
                 tuple(slots.outcomes),
             )
         )
 
-    run_virtually(main)
-    return seen[0]
+    run_in_virtual_time(main)
+    return results[0]
