--- a/tests/edge/test_leaving_vm.py
+++ b/tests/edge/test_leaving_vm.py
@@ -1,15 +1,9 @@
-"""A VM that is leaving is served by the others until its end.
+"""A leaving VM is served by the others until its end.
 
-A VM serves its callers for some seconds after SIGTERM. The others forgot its address as
-soon as it said that it leaves, so that no dispatcher could answer it: each request took
-the first two for dead, and the VM alone had less than one retry to give. Its log, 0.9 s
-after SIGTERM:
-
-    dispatcher_lost  peer=vm-5
-    attempt          waited_ms=184.8 outcome=failed ms=4
-    answer           status=500 ms=190 attempts=1
-    dispatcher_lost  peer=vm-13
-    attempt          waited_ms=184.5 outcome=good ms=79
+A VM serves its callers for some seconds after SIGTERM. If the others removed its
+address as soon as it announced that it is leaving, no dispatcher could answer it. Each
+request would take the first two dispatchers for dead, waiting about 0.185 s, and the VM
+alone may grant less than one retry.
 """
 
 from __future__ import annotations
@@ -30,9 +24,9 @@
 
 @pytest.mark.anyio
 async def test_stopping_vm_still_gets_slots_of_the_dispatcher() -> None:
-    # A VM that stops tells all others that it leaves; they forget its address, and so
-    # cannot answer its asks any more, although it serves for seconds. Each ask of it
-    # waits until the dispatchers count as dead (0.09 s each), then it decides alone.
+    # If the others removed the address of the leaving VM, each of its slot requests
+    # would wait until the dispatchers count as dead (0.09 s each) and then be decided
+    # alone.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route(kind="safe", timeout_ms=3000)])
         await site.start_target(edge_site.Target("t1"))
@@ -57,7 +51,7 @@
 
 
 class FailsFirst(edge_site.Target):
-    """Whichever target of a site runs the first request breaks its answer."""
+    """A target whose answer is unsigned if it runs the first request of the site."""
 
     def __init__(self, target_id: str, ran_in_site: list[str]) -> None:
         super().__init__(target_id)
@@ -72,12 +66,11 @@
 
 @pytest.mark.anyio
 @pytest.mark.parametrize("is_stopping", [False, True])
-async def test_stopping_vm_tries_failed_work_elsewhere_like_any_other(
+async def test_stopping_vm_retries_failed_requests_like_any_other(
     is_stopping: bool,
 ) -> None:
-    # Alone, a VM has the part of one VM in the slack of retries, which is less than one
-    # retry. So every second attempt of a VM that stops is refused, while a dispatcher
-    # that others ask has room for it.
+    # Alone, a VM has only its share of the slack of retries, which is less than one.
+    # Each retry of a stopping VM would be refused, while a dispatcher has room for it.
     async with edge_site.run_site() as site:
         make_settings = site.make_settings
 
--- a/tests/edge/test_stop_corners.py
+++ b/tests/edge/test_stop_corners.py
@@ -1,4 +1,4 @@
-"""Corners of stops, leaving VMs and requests with several attempts."""
+"""Corner cases of stops, leaving VMs and requests with several attempts."""
 
 from __future__ import annotations
 
@@ -26,18 +26,17 @@
 
 pytestmark = pytest.mark.anyio
 
-WORK = 0.5
+WORK_DURATION_S = 0.5
 
 
 @pytest.mark.parametrize("is_through_leaving", [False, True], ids=["other", "leaving"])
 async def test_request_that_waits_at_a_leaving_dispatcher_gets_the_next_slot(
     is_through_leaving: bool,
 ) -> None:
-    # A target has one slot. One request holds it, a second one waits for it at the
-    # dispatcher, which is then stopped. A third request asks the next dispatcher, and
-    # tells it of the slot in use. From then on the slot's end is told to that one only:
-    # the leaving dispatcher takes the slot for used, and the second request waits on
-    # while the target is idle.
+    # A target has one slot. One request holds it, and a second one waits for it at the
+    # dispatcher, which is then stopped. A third request asks the next dispatcher and
+    # informs it of the held slot. The end of that slot must also be reported to the
+    # leaving dispatcher, or the second request would wait on while the target is idle.
     async with edge_site.run_site() as site:
         site.unready_after = 2.5
         site.publish([edge_site.make_route(timeout_ms=8000, target_latency_ms=4000)])
@@ -52,7 +51,7 @@
         leaving = next(vm for vm in vms if vm.settings.vm == first)
         other = next(vm for vm in vms if vm.settings.vm != first)
         through = leaving if is_through_leaving else other
-        target.delay = WORK
+        target.delay = WORK_DURATION_S
         ended: dict[str, tuple[int, float]] = {}
         began = anyio.current_time()
 
@@ -70,12 +69,12 @@
             group.start_soon(call, "third")
         statuses = {status for status, _ in ended.values()}
         assert statuses == {200}, ended
-        # Three pieces of work at one slot, one after the other.
-        assert max(at for _, at in ended.values()) < 3 * WORK + 0.5, ended
+        # Three requests use one slot, one after the other.
+        assert max(at for _, at in ended.values()) < 3 * WORK_DURATION_S + 0.5, ended
 
 
 class Answers:
-    """Answers every request with 200."""
+    """A handler that answers every request with 200."""
 
     async def handle(self, incoming: calls.Incoming) -> calls.Reply:
         """Return the answer."""
@@ -83,7 +82,7 @@
 
 
 class StoppingVm:
-    """Stops nothing else."""
+    """A VM with nothing else to stop."""
 
     def begin_stop(self, answer_by: float) -> None:
         """Do nothing."""
@@ -96,7 +95,7 @@
 
 
 class SendsAtTheClose:
-    """A side of callers one of whom sends a request as idle connections close."""
+    """A server one of whose callers sends a request as idle connections close."""
 
     def __init__(self, server: http_server.Server, send: object) -> None:
         self._server = server
@@ -124,9 +123,9 @@
 
 
 async def test_request_that_comes_as_idle_connections_close_is_answered() -> None:
-    # Idle connections are read once more before they close, for a request that arrived
-    # just then. A stop that finds all connections idle does not wait for that: they
-    # still count as idle when it looks, so that it ends at once and cuts them all off.
+    # Idle connections are read once more before they close, for a request that has just
+    # arrived. A stop must wait for that, although these connections still count as idle
+    # when it checks; otherwise it ends at once and cuts them off.
     server = http_server.Server(
         Answers(), configuration.Limits, edge_site.fail_on_error
     )
@@ -171,9 +170,10 @@
     return members.Members(ports.Member("own", "a", "127.0.0.1", 1, 1), 0.0)
 
 
-def test_vm_that_starts_again_with_its_clock_set_back_is_taken_in() -> None:
-    # Incarnations are wall times. A VM leaves, its clock is set back, it starts again
-    # and greets: the greeting looks older than the VM that left, and is ignored.
+def test_vm_that_restarts_with_its_clock_set_back_is_added() -> None:
+    # Incarnations are wall-clock times. A VM leaves, its clock is set back, and it
+    # starts again: its greeting looks older than the VM that left, and must not be
+    # ignored.
     fleet = make_fleet()
     fleet.add(make_member(5_000))
     fleet.record_contact("vm-1", 1.0)
@@ -183,10 +183,10 @@
     assert "vm-1" in fleet.rank_reachable("task", 20.0)
 
 
-def test_late_word_of_leaving_does_not_concern_the_vm_that_started_since() -> None:
-    # Words of leaving named no incarnation. One that is overtaken by the greeting of
-    # the VM's next start made that one leave: its greetings no longer helped, and after
-    # a minute it was forgotten while it lived.
+def test_late_leaving_message_does_not_affect_a_restarted_vm() -> None:
+    # A leaving message may arrive after the greeting of the VM's next start. Without an
+    # incarnation in the message, the restarted VM would count as leaving, its greetings
+    # would not change that, and it would be removed after a minute while running.
     fleet = make_fleet()
     fleet.add(make_member(1_000))
     fleet.record_contact("vm-1", 1.0)
@@ -199,10 +199,10 @@
     assert "vm-1" in fleet.rank_reachable("task", 80.0)
 
 
-async def test_vm_that_starts_while_another_leaves_leaves_its_tasks_to_others() -> None:
-    # A VM that is leaving does not answer greetings, so that a VM that starts meanwhile
-    # is not told. It hears of the other by its asks, takes it for one that stays, and
-    # asks it first where it ranks first.
+async def test_vm_started_during_another_ones_leaving_gives_it_no_tasks() -> None:
+    # A VM starts while another one is leaving. If the leaving VM did not answer its
+    # greeting with that, the new VM would learn of it by its slot requests, expect it
+    # to stay, and ask it first where it ranks first.
     async with edge_site.run_site() as site:
         site.unready_after = 5.5
         site.publish([edge_site.make_route(timeout_ms=3000)])
@@ -225,8 +225,8 @@
 
 
 async def test_request_that_waits_at_a_former_dispatcher_gets_the_next_slot() -> None:
-    # The same where nobody leaves: a VM that ranks higher joins, and takes over while a
-    # request waits at the dispatcher before it.
+    # The same without a leaving VM: a VM that ranks higher joins and takes over while a
+    # request waits at the former dispatcher.
     async with edge_site.run_site() as site:
         names = [f"vm-{number}" for number in range(1, 5)]
         first = rendezvous.pick("desk", names, 1)[0]
@@ -254,7 +254,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(call, "first")
             await anyio.sleep(0.2)
-            target.delay = WORK
+            target.delay = WORK_DURATION_S
             assert through.daemon.find_dispatcher("desk") != first
             group.start_soon(call, "second")
             await edge_site.wait_until(
@@ -263,12 +263,14 @@
             assert not ended
             group.start_soon(call, "third")
         assert {status for status, _ in ended.values()} == {200}, ended
-        assert max(at for _, at in ended.values()) < 3.5 + 2 * WORK + 0.5, ended
+        assert max(at for _, at in ended.values()) < 3.5 + 2 * WORK_DURATION_S + 0.5, (
+            ended
+        )
 
 
 async def test_stop_ends_within_its_limit_whatever_the_balancer_needs() -> None:
-    # The wait for the balancer is not bounded by the limit of the stop. The process
-    # would be killed in the middle of it, and nothing logged.
+    # If the wait for the load balancer were not bounded by the limit of the stop, the
+    # process would be killed during it and log nothing.
     server = http_server.Server(
         Answers(), configuration.Limits, edge_site.fail_on_error
     )
@@ -279,10 +281,10 @@
     assert ended.duration <= times.limit
 
 
-async def test_quick_work_is_served_at_a_stop_whatever_its_objective() -> None:
-    # Work that takes milliseconds comes right after SIGTERM, with 5.6 s left. Its route
-    # allows six seconds, so that it is refused, and so is each other request of the
-    # route until the balancer has noticed.
+async def test_quick_request_is_served_at_a_stop_whatever_its_objective() -> None:
+    # A request that takes milliseconds arrives right after SIGTERM, with 5.6 s left.
+    # Its route allows six seconds. If it were refused for that, so would be each
+    # request of the route until the load balancer notices the stop.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route(timeout_ms=8000, target_latency_ms=6000)])
         await site.start_target(edge_site.Target("t1"))
@@ -294,8 +296,9 @@
 
 
 def test_request_whose_caller_left_goes_to_no_further_target() -> None:
-    # The caller leaves while a target has its request, which may run only once and is
-    # not broken off. The target proves that it did not run it; nobody waits any more.
+    # The caller disconnects while a target has its at-most-once request, which is not
+    # abandoned. The target states that it did not run it, but nobody waits for the
+    # answer any more.
     scripts = {
         "t1": scripted_run.Script(plan.Result.TURNED_AWAY, 0.3),
         "t2": scripted_run.Script(plan.Result.ANSWERED, 0.1),
@@ -318,9 +321,9 @@
     assert slots.names == ["t2"]
 
 
-def test_target_is_not_blamed_for_work_that_a_stop_cuts_off() -> None:
-    # The process ends before the work does, long before its deadline. The dispatcher
-    # is told that the target was silent, which counts as a failure of the target.
+def test_target_is_not_blamed_for_a_request_cut_off_by_a_stop() -> None:
+    # The process ends long before the deadline of a request and before its answer.
+    # Reporting the target as silent would count as a failure of the target.
     scripts = {"t1": scripted_run.Script(plan.Result.ANSWERED, 1.5)}
     seen = scripted_run.play(scripts, services.Work.AT_MOST_ONCE, ends_at=0.3)
     assert seen.broken_off == ("t1",)
@@ -328,7 +331,7 @@
 
 
 class ConnectsSlowly(scripted_run.ScriptedTargets):
-    """Takes long over the connection to the first target."""
+    """Takes long to connect to the first target."""
 
     def __init__(self, scripts: dict[str, scripted_run.Script]) -> None:
         super().__init__(scripts)
@@ -348,11 +351,11 @@
         return await super().attempt(target, request, work, mark_sent)
 
 
-def test_overdue_work_goes_to_no_more_targets_than_its_route_allows() -> None:
-    # The first attempt is overdue while it still connects (the process stood still, and
-    # connects once more). The second one is started when nothing has been sent, so that
-    # a third may follow; then the first is sent too. When the second is overdue nobody
-    # asks again whether the route allows another target.
+def test_overdue_request_goes_to_no_more_targets_than_its_route_allows() -> None:
+    # The first attempt becomes overdue while it is still connecting, after a pause of
+    # the process. The second one is started when nothing has been sent, so that a third
+    # may follow; then the first is sent too. When the second becomes overdue, the
+    # number of targets allowed by the route must be checked again.
     scripts = {
         name: scripted_run.Script(plan.Result.ANSWERED, 1.2)
         for name in ("t1", "t2", "t3")
--- a/tests/edge/test_stopping.py
+++ b/tests/edge/test_stopping.py
@@ -1,4 +1,4 @@
-"""A planned stop gives each request that was read, or is being read, its answer."""
+"""A planned stop answers each request that was received completely or in part."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def allow_slow_callers(vm: edge_site.Vm) -> None:
-    """Let callers take long over a request, so that a busy machine does not matter."""
+    """Allow callers to send slowly, so that a busy machine does not affect the test."""
     routes = [edge_site.make_route(timeout_ms=8000)]
     current = edge_site.store.decoding.decode_configuration(
         encoding.encode_configuration(1_000_000, routes)
@@ -77,10 +77,10 @@
 
 
 @pytest.mark.parametrize("sent", [30, len(REQUEST) - 2], ids=["head", "body"])
-async def test_request_that_is_being_read_at_a_stop_is_answered(sent: int) -> None:
-    # A caller has sent half of a request when the VM is stopped, and sends the rest
-    # later, as over a slow line. No whole request was in flight, so that the
-    # process ended, and the caller saw a closed connection.
+async def test_request_received_in_part_at_a_stop_is_answered(sent: int) -> None:
+    # The VM is stopped when a caller has sent half of a request; the rest follows
+    # later, as over a slow line. Since no complete request is in flight, the process
+    # could end and the caller would see a closed connection.
     async with edge_site.run_site() as site:
         vm = await start_vm(site)
         allow_slow_callers(vm)
@@ -94,7 +94,7 @@
 
 
 async def answer_despite(site: edge_site.Site, break_it: Break) -> edge_site.Vm:
-    """Break something while a request is under way; return once it is answered."""
+    """Cause an error while a request is under way; return once it is answered."""
     vm = await start_vm(site)
     site.targets["t1"].delay = 1.5
     async with await connect(vm) as stream:
@@ -121,12 +121,12 @@
         (knowledge_keeper.KnowledgeKeeper, "run", "keep knowledge"),
     ],
 )
-async def test_fault_in_a_background_task_cuts_no_request(
+async def test_error_in_a_background_task_cuts_off_no_request(
     monkeypatch: pytest.MonkeyPatch, owner: type, function: str, task: str
 ) -> None:
-    # A task beside the requests meets a fault of the program. All requests under way
-    # were cut off with it, and the process ended. They must be answered, the fault be
-    # noted with the name of its task, and the task go on once the fault has passed.
+    # A background task raises an error. It must not cut off the requests under way or
+    # end the process. The error is logged with the name of its task, and the task
+    # continues once the error no longer occurs.
     if function == "run":
         monkeypatch.setattr(owner, function, fail_later)
     async with edge_site.run_site() as site:
@@ -147,17 +147,17 @@
 
 
 async def fail_later(keeper: knowledge_keeper.KnowledgeKeeper) -> None:
-    """Keep the knowledge for long enough to become ready; then fail."""
+    """Run the keeper for long enough to become ready; then fail."""
     with anyio.move_on_after(1.0):
         await RUN_KEEPER(keeper)
     raise RuntimeError("a fault")
 
 
-async def test_fault_met_by_a_datagram_leaves_the_next_ones_alone(
+async def test_error_in_handling_a_datagram_does_not_affect_the_next_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # What another VM says meets a fault of the program. All requests under way were cut
-    # off with it. They must be answered, and the next datagram be taken in at once.
+    # Handling a datagram raises an error. It must not cut off the requests under way,
+    # and the next datagram must be handled at once.
     async with edge_site.run_site() as site:
         taken: list[str] = []
 
@@ -179,11 +179,11 @@
         assert [line["task"] for line in faults] == ["take datagram"] * 2
 
 
-async def test_fault_in_telling_others_does_not_shorten_a_stop(
+async def test_error_in_announcing_leaving_does_not_shorten_a_stop(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # A VM is stopped, and telling the others that it leaves meets a fault. The stop
-    # ended there, and with it the requests under way.
+    # Announcing to the others that a stopping VM is leaving raises an error. The stop
+    # must not end there, which would cut off the requests under way.
     async with edge_site.run_site() as site:
 
         def break_it(vm: edge_site.Vm) -> None:
@@ -197,7 +197,8 @@
 
 
 class FakeVm:
-    """A VM whose one request has its answer, and writes it, `late` after the limit."""
+    """A VM whose one request is answered, and written, `late` seconds after the
+    limit."""
 
     def __init__(self, late: float) -> None:
         self.late = late
@@ -230,9 +231,10 @@
 async def test_answer_that_is_ready_at_the_limit_is_still_written(
     late: float, cut_off: int
 ) -> None:
-    # A request gets its final answer at the limit of the stop. The process ended at
-    # that very moment, and the answer was not written. Work that is not answered even
-    # then must not hold the stop up, and is counted; no fault of a step changes that.
+    # A request gets its final answer at the time limit of the stop. If the process
+    # ended at that moment, the answer would not be written. A request that is not
+    # answered even then must not delay the stop, and is counted; an error in a step
+    # changes neither.
     vm = FakeVm(late)
     faults: list[str] = []
     with anyio.fail_after(10.0):
@@ -243,13 +245,12 @@
     assert faults[:3] == ["tell opinions", "tell leaving", "close idle"]
 
 
-async def test_log_says_what_a_stop_found_and_what_it_cut_off(
+async def test_log_states_requests_in_flight_and_cut_off_at_a_stop(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A target hangs for longer than the stop may last, and the run of its request does
-    # not hear of the limit. Whoever is on call reads in the log how many requests the
-    # stop began with and how many it cut off; the line said none, since the requests
-    # were counted once they had been cut.
+    # A target hangs for longer than the stop may take, and its request is not told of
+    # the limit. The log must state how many requests the stop began with and how many
+    # it cut off; counting them after they were cut off would give none.
     monkeypatch.setattr(forwarder.Forwarder, "end_by", lambda *_: None)
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route(timeout_ms=20_000)])
@@ -275,8 +276,8 @@
 
 
 async def test_second_signals_do_not_shorten_a_stop(tmp_path: pathlib.Path) -> None:
-    # While a VM is stopping, it is told to stop again, and new settings with a shorter
-    # limit come into force. What it has read is answered within the limit that it had.
+    # While a VM is stopping, it is asked to stop again, and new settings with a shorter
+    # limit come into force. Received requests are answered within the former limit.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route(timeout_ms=8000)])
         await site.start_target(edge_site.Target("t1"))
@@ -300,9 +301,9 @@
 async def test_sighup_during_a_start_does_not_end_the_process(
     tmp_path: pathlib.Path,
 ) -> None:
-    # An operator changes the settings while a VM starts, and SIGHUP comes before the
-    # process takes signals in: it ended. Here it waits for its settings, which come
-    # through a pipe; it must live to read them and refuse them for what they are.
+    # SIGHUP arrives while a VM starts, before the process handles signals, and must not
+    # end it. Here it waits for its settings, which come through a pipe; it must still
+    # read them and reject them because of their contents.
     path = tmp_path / "settings.json"
     os.mkfifo(path)
     environment = {**os.environ, "ZINNIASTAND_NODE_FILE": str(path)}
@@ -318,7 +319,7 @@
 
 
 async def write_settings_after(path: pathlib.Path, process: anyio.abc.Process) -> None:
-    """Wait until the process reads its settings, send SIGHUP, and give it some."""
+    """Wait until the process opens its settings, send SIGHUP, then write some."""
     while True:
         try:
             descriptor = os.open(path, os.O_WRONLY | os.O_NONBLOCK)
--- a/tests/edge_site.py
+++ b/tests/edge_site.py
@@ -30,16 +30,16 @@
 
 HOST = "127.0.0.1"
 LOG_BYTES = 10_000_000
-CRASHED_FOR = 0.4
+CRASH_DURATION_S = 0.4
 
 
 def fail_on_error(error: BaseException) -> None:
-    """Let an unexpected error of a stand-in fail the test."""
+    """Let an unexpected error of a simulated component fail the test."""
     raise error
 
 
 class Target:
-    """A scripted target; `status` and the other switches say how it answers."""
+    """A scripted target, whose answers follow `status` and its other attributes."""
 
     def __init__(self, target_id: str, service: str = "desk") -> None:
         self.target_id = target_id
@@ -96,7 +96,7 @@
     """Its settings."""
 
     read_log: collections.abc.Callable[[], list[dict[str, object]]]
-    """Returns the lines that it has logged since the last call."""
+    """Returns all lines that it has logged so far."""
 
 
 class Site:
@@ -128,10 +128,10 @@
         self.register(target)
 
     async def start_fragile_target(self, target: Target, path: bytes) -> None:
-        """Serve a target that a request for this path crashes, and its successors.
+        """Serve a target, and its successors, that crash on requests for this path.
 
-        Each crash ends its listener and its connections without an answer. Another
-        target follows after a while under another name.
+        Each crash ends the listener and its connections without an answer. Another
+        target follows after `CRASH_DURATION_S` under another name.
         """
         target.crash_path = path
         started = anyio.Event()
@@ -152,7 +152,7 @@
                     self.targets[target.target_id] = target
                     self.register(target)
                     started.set()
-            await anyio.sleep(CRASHED_FOR)
+            await anyio.sleep(CRASH_DURATION_S)
             self.store.put(words.TARGETS_TOPIC, target.target_id, b"")
             target = Target(f"{name}-{number}", target.service)
             target.crash_path = path
@@ -229,7 +229,7 @@
 
 
 def write_settings(settings: edge_settings.Settings) -> str:
-    """Return settings as they stand in a file."""
+    """Return settings in the format of the settings file."""
 
     def format_address(address: edge_settings.Address) -> str:
         return f"{address.host}:{address.port}"
@@ -301,7 +301,7 @@
 
 
 async def wait_ready(vm: Vm) -> None:
-    """Return once a VM says that it is ready."""
+    """Return once a VM reports that it is ready."""
     address = vm.settings.readiness
     async with httpx.AsyncClient(verify=False) as client:
         with anyio.fail_after(5.0):
