--- a/soak/plants.py
+++ b/soak/plants.py
@@ -137,7 +137,7 @@
         (
             Change(
                 f"{CORE}/deployment/targets.py",
-                "return entry.sequence <= known.sequence and not is_again",
+                "return entry.sequence <= known.sequence and not is_repeat",
                 "return False",
             ),
         ),
@@ -149,7 +149,7 @@
         (
             Change(
                 f"{CORE}/dispatch/rate_limit.py",
-                "return now >= self._due_at - BURST",
+                "return now >= self._due_at - BURST_S",
                 "return True",
             ),
         ),
