--- a/packages/zinniastand-ctl/src/zinniastand_ctl/explain/__init__.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/explain/__init__.py
@@ -1,1 +1,1 @@
-"""Why requests were not served, from the daemons' log lines."""
+"""Explain from the VMs' log lines why requests were not served."""
--- a/packages/zinniastand-ctl/src/zinniastand_ctl/explain/causes.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/explain/causes.py
@@ -1,7 +1,7 @@
-"""Why one request was not served, was late, or was tried more than once.
+"""Find out why a request was not served, or was served late.
 
-A request is judged by the lines of its attempts and of its answer alone, so that lines
-of other VMs and other requests may be missing.
+The verdict on a request depends only on the log lines of its own attempts and answer.
+Logs of other VMs and other requests may be missing.
 """
 
 from __future__ import annotations
@@ -9,69 +9,70 @@
 import dataclasses
 import enum
 
-KNOWN_DOUBT = 0.3
-"""Doubt from which a target counts as believed failing when it was chosen: from there
-on, work that may run once waits for a better one."""
+KNOWN_FAILURE_PROBABILITY = 0.3
+"""Estimated failure probability from which a target was known to be failing when it was
+chosen. From this value on, work that may run only once waits for a better target."""
 
 SLOW_FACTOR = 2.0
-"""Times the expected time from which work counts as slower than expected."""
+"""An attempt counts as slow if it lasts longer than its expected duration times this
+factor."""
 
-LEAST_FAILED = 400
+MIN_ERROR_STATUS = 400
 OWN_SERVER_ERRORS = frozenset({502, 503, 504})
 
 
 class Result(enum.StrEnum):
-    """What the caller got."""
+    """Result of a request for its caller."""
 
     SERVED = "served"
-    """A whole answer of a target, in time as far as the lines tell."""
+    """A complete answer of a target, in time as far as the log lines show."""
 
     LATE = "late"
-    """A whole answer of a target after the route's objective."""
+    """A complete answer of a target, later than the route's objective."""
 
     REFUSED = "refused"
-    """The word that the request has not run."""
+    """A 503 which says that the request was not executed."""
 
     FAILED = "failed"
-    """An error, or nothing until the deadline."""
+    """An error, or no answer before the deadline."""
 
     DECLINED = "declined"
-    """No route leads anywhere: nothing that the fleet owes."""
+    """No route matches the request. It does not count as a failure of the fleet."""
 
 
 class Cause(enum.StrEnum):
     """Why a request was not served in time."""
 
-    QUEUE = "refused: queue too long"
+    QUEUE_TOO_LONG = "refused: queue too long"
     QUARANTINED = "refused: it crashes its targets"
     RETRY_BUDGET = "refused: no retries left after a target turned it away"
     NO_TARGET = "refused: no target"
-    NO_KNOWLEDGE = "refused: no configuration yet"
+    NO_CONFIGURATION = "refused: no configuration yet"
     STOP = "ended by a stop"
     ALL_TURNED_AWAY = "refused: turned away by every target that it may go to"
     REFUSED_OTHER = "refused: another reason"
-    SURPRISE = "failed: target that nobody knew to fail"
-    KNOWN = "failed: target believed failing"
+    UNEXPECTED_FAILURE = "failed: target that nobody knew to fail"
+    EXPECTED_FAILURE = "failed: target believed failing"
     NO_RETRY_LEFT = "failed: no retries left after a failed attempt"
-    CRASHED = "failed: its target crashed"
-    AGAIN = "failed: a later attempt failed too"
-    PATH = "failed: no path to the target from this VM"
-    SILENT = "failed: target silent until the deadline"
+    TARGET_CRASHED = "failed: its target crashed"
+    RETRY_FAILED = "failed: a later attempt failed too"
+    NO_PATH = "failed: no path to the target from this VM"
+    SILENT_TARGET = "failed: target silent until the deadline"
     DEADLINE = "failed: waited until the deadline"
-    CALLER_LEFT = "caller left"
+    CALLER_DISCONNECTED = "caller left"
     LATE_QUEUE = "late: waited for a target"
-    LATE_AGAIN = "late: an earlier attempt failed"
+    LATE_RETRY = "late: an earlier attempt failed"
     LATE_SLOW = "late: slower than expected"
-    LATE_WORK = "late: its own time of work"
-    FAULT = "failed: fault of the program"
+    LATE_PROCESSING = "late: its own time of work"
+    INTERNAL_ERROR = "failed: fault of the program"
 
 
-REFUSALS = {
-    "overloaded": Cause.QUEUE,
-    "too-late": Cause.QUEUE,
+REFUSAL_CAUSES = {
+    "overloaded": Cause.QUEUE_TOO_LONG,
+    "too-late": Cause.QUEUE_TOO_LONG,
     "retry-budget": Cause.RETRY_BUDGET,
     "no-target": Cause.NO_TARGET,
-    "no-configuration": Cause.NO_KNOWLEDGE,
+    "no-configuration": Cause.NO_CONFIGURATION,
     "stopping": Cause.STOP,
     "quarantined": Cause.QUARANTINED,
 }
@@ -79,99 +80,111 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attempt:
-    """One attempt at a target."""
+    """One attempt at a target, from its log line."""
 
     target: str
-    """The target."""
+    """Id of the target."""
 
     service: str
-    """Its service."""
+    """Service of the target."""
 
-    doubt: float
-    """Believed chance that it fails, when it was chosen."""
+    failure_probability: float
+    """Estimated probability that it fails, at the time it was chosen."""
 
-    expected: float
-    """Milliseconds that it was expected to take."""
+    expected_ms: float
+    """Expected duration in milliseconds."""
 
-    waited: float
-    """Milliseconds until it was chosen."""
+    wait_time_ms: float
+    """Milliseconds that the request waited for the target."""
 
     outcome: str
-    """How it ended."""
+    """How it ended: `outcome` of its log line."""
 
     why: str
-    """What ended it."""
+    """Reason for the outcome, such as a status code."""
 
-    took: float
-    """Milliseconds that it took."""
+    duration_ms: float
+    """Milliseconds from its start to its end."""
 
     number: int = 1
-    """Which target of its request it went to."""
+    """Its number among the attempts of its request, from 1."""
 
     dispatcher: str = ""
-    """VM that gave the slot."""
+    """VM whose dispatcher granted the slot."""
 
     fingerprint: str = ""
-    """Names what the request asks for; empty where the line does not tell."""
+    """Fingerprint of what the request asks for; empty where the log line has none."""
 
     has_crashed: bool = False
-    """Whether the target crashed meanwhile."""
+    """Whether the target crashed during the attempt."""
 
-    limit: float | None = None
-    """Requests a second that the target takes; None where it names no limit."""
+    rate_limit: float | None = None
+    """Requests per second that the target accepts; None where it announced no limit."""
 
-    second: int = 0
-    """When it ended, in whole seconds."""
+    end_second: int = 0
+    """Unix time of its end, in whole seconds."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """What the caller got."""
+    """The answer to a caller, from its log line."""
 
     status: int
-    """Status code."""
+    """HTTP status code."""
 
     why: str
-    """The target's status, or why there is none."""
+    """The target's status, or the reason why no target answered."""
 
-    took: float
-    """Milliseconds from the request's first byte."""
+    duration_ms: float
+    """Milliseconds since the request's first byte."""
 
-    objective: float | None
-    """Milliseconds within which it is in time; None where the line does not tell."""
+    objective_ms: float | None
+    """Latency objective of the route in milliseconds; None where the log line has
+    none."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """What became of a request, and why."""
+    """Result of a request and the cause of a bad one."""
 
     result: Result
-    """What the caller got."""
+    """Result for the caller."""
 
     cause: Cause | None
-    """Why it was not served in time; None where it was."""
+    """Why the request was not served in time; None if it was, or if no route
+    matched."""
 
 
 def judge(answer: Answer, attempts: tuple[Attempt, ...]) -> Verdict:
-    """Return what became of a request."""
-    if answer.status < LEAST_FAILED:
-        if answer.objective is None or answer.took <= answer.objective:
+    """Return the result of a request and its cause.
+
+    Parameters
+    ----------
+    answer : Answer
+        The answer that the caller got.
+    attempts : tuple of Attempt
+        Attempts of the request in the order of their log lines.
+    """
+    if answer.status < MIN_ERROR_STATUS:
+        if answer.objective_ms is None or answer.duration_ms <= answer.objective_ms:
             return Verdict(Result.SERVED, None)
         return Verdict(Result.LATE, _find_late_cause(answer, attempts))
     if answer.why == "no-route":
         return Verdict(Result.DECLINED, None)
     if answer.why == "caller left":
-        return Verdict(Result.FAILED, Cause.CALLER_LEFT)
-    if answer.status == 503 and not any(one.outcome == "failed" for one in attempts):
+        return Verdict(Result.FAILED, Cause.CALLER_DISCONNECTED)
+    if answer.status == 503 and not any(
+        attempt.outcome == "failed" for attempt in attempts
+    ):
         return Verdict(Result.REFUSED, _find_refusal_cause(answer, attempts))
     return Verdict(Result.FAILED, _find_failure_cause(answer, attempts))
 
 
 def _find_refusal_cause(answer: Answer, attempts: tuple[Attempt, ...]) -> Cause:
-    if answer.why in REFUSALS or not attempts:
-        return REFUSALS.get(answer.why, Cause.REFUSED_OTHER)
-    if all(one.outcome == "unreachable" for one in attempts):
-        return Cause.PATH
+    if answer.why in REFUSAL_CAUSES or not attempts:
+        return REFUSAL_CAUSES.get(answer.why, Cause.REFUSED_OTHER)
+    if all(attempt.outcome == "unreachable" for attempt in attempts):
+        return Cause.NO_PATH
     return Cause.ALL_TURNED_AWAY
 
 
@@ -179,36 +192,47 @@
     if answer.why == "stopping":
         return Cause.STOP
     if answer.why == "unexpected error":
-        return Cause.FAULT
-    tried = [one for one in attempts if one.outcome not in ("shed", "misplaced")]
+        return Cause.INTERNAL_ERROR
+    not_turned_away = [
+        attempt for attempt in attempts if attempt.outcome not in ("shed", "misplaced")
+    ]
     if answer.why == "retry-budget":
         return Cause.NO_RETRY_LEFT
-    if not tried:
+    if not not_turned_away:
         return Cause.DEADLINE
-    if all(one.outcome == "unreachable" for one in tried):
-        return Cause.PATH
-    sent = [one for one in tried if one.outcome != "unreachable"]
-    last = sent[-1]
+    if all(attempt.outcome == "unreachable" for attempt in not_turned_away):
+        return Cause.NO_PATH
+    reached = [
+        attempt for attempt in not_turned_away if attempt.outcome != "unreachable"
+    ]
+    last = reached[-1]
     if last.outcome == "silent":
-        return Cause.SILENT
+        return Cause.SILENT_TARGET
     if last.has_crashed:
-        return Cause.CRASHED
-    if len(sent) > 1:
-        return Cause.AGAIN
-    return Cause.KNOWN if last.doubt >= KNOWN_DOUBT else Cause.SURPRISE
+        return Cause.TARGET_CRASHED
+    if len(reached) > 1:
+        return Cause.RETRY_FAILED
+    return (
+        Cause.EXPECTED_FAILURE
+        if last.failure_probability >= KNOWN_FAILURE_PROBABILITY
+        else Cause.UNEXPECTED_FAILURE
+    )
 
 
 def _find_late_cause(answer: Answer, attempts: tuple[Attempt, ...]) -> Cause:
-    objective = answer.objective or 0.0
+    objective = answer.objective_ms or 0.0
     if not attempts:
         return Cause.LATE_QUEUE
     last = attempts[-1]
-    if last.took > objective:
-        is_slow = last.took > SLOW_FACTOR * last.expected
-        return Cause.LATE_SLOW if is_slow else Cause.LATE_WORK
-    if any(one.outcome != "good" for one in attempts[:-1]):
-        return Cause.LATE_AGAIN
-    if sum(one.waited for one in attempts) > answer.took - objective:
+    if last.duration_ms > objective:
+        is_slow = last.duration_ms > SLOW_FACTOR * last.expected_ms
+        return Cause.LATE_SLOW if is_slow else Cause.LATE_PROCESSING
+    if any(attempt.outcome != "good" for attempt in attempts[:-1]):
+        return Cause.LATE_RETRY
+    if (
+        sum(attempt.wait_time_ms for attempt in attempts)
+        > answer.duration_ms - objective
+    ):
         return Cause.LATE_QUEUE
-    is_slow = last.took > SLOW_FACTOR * last.expected
-    return Cause.LATE_SLOW if is_slow else Cause.LATE_WORK
+    is_slow = last.duration_ms > SLOW_FACTOR * last.expected_ms
+    return Cause.LATE_SLOW if is_slow else Cause.LATE_PROCESSING
--- a/packages/zinniastand-ctl/src/zinniastand_ctl/explain/commands.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/explain/commands.py
@@ -1,4 +1,4 @@
-"""The command that explains logs."""
+"""The command ``explain``."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import typer
 
 from .. import output
-from . import account, account_page, causes, log_reader, story, summary
+from . import causes, log_reader, request_history, request_totals, summary, totals_page
 
 HINT = "give files or folders of JSON lines, or - for standard input"
 
@@ -38,64 +38,66 @@
     standard error and do not end the command.
     """
     if request:
-        _tell_story(logs, request, as_json)
+        _show_history(logs, request, as_json)
         return
-    found = _read(logs)
+    totals = _read_totals(logs)
     if compare:
-        _show_comparison(_read([compare]), found, as_json)
+        _show_comparison(_read_totals([compare]), totals, as_json)
         return
     if html is not None:
-        _write(html, account_page.render(found))
-    output.show(summary.describe(found), as_json, format_account(found))
+        _write_page(html, totals_page.render(totals))
+    output.show(summary.describe(totals), as_json, format_totals(totals))
 
 
-def format_account(found: account.Account) -> str:
-    """Return an account as text."""
-    owed = max(1, summary.count_owed(found))
+def format_totals(totals: request_totals.RequestTotals) -> str:
+    """Return request totals as text tables."""
+    routed = max(1, summary.count_routed(totals))
     head = [
-        f"{summary.count_owed(found)} requests at {len(found.vms)} VMs: "
+        f"{summary.count_routed(totals)} requests at {len(totals.vms)} VMs: "
         + ", ".join(
-            f"{result.value} {found.count_result(result) / owed:.1%}"
+            f"{result.value} {totals.count_result(result) / routed:.1%}"
             for result in causes.Result
             if result is not causes.Result.DECLINED
         ),
-        f"tried at more than one target: {found.tried_again}; no answer in the logs: "
-        f"{found.unanswered}; lines dropped by the VMs: {found.lines_dropped}",
+        f"tried at more than one target: {totals.retried_requests}; "
+        f"no answer in the logs: {totals.unanswered}; "
+        f"lines dropped by the VMs: {totals.lines_dropped}",
     ]
     rows = [
-        [row.cause, row.count, f"{row.share:.2%}"] for row in summary.list_causes(found)
+        [row.cause, row.count, f"{row.share:.2%}"]
+        for row in summary.list_causes(totals)
     ]
     crashes = [
         [row.fingerprint, row.crashed, row.sent, row.answered]
-        for row in summary.list_crashes(found)
+        for row in summary.list_crashes(totals)
     ]
-    calls = [[*key, count] for key, count in sorted(found.store_calls.items())]
-    parts = [
+    calls = [[*key, count] for key, count in sorted(totals.store_calls.items())]
+    sections = [
         "\n".join(head),
         output.format_table(["cause", "requests", "of all"], rows),
     ]
     if crashes:
         names = ["request at crashed targets", "crashed", "sent since", "answered"]
-        parts.append(output.format_table(names, crashes))
+        sections.append(output.format_table(names, crashes))
     limits = [
         [row.target, row.limit, f"{row.busiest:.1f}"]
-        for row in summary.list_limits(found)
+        for row in summary.list_limits(totals)
     ]
     if limits:
         names = ["target with a limit", "a second", "busiest seconds"]
-        parts.append(output.format_table(names, limits))
-    parts += _format_retries(found)
-    if found.store_returns:
-        described = summary.describe(found)["store_returns"]
+        sections.append(output.format_table(names, limits))
+    sections += _format_retries(totals)
+    if totals.store_returns:
+        described = summary.describe(totals)["store_returns"]
         names = ["store returned from a copy, era", "first seen", "not served near"]
-        parts.append(output.format_table(names, _list_returns(described)))
+        sections.append(output.format_table(names, _list_store_returns(described)))
     if calls:
-        parts.append(output.format_table(["call to the store", "", "calls"], calls))
-    return "\n\n".join(parts)
+        sections.append(output.format_table(["call to the store", "", "calls"], calls))
+    return "\n\n".join(sections)
 
 
-def _format_retries(found: account.Account) -> list[str]:
-    """Return a table of the busiest seconds of retries, if there were any."""
+def _format_retries(totals: request_totals.RequestTotals) -> list[str]:
+    """Return a table of the windows with the most retries, if there were any."""
     rows = [
         [
             row.service,
@@ -104,13 +106,18 @@
             row.requests,
             ", ".join(f"{name} {count}" for name, count in row.dispatchers.items()),
         ]
-        for row in summary.list_retries(found)
+        for row in summary.list_retries(totals)
+    ]
+    names = [
+        f"most retries in {summary.RETRY_WINDOW_S} s",
+        "from",
+        "retries",
+        "requests",
     ]
-    names = [f"most retries in {summary.RETRY_SPAN} s", "from", "retries", "requests"]
     return [output.format_table([*names, "given by"], rows)] if rows else []
 
 
-def _list_returns(described: object) -> list[list[object]]:
+def _list_store_returns(described: object) -> list[list[object]]:
     if not isinstance(described, dict):
         return []
     return [
@@ -119,31 +126,33 @@
     ]
 
 
-def _read(logs: list[str]) -> account.Account:
+def _read_totals(logs: list[str]) -> request_totals.RequestTotals:
     reader = log_reader.LogReader(_report_progress)
-    found = account.Account()
+    totals = request_totals.RequestTotals()
     for record in reader.read(logs):
-        found.take(record)
-    found.finish()
+        totals.add(record)
+    totals.finish()
     _report_findings(reader)
-    if not found.events:
+    if not totals.events:
         output.fail(f"no log lines in {', '.join(logs)}: {HINT}")
-    return found
+    return totals
 
 
-def _tell_story(logs: list[str], request: str, as_json: bool) -> None:
+def _show_history(logs: list[str], request: str, as_json: bool) -> None:
     reader = log_reader.LogReader(_report_progress)
-    told = story.Story(request)
+    history = request_history.RequestHistory(request)
     for record in reader.read(logs):
-        told.take(record)
+        history.add(record)
     _report_findings(reader)
-    if told.is_empty:
+    if history.is_empty:
         output.fail(f"no line names the request {request}", output.EXIT_FAILED)
-    output.show(told.list_records(), as_json, told.format_text())
+    output.show(history.list_records(), as_json, history.format_text())
 
 
 def _show_comparison(
-    before: account.Account, after: account.Account, as_json: bool
+    before: request_totals.RequestTotals,
+    after: request_totals.RequestTotals,
+    as_json: bool,
 ) -> None:
     rows = summary.compare(before, after)
     table = output.format_table(
@@ -173,7 +182,7 @@
         typer.echo(f"and {more} more that could not be read", err=True)
 
 
-def _write(path: pathlib.Path, text: str) -> None:
+def _write_page(path: pathlib.Path, text: str) -> None:
     try:
         path.write_text(text, encoding="utf-8")
     except OSError as error:
--- a/packages/zinniastand-ctl/src/zinniastand_ctl/explain/log_reader.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/explain/log_reader.py
@@ -1,4 +1,4 @@
-"""Reads log lines of any number of VMs: files, folders, standard input, gzip."""
+"""Read log records from files, gzip files, folders and standard input."""
 
 from __future__ import annotations
 
@@ -10,42 +10,42 @@
 import sys
 import typing
 
-Line = dict[str, typing.Any]
+Record = dict[str, typing.Any]
 
 STANDARD_INPUT = "-"
 GZIP_MAGIC = b"\x1f\x8b"
 
-MOST_FINDINGS = 10
-"""Broken lines that are named; the rest are only counted."""
+MAX_FINDINGS = 10
+"""Unreadable lines that are listed; further ones are only counted."""
 
-REPORT_EACH = 1 << 18
-"""Lines between two reports of progress."""
+PROGRESS_INTERVAL_LINES = 1 << 18
+"""Lines between two progress reports."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finding:
-    """A line, or a whole file, that could not be read."""
+    """A line or a file that could not be read."""
 
-    place: str
-    """File, and number of the line where there is one."""
+    location: str
+    """File name, with the line number if a line is meant."""
 
-    why: str
+    reason: str
     """What is wrong with it."""
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.why}"
+        return f"{self.location}: {self.reason}"
 
 
 class LogReader:
-    """Reads lines one by one and counts what it cannot read.
+    """Reads records line by line and counts the lines that it cannot read.
 
-    Collectors often put a time or a host before each line; whatever stands before the
-    first brace is passed over, and so are lines without any.
+    Log collectors often prefix each line with a time or a host name. Therefore the text
+    before the first brace is ignored, and so are lines without a brace.
 
     Parameters
     ----------
     on_progress : callable, optional
-        Called with the number of lines read, from time to time.
+        Called with the number of lines read so far, every `PROGRESS_INTERVAL_LINES`.
 
     Attributes
     ----------
@@ -54,7 +54,7 @@
     broken : int
         Lines and files that could not be read.
     findings : list of Finding
-        The first of those.
+        The first `MAX_FINDINGS` of those.
     """
 
     def __init__(
@@ -67,39 +67,48 @@
 
     def read(
         self, sources: collections.abc.Iterable[str]
-    ) -> collections.abc.Iterator[Line]:
-        """Yield the records of all sources, one after the other."""
+    ) -> collections.abc.Iterator[Record]:
+        """Yield the records of all sources, one source after the other.
+
+        Parameters
+        ----------
+        sources : iterable of str
+            Paths of files or folders, or ``-`` for standard input.
+        """
         for source in sources:
             if source == STANDARD_INPUT:
                 yield from self._read_stream("standard input", sys.stdin.buffer)
             else:
                 yield from self._read_path(pathlib.Path(source))
 
-    def _read_path(self, path: pathlib.Path) -> collections.abc.Iterator[Line]:
+    def _read_path(self, path: pathlib.Path) -> collections.abc.Iterator[Record]:
         if path.is_dir():
             for child in sorted(path.iterdir()):
                 yield from self._read_path(child)
             return
         try:
             with path.open("rb") as file:
-                is_packed = file.read(len(GZIP_MAGIC)) == GZIP_MAGIC
+                is_compressed = file.read(len(GZIP_MAGIC)) == GZIP_MAGIC
                 file.seek(0)
-                if is_packed:
-                    with gzip.open(file) as unpacked:
-                        yield from self._read_stream(str(path), unpacked)
+                if is_compressed:
+                    with gzip.open(file) as decompressed:
+                        yield from self._read_stream(str(path), decompressed)
                 else:
                     yield from self._read_stream(str(path), file)
         except (OSError, EOFError) as error:
-            # A torn gzip file ends in EOFError; what came before it was read.
+            # A truncated gzip file raises EOFError after its readable part was yielded.
             reason = error.strerror if isinstance(error, OSError) else None
-            self._note(str(path), reason or str(error))
+            self._add_finding(str(path), reason or str(error))
 
     def _read_stream(
         self, name: str, stream: collections.abc.Iterable[bytes]
-    ) -> collections.abc.Iterator[Line]:
+    ) -> collections.abc.Iterator[Record]:
         for number, data in enumerate(stream, start=1):
             self.lines += 1
-            if self._on_progress is not None and self.lines % REPORT_EACH == 0:
+            if (
+                self._on_progress is not None
+                and self.lines % PROGRESS_INTERVAL_LINES == 0
+            ):
                 self._on_progress(self.lines)
             start = data.find(b"{")
             if start < 0:
@@ -107,14 +116,14 @@
             try:
                 record = json.loads(data[start:])
             except ValueError as error:
-                self._note(f"{name}:{number}", f"not JSON: {error}")
+                self._add_finding(f"{name}:{number}", f"not JSON: {error}")
                 continue
             if not isinstance(record, dict) or not isinstance(record.get("vm"), str):
-                self._note(f"{name}:{number}", "no record of a VM")
+                self._add_finding(f"{name}:{number}", "no record of a VM")
                 continue
             yield record
 
-    def _note(self, place: str, why: str) -> None:
+    def _add_finding(self, location: str, reason: str) -> None:
         self.broken += 1
-        if len(self.findings) < MOST_FINDINGS:
-            self.findings.append(Finding(place, why))
+        if len(self.findings) < MAX_FINDINGS:
+            self.findings.append(Finding(location, reason))
--- a/packages/zinniastand-ctl/src/zinniastand_ctl/explain/story.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/explain/request_history.py
@@ -1,4 +1,4 @@
-"""What one request met, over the lines of all VMs."""
+"""Log records of one request from all VMs."""
 
 from __future__ import annotations
 
@@ -6,49 +6,49 @@
 
 from . import log_reader
 
-HIDDEN = frozenset({"time", "vm", "event", "request"})
-"""Fields that stand elsewhere in a line of the story."""
+HIDDEN_FIELDS = frozenset({"time", "vm", "event", "request"})
+"""Fields that the printed line shows at its start, or not at all."""
 
 
-class Story:
-    """Collects the lines of one request.
+class RequestHistory:
+    """Collects the log records of one request.
 
     Parameters
     ----------
     request : str
-        Its id.
+        Request id.
     """
 
     def __init__(self, request: str) -> None:
         self.request = request
-        self._records: list[log_reader.Line] = []
+        self._records: list[log_reader.Record] = []
 
     @property
     def is_empty(self) -> bool:
-        """Whether no line named the request."""
+        """Whether no record named the request."""
         return not self._records
 
-    def take(self, record: log_reader.Line) -> None:
-        """Take in one record."""
+    def add(self, record: log_reader.Record) -> None:
+        """Keep a record if it belongs to the request."""
         if str(record.get("request")) == self.request:
             self._records.append(record)
 
-    def list_records(self) -> list[log_reader.Line]:
-        """Return its records in the order of their times."""
+    def list_records(self) -> list[log_reader.Record]:
+        """Return the records in the order of their times."""
         return sorted(self._records, key=_read_time)
 
     def format_text(self) -> str:
-        """Return a line for each record."""
+        """Return the history as text, one line per record."""
         return "\n".join(_format(record) for record in self.list_records())
 
 
-def _read_time(record: log_reader.Line) -> float:
+def _read_time(record: log_reader.Record) -> float:
     value = record.get("time")
     return float(value) if isinstance(value, int | float) else 0.0
 
 
-def _format(record: log_reader.Line) -> str:
+def _format(record: log_reader.Record) -> str:
     moment = datetime.datetime.fromtimestamp(_read_time(record), tz=datetime.UTC)
     clock = moment.strftime("%H:%M:%S.%f")[:-3]
-    fields = " ".join(f"{k}={v}" for k, v in record.items() if k not in HIDDEN)
+    fields = " ".join(f"{k}={v}" for k, v in record.items() if k not in HIDDEN_FIELDS)
     return f"{clock} {record['vm']:16} {record.get('event', ''):8} {fields}"
--- /dev/null
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/explain/request_totals.py
@@ -0,0 +1,263 @@
+"""Count the results of requests by cause, time, service, data centre and VM."""
+
+from __future__ import annotations
+
+import collections
+import dataclasses
+import typing
+
+from . import causes, log_reader
+
+MAX_OPEN_REQUESTS = 200_000
+"""Requests whose attempts were read but whose answer was not. The lines of a VM come in
+order, so that only its concurrent requests are open; the oldest are dropped first."""
+
+MAX_NAMES = 20_000
+"""Targets, and fingerprints of requests, that are counted individually."""
+
+UNSENT_OUTCOMES = frozenset({"unreachable", "unused"})
+"""Outcomes of attempts that did not reach a target."""
+
+MS_PER_S = 1000.0
+
+ResultKey = tuple[causes.Result, causes.Cause | None]
+
+
+@dataclasses.dataclass(slots=True)
+class TargetTotals:
+    """Estimated and actual failures of one target, and its load."""
+
+    service: str = ""
+    """Service of the target."""
+
+    attempts: int = 0
+    """Attempts that ended with `good`, `failed` or `silent`."""
+
+    failed: int = 0
+    """Attempts that failed or got no answer."""
+
+    failure_probability_sum: float = 0.0
+    """Sum of the failure probabilities that were estimated for its attempts."""
+
+    shed: int = 0
+    """Attempts that the target rejected."""
+
+    rate_limit: float | None = None
+    """Lowest rate limit that it announced, in requests per second; None if it announced
+    none."""
+
+    attempts_by_second: collections.Counter[int] = dataclasses.field(
+        default_factory=collections.Counter
+    )
+    """Attempts by the second of their end, since it first announced a rate limit."""
+
+
+@dataclasses.dataclass(slots=True)
+class CrashTotals:
+    """Crashes and answers of the targets of all requests with one fingerprint."""
+
+    targets: set[str] = dataclasses.field(default_factory=set)
+    """Targets that crashed while they processed such a request."""
+
+    sent: int = 0
+    """Attempts from the first of these crashes on."""
+
+    answered: int = 0
+    """Attempts among them that were answered."""
+
+
+class RequestTotals:
+    """Adds up log records one by one; memory grows with names, not with lines."""
+
+    def __init__(self) -> None:
+        self._open_attempts: collections.OrderedDict[
+            tuple[str, str], tuple[causes.Attempt, ...]
+        ] = collections.OrderedDict()
+        self.results: collections.Counter[ResultKey] = collections.Counter()
+        self.by_second: dict[int, collections.Counter[str]] = {}
+        self.by_service: dict[str, collections.Counter[str]] = {}
+        self.by_data_centre: dict[str, collections.Counter[str]] = {}
+        self.by_vm: dict[str, collections.Counter[str]] = {}
+        self.causes_by_second: dict[int, collections.Counter[str]] = {}
+        self.targets: dict[str, TargetTotals] = {}
+        self.attempts: collections.Counter[str] = collections.Counter()
+        self.store_calls: collections.Counter[tuple[str, str]] = collections.Counter()
+        self.store_calls_by_second: collections.Counter[int] = collections.Counter()
+        self.versions: dict[int, list[float]] = {}
+        self.events: collections.Counter[str] = collections.Counter()
+        self.store_returns: dict[int, float] = {}
+        self.crashes: dict[str, CrashTotals] = {}
+        self.arrivals: dict[str, collections.Counter[int]] = {}
+        self.retries: dict[str, collections.Counter[tuple[int, str]]] = {}
+        self.retried_requests = 0
+        self.unanswered = 0
+        self.lines_dropped = 0
+        self._data_centres: dict[str, str] = {}
+
+    @property
+    def requests(self) -> int:
+        """Number of requests that got an answer."""
+        return sum(self.results.values())
+
+    @property
+    def vms(self) -> list[str]:
+        """VMs that wrote a `started` or `answer` line, sorted."""
+        return sorted({*self.by_vm, *self._data_centres})
+
+    def count_result(self, result: causes.Result) -> int:
+        """Return the number of requests with a result."""
+        return sum(n for (key, _), n in self.results.items() if key is result)
+
+    def add(self, record: log_reader.Record) -> None:
+        """Add a record. Missing and malformed fields count as empty or 0."""
+        event = str(record.get("event", ""))
+        self.events[event] += 1
+        self.lines_dropped += int(read_number(record, "lines_dropped"))
+        match event:
+            case "attempt":
+                self._add_attempt(record)
+            case "answer":
+                self._add_answer(record)
+            case "started":
+                self._data_centres[record["vm"]] = str(record.get("data_centre", ""))
+            case "store_call":
+                call, outcome = str(record.get("call")), str(record.get("outcome"))
+                self.store_calls[call, outcome] += 1
+                self.store_calls_by_second[int(read_number(record, "time"))] += 1
+            case "store_era" if record.get("before") is not None:
+                era, timestamp = (
+                    int(read_number(record, "era")),
+                    read_number(record, "time"),
+                )
+                earliest = self.store_returns.get(era, timestamp)
+                self.store_returns[era] = min(timestamp, earliest)
+            case "configuration_in_force":
+                version = int(read_number(record, "version"))
+                timestamp = read_number(record, "time")
+                self.versions.setdefault(version, []).append(timestamp)
+
+    def finish(self) -> None:
+        """Count the requests still open at the end of the logs as unanswered."""
+        self.unanswered += len(self._open_attempts)
+        self._open_attempts.clear()
+
+    def _add_attempt(self, record: log_reader.Record) -> None:
+        attempt = parse_attempt(record)
+        self.attempts[attempt.outcome] += 1
+        self._count_target(attempt)
+        self._count_retry(attempt)
+        self._count_crash(attempt)
+        key = (record["vm"], str(record.get("request")))
+        self._open_attempts[key] = (*self._open_attempts.get(key, ()), attempt)
+        while len(self._open_attempts) > MAX_OPEN_REQUESTS:
+            self._open_attempts.popitem(last=False)
+            self.unanswered += 1
+
+    def _count_target(self, attempt: causes.Attempt) -> None:
+        row = self.targets.get(attempt.target)
+        if row is None:
+            if len(self.targets) >= MAX_NAMES:
+                return
+            row = self.targets[attempt.target] = TargetTotals(attempt.service)
+        if attempt.rate_limit is not None:
+            row.rate_limit = min(
+                attempt.rate_limit, row.rate_limit or attempt.rate_limit
+            )
+        if row.rate_limit is not None:
+            row.attempts_by_second[attempt.end_second] += 1
+        if attempt.outcome == "shed":
+            row.shed += 1
+        if attempt.outcome in ("good", "failed", "silent"):
+            row.attempts += 1
+            row.failure_probability_sum += attempt.failure_probability
+            row.failed += attempt.outcome != "good"
+
+    def _count_retry(self, attempt: causes.Attempt) -> None:
+        """Count a retry by its start and by the dispatcher that granted its slot.
+
+        Attempts that did not reach a target do not count.
+        """
+        if attempt.number < 2 or attempt.outcome in UNSENT_OUTCOMES:
+            return
+        sent = attempt.end_second - int(attempt.duration_ms / MS_PER_S)
+        by_dispatcher = self.retries.setdefault(attempt.service, collections.Counter())
+        by_dispatcher[sent, attempt.dispatcher] += 1
+
+    def _count_crash(self, attempt: causes.Attempt) -> None:
+        """Count attempts by fingerprint, from the first crash with it on."""
+        row = self.crashes.get(attempt.fingerprint)
+        if row is None:
+            has_room = len(self.crashes) < MAX_NAMES
+            if not attempt.has_crashed or not attempt.fingerprint or not has_room:
+                return
+            row = self.crashes[attempt.fingerprint] = CrashTotals()
+        row.sent += 1
+        row.answered += attempt.outcome == "good"
+        if attempt.has_crashed:
+            row.targets.add(attempt.target)
+
+    def _add_answer(self, record: log_reader.Record) -> None:
+        vm = record["vm"]
+        attempts = self._open_attempts.pop((vm, str(record.get("request"))), ())
+        answer = parse_answer(record)
+        verdict = causes.judge(answer, attempts)
+        self.results[verdict.result, verdict.cause] += 1
+        if len(attempts) > 1:
+            self.retried_requests += 1
+        second = int(read_number(record, "time"))
+        service = str(record.get("service") or _find_service(attempts))
+        data_centre = self._data_centres.get(vm, "")
+        start_second = second - int(read_number(record, "ms") / MS_PER_S)
+        self.arrivals.setdefault(service, collections.Counter())[start_second] += 1
+        for groups, name in (
+            (self.by_second, second),
+            (self.by_service, service),
+            (self.by_data_centre, data_centre),
+            (self.by_vm, vm),
+        ):
+            counts = typing.cast(dict[typing.Any, typing.Any], groups)
+            counts.setdefault(name, collections.Counter())[verdict.result.value] += 1
+        if verdict.cause is not None:
+            counts = self.causes_by_second.setdefault(second, collections.Counter())
+            counts[verdict.cause.value] += 1
+
+
+def parse_attempt(record: log_reader.Record) -> causes.Attempt:
+    """Return the attempt that a record describes."""
+    return causes.Attempt(
+        str(record.get("target", "")),
+        str(record.get("service", "")),
+        read_number(record, "doubt"),
+        read_number(record, "expected_ms"),
+        read_number(record, "waited_ms"),
+        str(record.get("outcome", "")),
+        str(record.get("why", "")),
+        read_number(record, "ms"),
+        number=int(read_number(record, "number")),
+        dispatcher=str(record.get("dispatcher", "")),
+        fingerprint=str(record.get("fingerprint", "")),
+        has_crashed=record.get("crashed") is True,
+        rate_limit=read_number(record, "limit") if "limit" in record else None,
+        end_second=int(read_number(record, "time")),
+    )
+
+
+def parse_answer(record: log_reader.Record) -> causes.Answer:
+    """Return the answer that a record describes."""
+    objective = record.get("objective_ms")
+    return causes.Answer(
+        int(read_number(record, "status")),
+        str(record.get("why", "")),
+        read_number(record, "ms"),
+        float(objective) if isinstance(objective, int | float) else None,
+    )
+
+
+def read_number(record: log_reader.Record, name: str) -> float:
+    """Return a numeric field of a record, 0 if it is missing or not a number."""
+    value = record.get(name)
+    return float(value) if isinstance(value, int | float) else 0.0
+
+
+def _find_service(attempts: tuple[causes.Attempt, ...]) -> str:
+    return attempts[-1].service if attempts else ""
--- a/packages/zinniastand-ctl/src/zinniastand_ctl/explain/summary.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/explain/summary.py
@@ -1,4 +1,4 @@
-"""An account as plain values: for scripts, for a page, and to compare two of them."""
+"""Summarize request totals as plain values for JSON, pages and comparisons."""
 
 from __future__ import annotations
 
@@ -6,257 +6,289 @@
 import dataclasses
 import math
 
-from . import account, causes
+from . import causes, request_totals
 
-MOST_ROWS = 20
-"""Targets and VMs that are named; those that failed most."""
+MAX_ROWS = 20
+"""Rows of a table; further rows, which rank lower, are left out."""
 
-NEAR = 3
-"""Seconds before and after a return of the store in which requests are counted."""
+STORE_RETURN_MARGIN_S = 3
+"""Failed requests are counted this many seconds before and after a store returned."""
 
-SPAN = 4
-"""Whole seconds over which attempts at a target with a limit are counted."""
+LIMIT_WINDOW_S = 4
+"""Seconds over which the load of a target with a rate limit is averaged."""
 
-RETRY_SPAN = 10
-"""Whole seconds over which retries are counted, and the requests that allow them."""
+RETRY_WINDOW_S = 10
+"""Seconds over which retries, and the requests that permit them, are counted."""
 
-NOISE = 2.0
-"""Standard deviations of a count below which two runs do not differ."""
+NOISE_DEVIATIONS = 2.0
+"""Two runs differ in a count from this many standard deviations on."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CauseRow:
-    """How often a cause was met."""
+    """Number of requests with one result and cause."""
 
     result: str
-    """What callers got."""
+    """Result for the callers."""
 
     cause: str
-    """Why."""
+    """Cause of the result."""
 
     count: int
-    """Requests."""
+    """Number of requests."""
 
     share: float
-    """Of all requests that are owed an answer."""
+    """Share of the requests that matched a route, from 0 to 1."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetRow:
-    """What was believed of a target, and how it did."""
+    """Estimated and actual failures of a target."""
 
     target: str
+    """Id of the target."""
+
     service: str
+    """Service of the target."""
+
     attempts: int
+    """Attempts that ended with `good`, `failed` or `silent`."""
+
     failed: float
-    """Share of its attempts that failed."""
+    """Share of its attempts that failed, from 0 to 1."""
 
     doubt: float
-    """Mean of the believed chances that it fails."""
+    """Mean estimated failure probability of its attempts."""
 
     shed: int
+    """Attempts that the target rejected."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashRow:
-    """A request that was at several targets when they crashed."""
+    """A fingerprint whose requests were at several targets when these crashed."""
 
     fingerprint: str
-    """Names what it asks for."""
+    """Fingerprint of what the requests ask for."""
 
     crashed: int
-    """Targets that crashed while they held it."""
+    """Targets that crashed while they processed such a request."""
 
     sent: int
-    """Attempts since the first of these crashes."""
+    """Attempts from the first of these crashes on."""
 
     answered: int
-    """Those that were answered: whatever crashed the targets, it was not this."""
+    """Attempts among them that were answered. They show that something other than these
+    requests crashed the targets."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LimitRow:
-    """A target that named a limit."""
+    """Load of a target that announced a rate limit."""
 
     target: str
+    """Id of the target."""
+
     limit: float
-    """Least limit that it has named, in requests a second."""
+    """Lowest rate limit that it announced, in requests per second."""
 
     busiest: float
-    """Attempts a second in its busiest seconds since it first named one."""
+    """Attempts per second in the busiest `LIMIT_WINDOW_S` since its first limit."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetryRow:
-    """The seconds of a service with the most retries."""
+    """The window of `RETRY_WINDOW_S` in which a service had the most retries."""
 
     service: str
+    """Name of the service."""
+
     begin: int
-    """The first of these seconds."""
+    """Unix time at which the window begins, in whole seconds."""
 
     retries: int
-    """Attempts after the first of their request that were sent in them."""
+    """Attempts beyond the first of their request that started in the window."""
 
     requests: int
-    """Requests of the busiest of three spans: these seconds, those before, and those
-    between them."""
+    """Requests in the busiest of three windows: this one, the one before it, and one
+    halfway between these."""
 
     dispatchers: dict[str, int]
-    """Retries by the VM that gave the slot."""
+    """Retries by the VM whose dispatcher granted the slot, at most `MAX_ROWS` VMs."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Difference:
-    """One cause in two runs."""
+    """Counts of one cause in two runs."""
 
     cause: str
+    """Result and cause, with a slash between them."""
+
     before: int
+    """Requests in the earlier run."""
+
     after: int
+    """Requests in the later run."""
+
     is_noise: bool
-    """Whether counts of two equal runs may differ so much."""
+    """Whether the difference is within the usual variation of equal runs."""
 
 
-def count_owed(found: account.Account) -> int:
-    """Return the requests that the fleet owes an answer."""
-    return found.requests - found.count_result(causes.Result.DECLINED)
+def count_routed(totals: request_totals.RequestTotals) -> int:
+    """Return the number of answered requests that matched a route."""
+    return totals.requests - totals.count_result(causes.Result.DECLINED)
 
 
-def list_causes(found: account.Account) -> list[CauseRow]:
-    """Return the causes, the most frequent first."""
-    owed = max(1, count_owed(found))
+def list_causes(totals: request_totals.RequestTotals) -> list[CauseRow]:
+    """Return the causes with their counts, the most frequent first."""
+    routed = max(1, count_routed(totals))
     return [
-        CauseRow(result.value, cause.value, count, count / owed)
-        for (result, cause), count in found.results.most_common()
+        CauseRow(result.value, cause.value, count, count / routed)
+        for (result, cause), count in totals.results.most_common()
         if cause is not None
     ]
 
 
-def list_targets(found: account.Account) -> list[TargetRow]:
+def list_targets(totals: request_totals.RequestTotals) -> list[TargetRow]:
     """Return the targets with the most failed attempts."""
-    rows = sorted(found.targets.items(), key=lambda item: -item[1].failed)
+    rows = sorted(totals.targets.items(), key=lambda item: -item[1].failed)
     return [
         TargetRow(
             name,
             row.service,
             row.attempts,
             round(row.failed / max(1, row.attempts), 3),
-            round(row.doubt / max(1, row.attempts), 3),
+            round(row.failure_probability_sum / max(1, row.attempts), 3),
             row.shed,
         )
-        for name, row in rows[:MOST_ROWS]
+        for name, row in rows[:MAX_ROWS]
     ]
 
 
-def list_crashes(found: account.Account) -> list[CrashRow]:
-    """Return the requests that were at several crashed targets, the worst first."""
+def list_crashes(totals: request_totals.RequestTotals) -> list[CrashRow]:
+    """Return the fingerprints with several crashed targets, the most crashes first."""
     rows = [
         CrashRow(name, len(row.targets), row.sent, row.answered)
-        for name, row in found.crashes.items()
+        for name, row in totals.crashes.items()
         if len(row.targets) > 1
     ]
-    return sorted(rows, key=lambda row: -row.crashed)[:MOST_ROWS]
+    return sorted(rows, key=lambda row: -row.crashed)[:MAX_ROWS]
 
 
-def list_limits(found: account.Account) -> list[LimitRow]:
-    """Return the targets that named a limit, those furthest beyond it first."""
+def list_limits(totals: request_totals.RequestTotals) -> list[LimitRow]:
+    """Return the targets with a rate limit, those that exceeded it most first."""
     rows = [
-        LimitRow(name, row.limit, _find_busiest(row.by_second) / SPAN)
-        for name, row in found.targets.items()
-        if row.limit is not None
+        LimitRow(
+            name,
+            row.rate_limit,
+            _find_max_attempts(row.attempts_by_second) / LIMIT_WINDOW_S,
+        )
+        for name, row in totals.targets.items()
+        if row.rate_limit is not None
     ]
-    return sorted(rows, key=lambda row: row.limit - row.busiest)[:MOST_ROWS]
+    return sorted(rows, key=lambda row: row.limit - row.busiest)[:MAX_ROWS]
 
 
-def list_retries(found: account.Account) -> list[RetryRow]:
-    """Return the busiest seconds of each service, as far as retries go."""
-    return [_find_retries(found, service) for service in sorted(found.retries)]
+def list_retries(totals: request_totals.RequestTotals) -> list[RetryRow]:
+    """Return the window with the most retries of each service."""
+    return [
+        _find_busiest_retries(totals, service) for service in sorted(totals.retries)
+    ]
 
 
-def _find_retries(found: account.Account, service: str) -> RetryRow:
-    sent, asked = found.retries[service], found.asked.get(service, {})
+def _find_busiest_retries(
+    totals: request_totals.RequestTotals, service: str
+) -> RetryRow:
+    sent, arrivals = totals.retries[service], totals.arrivals.get(service, {})
     seconds = {second for second, _ in sent}
-    begins = range(min(seconds) - RETRY_SPAN + 1, max(seconds) + 1)
+    begins = range(min(seconds) - RETRY_WINDOW_S + 1, max(seconds) + 1)
     sums = {
         begin: sum(
             count
             for (second, _), count in sent.items()
-            if begin <= second < begin + RETRY_SPAN
+            if begin <= second < begin + RETRY_WINDOW_S
         )
         for begin in begins
     }
-    begin = max(begins, key=lambda one: sums[one])
+    begin = max(begins, key=lambda begin: sums[begin])
     requests = max(
-        sum(asked.get(begin - back + n, 0) for n in range(RETRY_SPAN))
-        for back in (0, RETRY_SPAN // 2, RETRY_SPAN)
+        sum(arrivals.get(begin - back + n, 0) for n in range(RETRY_WINDOW_S))
+        for back in (0, RETRY_WINDOW_S // 2, RETRY_WINDOW_S)
     )
     dispatchers: collections.Counter[str] = collections.Counter()
     for (second, dispatcher), count in sent.items():
-        if begin <= second < begin + RETRY_SPAN:
+        if begin <= second < begin + RETRY_WINDOW_S:
             dispatchers[dispatcher] += count
-    named = dict(dispatchers.most_common(MOST_ROWS))
-    return RetryRow(service, begin, sums[begin], requests, named)
+    top_dispatchers = dict(dispatchers.most_common(MAX_ROWS))
+    return RetryRow(service, begin, sums[begin], requests, top_dispatchers)
 
 
-def _find_busiest(by_second: collections.Counter[int]) -> int:
-    """Return the most attempts in any span of some whole seconds."""
+def _find_max_attempts(by_second: collections.Counter[int]) -> int:
+    """Return the maximum number of attempts in any window of `LIMIT_WINDOW_S`."""
     return max(
-        sum(by_second[second + n] for n in range(SPAN)) for second in list(by_second)
+        sum(by_second[second + n] for n in range(LIMIT_WINDOW_S))
+        for second in list(by_second)
     )
 
 
-def _count_unserved(found: account.Account, at: float) -> int:
-    """Return how many requests around a time were refused or failed."""
+def _count_unserved(totals: request_totals.RequestTotals, timestamp: float) -> int:
+    """Return the number of requests that were refused or failed near a Unix time."""
     unserved = (causes.Result.REFUSED.value, causes.Result.FAILED.value)
     return sum(
         counts[name]
-        for second, counts in found.by_second.items()
-        if abs(second - at) <= NEAR
+        for second, counts in totals.by_second.items()
+        if abs(second - timestamp) <= STORE_RETURN_MARGIN_S
         for name in unserved
     )
 
 
-def describe(found: account.Account) -> dict[str, object]:
-    """Return all that there is to say, as values that JSON holds."""
+def describe(totals: request_totals.RequestTotals) -> dict[str, object]:
+    """Return all totals as values that JSON can represent."""
     return {
-        "requests": found.requests,
-        "owed": count_owed(found),
+        "requests": totals.requests,
+        "owed": count_routed(totals),
         "results": {
-            result.value: found.count_result(result) for result in causes.Result
+            result.value: totals.count_result(result) for result in causes.Result
         },
-        "causes": [dataclasses.asdict(row) for row in list_causes(found)],
-        "tried_again": found.tried_again,
-        "without_answer": found.unanswered,
-        "lines_dropped": found.lines_dropped,
-        "attempts": dict(found.attempts),
+        "causes": [dataclasses.asdict(row) for row in list_causes(totals)],
+        "tried_again": totals.retried_requests,
+        "without_answer": totals.unanswered,
+        "lines_dropped": totals.lines_dropped,
+        "attempts": dict(totals.attempts),
         "store_calls": [
             {"call": call, "outcome": outcome, "count": count}
-            for (call, outcome), count in sorted(found.store_calls.items())
+            for (call, outcome), count in sorted(totals.store_calls.items())
         ],
-        "by_second": _name_keys(found.by_second),
-        "causes_by_second": _name_keys(found.causes_by_second),
-        "by_service": _name_keys(found.by_service),
-        "by_data_centre": _name_keys(found.by_place),
-        "by_vm": _name_keys(found.by_vm),
-        "retries": [dataclasses.asdict(row) for row in list_retries(found)],
-        "limits": [dataclasses.asdict(row) for row in list_limits(found)],
-        "crashes": [dataclasses.asdict(row) for row in list_crashes(found)],
-        "targets": [dataclasses.asdict(row) for row in list_targets(found)],
+        "by_second": _stringify_keys(totals.by_second),
+        "causes_by_second": _stringify_keys(totals.causes_by_second),
+        "by_service": _stringify_keys(totals.by_service),
+        "by_data_centre": _stringify_keys(totals.by_data_centre),
+        "by_vm": _stringify_keys(totals.by_vm),
+        "retries": [dataclasses.asdict(row) for row in list_retries(totals)],
+        "limits": [dataclasses.asdict(row) for row in list_limits(totals)],
+        "crashes": [dataclasses.asdict(row) for row in list_crashes(totals)],
+        "targets": [dataclasses.asdict(row) for row in list_targets(totals)],
         "store_returns": {
-            str(era): {"first_seen": at, "unserved_near": _count_unserved(found, at)}
-            for era, at in sorted(found.store_returns.items())
+            str(era): {
+                "first_seen": timestamp,
+                "unserved_near": _count_unserved(totals, timestamp),
+            }
+            for era, timestamp in sorted(totals.store_returns.items())
         },
         "versions": {
             str(version): {"vms": len(times), "spread_s": max(times) - min(times)}
-            for version, times in sorted(found.versions.items())
+            for version, times in sorted(totals.versions.items())
         },
     }
 
 
-def compare(before: account.Account, after: account.Account) -> list[Difference]:
-    """Return how often each cause was met in two runs, the largest change first."""
+def compare(
+    before: request_totals.RequestTotals, after: request_totals.RequestTotals
+) -> list[Difference]:
+    """Return the counts of each cause in two runs, the largest change first."""
     first = {f"{row.result} / {row.cause}": row.count for row in list_causes(before)}
     second = {f"{row.result} / {row.cause}": row.count for row in list_causes(after)}
-    scale = count_owed(after) / max(1, count_owed(before))
+    scale = count_routed(after) / max(1, count_routed(before))
     rows = [
         _compare_counts(name, first.get(name, 0), second.get(name, 0), scale)
         for name in sorted({*first, *second})
@@ -265,11 +297,17 @@
 
 
 def _compare_counts(name: str, before: int, after: int, scale: float) -> Difference:
-    """Compare two counts of chance events over different numbers of requests."""
+    """Compare two counts of random events, after scaling the earlier one.
+
+    The variance of such a count equals its mean, so that the standard deviation of the
+    difference is the root of the sum.
+    """
     expected = before * scale
     spread = math.sqrt(max(1.0, after + expected * scale))
-    return Difference(name, before, after, abs(after - expected) < NOISE * spread)
+    return Difference(
+        name, before, after, abs(after - expected) < NOISE_DEVIATIONS * spread
+    )
 
 
-def _name_keys(groups: dict) -> dict[str, dict[str, int]]:
+def _stringify_keys(groups: dict) -> dict[str, dict[str, int]]:
     return {str(name): dict(groups[name]) for name in sorted(groups)}
--- a/tests/ctl/test_explain.py
+++ b/tests/ctl/test_explain.py
@@ -1,4 +1,4 @@
-"""Why requests were not served, told from log lines."""
+"""Tests of ``zinniactl explain``, which explains failed requests from log lines."""
 
 from __future__ import annotations
 
@@ -10,12 +10,20 @@
 import typer.testing
 
 from zinniastand_ctl import cli
-from zinniastand_ctl.explain import account, account_page, causes, log_reader, summary
+from zinniastand_ctl.explain import (
+    causes,
+    log_reader,
+    request_totals,
+    summary,
+    totals_page,
+)
 
 RUNNER = typer.testing.CliRunner()
 
 
-def make_attempt(outcome: str, doubt: object = 0.05, **changes: object) -> str:
+def make_attempt(
+    outcome: str, failure_probability: object = 0.05, **changes: object
+) -> str:
     record = {
         "time": 100.2,
         "vm": "vm-1",
@@ -23,7 +31,7 @@
         "request": "r1",
         "service": "desk",
         "target": "t1",
-        "doubt": doubt,
+        "doubt": failure_probability,
         "expected_ms": 100,
         "waited_ms": 1.0,
         "outcome": outcome,
@@ -50,22 +58,28 @@
 
 
 def judge(*lines: str) -> tuple[str, str]:
-    """Return result and cause of one request."""
-    found = account.Account()
+    """Return the result and the cause of the only request in some log lines."""
+    totals = request_totals.RequestTotals()
     for line in lines:
-        found.take(json.loads(line))
-    [(result, cause)] = found.results
+        totals.add(json.loads(line))
+    [(result, cause)] = totals.results
     return result.value, cause.value if cause is not None else ""
 
 
 @pytest.mark.parametrize(
     ("lines", "cause"),
     [
-        ((make_attempt("failed"), make_answer(500, "500")), causes.Cause.SURPRISE),
-        ((make_attempt("failed", 0.6), make_answer(500, "500")), causes.Cause.KNOWN),
+        (
+            (make_attempt("failed"), make_answer(500, "500")),
+            causes.Cause.UNEXPECTED_FAILURE,
+        ),
+        (
+            (make_attempt("failed", 0.6), make_answer(500, "500")),
+            causes.Cause.EXPECTED_FAILURE,
+        ),
         (
             (make_attempt("failed"), make_attempt("failed"), make_answer(500, "500")),
-            causes.Cause.AGAIN,
+            causes.Cause.RETRY_FAILED,
         ),
         (
             (make_attempt("failed"), make_answer(500, "retry-budget")),
@@ -73,11 +87,14 @@
         ),
         (
             (make_attempt("failed", crashed=True), make_answer(502, "closed")),
-            causes.Cause.CRASHED,
+            causes.Cause.TARGET_CRASHED,
+        ),
+        (
+            (make_attempt("silent"), make_answer(504, "deadline")),
+            causes.Cause.SILENT_TARGET,
         ),
-        ((make_attempt("silent"), make_answer(504, "deadline")), causes.Cause.SILENT),
         ((make_answer(504, "deadline"),), causes.Cause.DEADLINE),
-        ((make_answer(503, "overloaded"),), causes.Cause.QUEUE),
+        ((make_answer(503, "overloaded"),), causes.Cause.QUEUE_TOO_LONG),
         ((make_answer(503, "quarantined"),), causes.Cause.QUARANTINED),
         (
             (make_attempt("shed"), make_answer(503, "retry-budget")),
@@ -89,12 +106,12 @@
         ),
         (
             (make_attempt("unreachable"), make_answer(503, "no connection")),
-            causes.Cause.PATH,
+            causes.Cause.NO_PATH,
         ),
-        ((make_answer(503, "no-configuration"),), causes.Cause.NO_KNOWLEDGE),
+        ((make_answer(503, "no-configuration"),), causes.Cause.NO_CONFIGURATION),
         ((make_answer(504, "stopping"),), causes.Cause.STOP),
-        ((make_answer(502, "unexpected error"),), causes.Cause.FAULT),
-        ((make_answer(502, "caller left"),), causes.Cause.CALLER_LEFT),
+        ((make_answer(502, "unexpected error"),), causes.Cause.INTERNAL_ERROR),
+        ((make_answer(502, "caller left"),), causes.Cause.CALLER_DISCONNECTED),
         (
             (make_attempt("good", ms=800), make_answer(200, "200", ms=810)),
             causes.Cause.LATE_SLOW,
@@ -104,7 +121,7 @@
                 make_attempt("good", ms=800, expected_ms=600),
                 make_answer(200, "200", ms=810),
             ),
-            causes.Cause.LATE_WORK,
+            causes.Cause.LATE_PROCESSING,
         ),
         (
             (
@@ -119,24 +136,24 @@
                 make_attempt("good", ms=300),
                 make_answer(200, "200", ms=710),
             ),
-            causes.Cause.LATE_AGAIN,
+            causes.Cause.LATE_RETRY,
         ),
     ],
 )
-def test_request_that_was_not_served_in_time_has_its_cause(
+def test_cause_of_a_request_that_was_not_served_in_time(
     lines: tuple[str, ...], cause: causes.Cause
 ) -> None:
     assert judge(*lines)[1] == cause.value
 
 
-def test_served_and_unknown_requests_have_no_cause() -> None:
+def test_served_and_unrouted_requests_have_no_cause() -> None:
     served = make_attempt("good"), make_answer(200, "200")
     assert judge(*served) == ("served", "")
     assert judge(make_answer(404, "no-route")) == ("declined", "")
 
 
 def write_logs(folder: pathlib.Path) -> None:
-    """Write the lines of two VMs: whole, prefixed, torn, packed."""
+    """Write logs of two VMs with complete, prefixed, truncated and gzipped lines."""
     lines = [
         '{"time":100.0,"vm":"vm-1","event":"started","data_centre":"a"}',
         make_attempt("failed", 0.7),
@@ -156,80 +173,83 @@
         )
 
 
-def test_request_that_returns_is_counted_by_the_targets_that_crashed_under_it() -> None:
-    # Its id is new each time: by ids, each crash seems to be of another request.
-    found = account.Account()
+def test_repeated_request_is_counted_with_all_targets_that_it_crashed() -> None:
+    # A client that repeats a request uses a new id each time, so that crashes can be
+    # attributed to it only by its fingerprint.
+    totals = request_totals.RequestTotals()
     for number in range(3):
         crashed = {"crashed": True, "target": f"t{number}", "request": f"r{number}"}
         line = make_attempt("failed", fingerprint="aa", **crashed)
-        found.take(json.loads(line))
-    found.take(json.loads(make_attempt("failed", fingerprint="bb", crashed=True)))
-    found.take(json.loads(make_attempt("good", fingerprint="bb")))
-    [row] = summary.list_crashes(found)
+        totals.add(json.loads(line))
+    totals.add(json.loads(make_attempt("failed", fingerprint="bb", crashed=True)))
+    totals.add(json.loads(make_attempt("good", fingerprint="bb")))
+    [row] = summary.list_crashes(totals)
     assert (row.fingerprint, row.crashed, row.sent, row.answered) == ("aa", 3, 3, 0)
 
 
-def test_target_that_gets_more_than_its_limit_is_told() -> None:
-    found = account.Account()
+def test_target_that_gets_more_than_its_rate_limit_is_listed() -> None:
+    totals = request_totals.RequestTotals()
     for second in range(100, 110):
         for _ in range(3):
             named = {"limit": 1.5} if second >= 102 else {}
-            found.take(json.loads(make_attempt("good", time=second, **named)))
-    [row] = summary.list_limits(found)
+            totals.add(json.loads(make_attempt("good", time=second, **named)))
+    [row] = summary.list_limits(totals)
     assert (row.target, row.limit, row.busiest) == ("t1", 1.5, 3.0)
 
 
-def test_busiest_seconds_of_retries_name_who_gave_them() -> None:
-    found = account.Account()
+def test_window_with_most_retries_names_dispatchers_that_granted_them() -> None:
+    totals = request_totals.RequestTotals()
     for second, dispatcher in ((100, "vm-1"), (101, "vm-2"), (109, "vm-2"), (115, "x")):
         for number in (1, 2):
             line = make_attempt(
                 "good", time=second + 0.5, number=number, dispatcher=dispatcher
             )
-            found.take(json.loads(line))
-        found.take(json.loads(make_answer(200, "200", time=second + 0.6)))
-    found.take(json.loads(make_attempt("unreachable", number=2, dispatcher="vm-2")))
-    [row] = summary.list_retries(found)
+            totals.add(json.loads(line))
+        totals.add(json.loads(make_answer(200, "200", time=second + 0.6)))
+    totals.add(json.loads(make_attempt("unreachable", number=2, dispatcher="vm-2")))
+    [row] = summary.list_retries(totals)
     assert (row.begin, row.retries, row.requests) == (100, 3, 3)
     assert row.dispatchers == {"vm-1": 1, "vm-2": 2}
 
 
-def test_return_of_the_store_is_told_with_what_failed_around_it() -> None:
-    found = account.Account()
+def test_return_of_the_store_is_listed_with_failures_around_it() -> None:
+    totals = request_totals.RequestTotals()
     for vm, at in (("vm-1", 100.7), ("vm-2", 100.5)):
         line = {"vm": vm, "event": "store_era", "era": 1, "before": 0, "time": at}
-        found.take(line)
-    found.take({"vm": "vm-1", "event": "store_era", "era": 1, "before": None})
-    found.take(json.loads(make_answer(503, "no-target")))
-    found.take(json.loads(make_answer(503, "no-target", time=200.0)))
-    told = summary.describe(found)["store_returns"]
-    assert told == {"1": {"first_seen": 100.5, "unserved_near": 1}}
+        totals.add(line)
+    totals.add({"vm": "vm-1", "event": "store_era", "era": 1, "before": None})
+    totals.add(json.loads(make_answer(503, "no-target")))
+    totals.add(json.loads(make_answer(503, "no-target", time=200.0)))
+    returns = summary.describe(totals)["store_returns"]
+    assert returns == {"1": {"first_seen": 100.5, "unserved_near": 1}}
 
 
 def run(*arguments: object) -> typer.testing.Result:
     return RUNNER.invoke(cli.app, ["explain", *map(str, arguments)])
 
 
-def test_logs_of_several_vms_are_totalled(tmp_path: pathlib.Path) -> None:
+def test_logs_of_several_vms_are_added_up(tmp_path: pathlib.Path) -> None:
     write_logs(tmp_path)
     result = run(tmp_path, "--json")
     assert result.exit_code == 0
     found = json.loads(result.stdout)
     assert found["owed"] == 2
     assert found["results"]["served"] == 1
-    assert found["causes"][0]["cause"] == causes.Cause.KNOWN.value
+    assert found["causes"][0]["cause"] == causes.Cause.EXPECTED_FAILURE.value
     assert found["by_data_centre"]["a"] == {"failed": 1}
     assert found["store_calls"] == [{"call": "announce", "outcome": "200", "count": 1}]
 
 
-def test_broken_lines_are_named_and_the_rest_is_read(tmp_path: pathlib.Path) -> None:
+def test_unreadable_lines_are_reported_and_others_read(
+    tmp_path: pathlib.Path,
+) -> None:
     write_logs(tmp_path)
     result = run(tmp_path)
     assert "vm-1.log:4" in result.stderr
     assert "2 requests at 2 VMs" in result.stdout
 
 
-def test_torn_archive_is_read_as_far_as_it_goes(tmp_path: pathlib.Path) -> None:
+def test_truncated_gzip_file_is_read_up_to_its_end(tmp_path: pathlib.Path) -> None:
     whole = gzip.compress(("\n".join([make_answer(200, "200")] * 500)).encode())
     (tmp_path / "vm.log.gz").write_bytes(whole[:-20])
     reader = log_reader.LogReader()
@@ -237,14 +257,14 @@
     assert reader.broken == 1
 
 
-def test_no_input_is_an_error_with_a_hint(tmp_path: pathlib.Path) -> None:
+def test_missing_input_is_an_error_with_a_hint(tmp_path: pathlib.Path) -> None:
     for path in (tmp_path, tmp_path / "missing.log"):
         result = run(path)
         assert result.exit_code == 2
         assert "give files or folders" in result.stderr
 
 
-def test_story_of_a_request_is_in_order(tmp_path: pathlib.Path) -> None:
+def test_history_of_a_request_is_in_order_of_time(tmp_path: pathlib.Path) -> None:
     write_logs(tmp_path)
     result = run(tmp_path, "--request", "r1")
     events = [line.split()[2] for line in result.stdout.splitlines()]
@@ -257,46 +277,46 @@
     page = tmp_path / "page.html"
     assert run(tmp_path, "--html", page).exit_code == 0
     text = page.read_text()
-    assert causes.Cause.KNOWN.value in text
+    assert causes.Cause.EXPECTED_FAILURE.value in text
     assert text.count("<rect") >= 3
     assert "http" not in text
 
 
-def test_columns_stay_within_the_picture() -> None:
+def test_columns_stay_within_the_chart() -> None:
     counts = {5: {"a": 3, "b": 1}, 7: {"b": 2}}
-    boxes = account_page.draw_columns(counts, {"a": "#000", "b": "#fff"})
+    boxes = totals_page.draw_columns(counts, {"a": "#000", "b": "#fff"})
     assert len(boxes) == 3
     for box in boxes:
-        assert 0 <= float(str(box["y"])) <= account_page.HEIGHT
+        assert 0 <= float(str(box["y"])) <= totals_page.CHART_HEIGHT
         right = float(str(box["x"])) + float(str(box["width"]))
-        assert right <= account_page.WIDTH
-    assert account_page.draw_columns({}, {}) == []
+        assert right <= totals_page.CHART_WIDTH
+    assert totals_page.draw_columns({}, {}) == []
 
 
-def test_two_runs_are_compared_beyond_noise(tmp_path: pathlib.Path) -> None:
-    def make_account(failed: int) -> account.Account:
-        found = account.Account()
+def test_comparison_of_two_runs_ignores_noise(tmp_path: pathlib.Path) -> None:
+    def make_totals(failed: int) -> request_totals.RequestTotals:
+        totals = request_totals.RequestTotals()
         for number in range(1000):
             name = {"request": f"r{number}"}
             if number < failed:
-                found.take(json.loads(make_attempt("failed", **name)))
-                found.take(json.loads(make_answer(500, "500", **name)))
+                totals.add(json.loads(make_attempt("failed", **name)))
+                totals.add(json.loads(make_answer(500, "500", **name)))
             else:
-                found.take(json.loads(make_answer(200, "200", **name)))
-        return found
+                totals.add(json.loads(make_answer(200, "200", **name)))
+        return totals
 
-    [same] = summary.compare(make_account(50), make_account(55))
+    [same] = summary.compare(make_totals(50), make_totals(55))
     assert same.is_noise
-    [less] = summary.compare(make_account(90), make_account(30))
+    [less] = summary.compare(make_totals(90), make_totals(30))
     assert not less.is_noise
 
 
-def test_attempts_without_an_answer_do_not_fill_the_memory(
+def test_number_of_requests_without_an_answer_is_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(account, "MOST_OPEN", 10)
-    found = account.Account()
+    monkeypatch.setattr(request_totals, "MAX_OPEN_REQUESTS", 10)
+    totals = request_totals.RequestTotals()
     for number in range(100):
-        found.take(json.loads(make_attempt("good", request=f"r{number}")))
-    found.finish()
-    assert found.unanswered == 100
+        totals.add(json.loads(make_attempt("good", request=f"r{number}")))
+    totals.finish()
+    assert totals.unanswered == 100
