--- a/bench/retry_vms.py
+++ b/bench/retry_vms.py
@@ -121,7 +121,7 @@
 
     position = 0
 
-    def take_position(self, vm: str, position: int) -> None:
+    def record_peer_position(self, vm: str, position: int) -> None:
         """Take in up to where a VM has read."""
 
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
@@ -135,11 +135,11 @@
         self._told: dict[str, tuple[int, float]] = {}
         self._read_at = -READ_LATELY
 
-    def has_read_lately(self, now: float) -> bool:
+    def has_recent_read(self, now: float) -> bool:
         """Return whether this VM knows the newest version from the store itself."""
         return now - self._read_at < READ_LATELY
 
-    def lose_time(self, seconds: float) -> None:
+    def compensate_suspension(self, seconds: float) -> None:
         """Take in that the clock has not counted some time."""
         self._read_at -= seconds
         self.read_anew()
@@ -158,7 +158,7 @@
                 position = None
                 continue
             except ports.StoreUnavailableError as error:
-                await self._contact.pause_lost(error)
+                await self._contact.wait_after_failure(error)
                 position = None
                 continue
             position = page.position
@@ -197,12 +197,14 @@
             if self._knowledge.configuration_state.version < version:
                 await self._fetch(vm)
 
-    def take_version(self, vm: str, version: int) -> None:
+    def record_peer_version(self, vm: str, version: int) -> None:
         """Take in which version another VM has."""
         if version > self._knowledge.configuration_state.version:
             self._told.setdefault(vm, (version, anyio.current_time()))
 
-    def take_published(self, published: datagrams.ConfigurationUpdate) -> None:
+    def apply_configuration_update(
+        self, published: datagrams.ConfigurationUpdate
+    ) -> None:
         """Take in a configuration that the reader pushes.
 
         Raises
@@ -217,9 +219,11 @@
         )
         # Passed on only once, and only after it was read: a broken one stops here.
         self._broadcaster.relay(published)
-        self.use(candidate, published.vm)
+        self.apply_configuration(candidate, published.vm)
 
-    def use(self, candidate: configuration.Configuration, source: str) -> None:
+    def apply_configuration(
+        self, candidate: configuration.Configuration, source: str
+    ) -> None:
         """Take a configuration, if it is newer than the one in force."""
         is_first = self._knowledge.configuration_state.current is None
         if not self._knowledge.configuration_state.offer(candidate):
@@ -261,10 +265,10 @@
         return await self._store.read_configuration()
 
     def _take_page(self, page: ports.ConfigurationPage) -> None:
-        self._contact.note_back()
+        self._contact.record_success()
         self._read_at = anyio.current_time()
         if page.newest is not None:
-            self.use(page.newest, target_record.STORE)
+            self.apply_configuration(page.newest, target_record.STORE)
 
     def _choose_holder(self, now: float) -> str | None:
         """Return a VM that has told of a version which does not come by itself."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -130,7 +130,7 @@
 
     def use_configuration(self, current: configuration.Configuration) -> None:
         """Apply a configuration from a source other than the store if it is newer."""
-        self._keeper.use(current, configuration_keeper.OPERATOR)
+        self._keeper.apply_configuration(current, configuration_keeper.OPERATOR)
 
     def find_dispatcher(self, service: str) -> str:
         """Return the VM that this one asks first for slots of a service."""
@@ -238,7 +238,7 @@
 
     async def _serve_knowledge(self) -> None:
         peers = self._settings.peers
-        take = self._keeper.take_snapshot
+        take = self._keeper.make_snapshot
         await knowledge_exchange.serve(peers.host, peers.port, take)
 
     def _build(self) -> None:
@@ -393,7 +393,7 @@
         """
         self._log.write("suspended", seconds=round(seconds, 3))
         self._forwarder.compensate_suspension(seconds)
-        self._keeper.lose_time(seconds)
+        self._keeper.compensate_suspension(seconds)
         self._client.expire_idle()
         self._suspects.compensate_suspension(seconds)
         self._local_dispatchers.reset()
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_entry.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_entry.py
@@ -97,9 +97,9 @@
                     era = self._directory.era
                 found = await self._directory.read_members()
             except ports.StoreUnavailableError as error:
-                await self._contact.pause_lost(error)
+                await self._contact.wait_after_failure(error)
                 continue
-            self._contact.note_back()
+            self._contact.record_success()
             self._greet(found)
             return era
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_messenger.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_messenger.py
@@ -121,11 +121,11 @@
             case datagrams.TargetUpdate():
                 if self._fleet.is_direct(message.vm, message.is_for_relay):
                     self._fleet.record_contact(message.vm, now)
-                self._receivers.keeper.take_news(message)
+                self._receivers.keeper.apply_target_update(message)
             case datagrams.ConfigurationUpdate():
-                self._receivers.keeper.take_published(message)
+                self._receivers.keeper.apply_configuration_update(message)
             case datagrams.VersionNotice():
-                self._receivers.keeper.take_version(message.vm, message.version)
+                self._receivers.keeper.record_peer_version(message.vm, message.version)
             case datagrams.TargetEstimates():
                 self._receivers.local_dispatchers.apply_estimates(message, now)
             case datagrams.SlotRequested():
@@ -150,7 +150,7 @@
             if self._sends_suspects_to_new_vms(now):
                 self._receivers.suspects.announce_to(hello.member)
         self._fleet.record_contact(hello.member.vm, now)
-        self._receivers.keeper.take_position(hello.member.vm, hello.position)
+        self._receivers.keeper.record_peer_position(hello.member.vm, hello.position)
         if hello.wants_answer:
             self._link.send(self._make_reply(), hello.member)
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
@@ -115,7 +115,7 @@
             knowledge.configuration_state,
             self._broadcaster,
             fleet.own.vm,
-            self._configuration.has_read_lately,
+            self._configuration.has_recent_read,
         )
         self._reader = target_reader.TargetReader(
             target_reader.Source(store, turn, start),
@@ -161,7 +161,7 @@
         while not self.is_complete and anyio.current_time() < self._hold_until:
             await anyio.sleep(HOLD_CHECK)
 
-    def take_snapshot(self) -> knowledge_exchange.Snapshot:
+    def make_snapshot(self) -> knowledge_exchange.Snapshot:
         """Return what this VM knows, for one that lacks it."""
         return knowledge_exchange.Snapshot(
             self._configured.current,
@@ -180,25 +180,27 @@
             group.start_soon(self._entry.run)
             group.start_soon(self._starter.run)
 
-    def lose_time(self, seconds: float) -> None:
+    def compensate_suspension(self, seconds: float) -> None:
         """Take in that the clock has not counted some time."""
-        self._record.lose_time(seconds)
-        self._configuration.lose_time(seconds)
+        self._record.compensate_suspension(seconds)
+        self._configuration.compensate_suspension(seconds)
         self._reader.read_anew()
 
-    def take_news(self, news: datagrams.TargetUpdate) -> None:
+    def apply_target_update(self, news: datagrams.TargetUpdate) -> None:
         """Take in what another VM has read."""
         now = anyio.current_time()
         self._broadcaster.relay(news)
-        self.take_version(news.vm, news.version)
-        self._record.take_news(news, now)
+        self.record_peer_version(news.vm, news.version)
+        self._record.apply_target_update(news, now)
 
-    def take_position(self, vm: str, position: int) -> None:
+    def record_peer_position(self, vm: str, position: int) -> None:
         """Take in up to where another VM knows the targets."""
         if position >= 0:
             self._starter.note_holder(vm)
 
-    def take_published(self, published: datagrams.ConfigurationUpdate) -> None:
+    def apply_configuration_update(
+        self, published: datagrams.ConfigurationUpdate
+    ) -> None:
         """Take in a configuration that another VM has read.
 
         Raises
@@ -206,15 +208,17 @@
         ValueError
             If there is none in it.
         """
-        self._configuration.take_published(published)
+        self._configuration.apply_configuration_update(published)
 
-    def take_version(self, vm: str, version: int) -> None:
+    def record_peer_version(self, vm: str, version: int) -> None:
         """Take in which version another VM has."""
-        self._configuration.take_version(vm, version)
+        self._configuration.record_peer_version(vm, version)
 
-    def use(self, candidate: configuration.Configuration, source: str) -> None:
+    def apply_configuration(
+        self, candidate: configuration.Configuration, source: str
+    ) -> None:
         """Take a configuration, if it is newer than the one in force."""
-        self._configuration.use(candidate, source)
+        self._configuration.apply_configuration(candidate, source)
 
     async def _fetch_from(self, vm: str) -> None:
         """Take in what another VM knows and this one lacks."""
@@ -225,9 +229,9 @@
         if found is None:
             return
         if found.current is not None:
-            self.use(found.current, vm)
+            self.apply_configuration(found.current, vm)
         if not self._record.is_complete:
-            self._record.take_snapshot(found, anyio.current_time(), vm)
+            self._record.apply_snapshot(found, anyio.current_time(), vm)
 
     def _greet_near(self) -> None:
         """Tell the VMs nearby, which may start as well, that this one knows all."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/reading_turn.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/reading_turn.py
@@ -13,7 +13,7 @@
 """Seconds by which each further VM in rank waits longer, so that the next one becomes
 the reader before all the others start to read."""
 
-MOST_STEPS = 5
+MAX_DELAYED_RANKS = 5
 """Ranks that wait longer; beyond them the bound on leaving targets would be at risk."""
 
 JOIN_PAUSE = 0.5
@@ -53,14 +53,14 @@
 
     def is_among_first(self, now: float) -> bool:
         """Return whether this VM is one of those that would read next."""
-        return self._rank(now) <= MOST_STEPS
+        return self._rank(now) <= MAX_DELAYED_RANKS
 
     def is_due(self, now: float, heard_at: float) -> bool:
         """Return whether to read, with the last news heard at that time."""
         rank = self._rank(now)
         if rank == 0 and now >= self._joined_at:
             return True
-        steps = min(max(0, rank - 1), MOST_STEPS)
+        steps = min(max(0, rank - 1), MAX_DELAYED_RANKS)
         return now - heard_at > SILENCE + SILENCE_STEP * steps
 
     def suspect_reader(self, now: float) -> None:
@@ -70,6 +70,6 @@
             self._fleet.suspect(reader[0], now)
 
     def _rank(self, now: float) -> int:
-        order = self._fleet.rank(READER_TASK, now, MOST_STEPS + 1)
+        order = self._fleet.rank(READER_TASK, now, MAX_DELAYED_RANKS + 1)
         own = self._fleet.own.vm
-        return order.index(own) if own in order else MOST_STEPS + 1
+        return order.index(own) if own in order else MAX_DELAYED_RANKS + 1
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/start_turn.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/start_turn.py
@@ -19,7 +19,7 @@
 """Seconds by which each further VM in rank waits longer, enough for the one before it
 to read and to tell."""
 
-MOST_STEPS = 8
+MAX_DELAYED_RANKS = 8
 """Ranks that wait longer. The wait is time in which a VM that nobody answers serves
 nothing."""
 
@@ -52,7 +52,7 @@
         """Return whether to read the store."""
         if now >= self._latest:
             return True
-        steps = min(self._find_rank(now), MOST_STEPS)
+        steps = min(self._find_rank(now), MAX_DELAYED_RANKS)
         return now >= self._joined_at + FIRST_PAUSE + STEP * steps
 
     def _find_rank(self, now: float) -> int:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/store_contact.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/store_contact.py
@@ -11,7 +11,7 @@
 FIRST_PAUSE = 0.2
 """Seconds before a failed call to the store is made again."""
 
-LONGEST_PAUSE = 1.0
+MAX_DELAY_S = 1.0
 """Most seconds between calls to a store that does not answer. Longer pauses would delay
 a new configuration after an outage beyond its bound of two seconds."""
 
@@ -39,8 +39,8 @@
         self._pause = FIRST_PAUSE
         self._is_lost = False
 
-    async def pause_lost(
-        self, error: ports.StoreUnavailableError, longest: float = LONGEST_PAUSE
+    async def wait_after_failure(
+        self, error: ports.StoreUnavailableError, longest: float = MAX_DELAY_S
     ) -> None:
         """Take in that a call failed, and wait before the next one."""
         if not self._is_lost:
@@ -50,7 +50,7 @@
         await anyio.sleep(self._pause * (0.5 + self._rng.random()))
         self._pause = min(longest, 2 * self._pause)
 
-    def note_back(self) -> bool:
+    def record_success(self) -> bool:
         """Take in that a call got through; return whether the store was lost."""
         was_lost = self._is_lost
         self._is_lost = False
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_reader.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_reader.py
@@ -36,7 +36,7 @@
 """Least seconds between two reads of the targets' entries, however often they change:
 bounds the calls where targets write with every heartbeat."""
 
-SPARE_PAUSE = 3.0
+MAX_STANDBY_DELAY_S = 3.0
 """Most seconds between calls to a store that does not answer, for a VM that is not
 among the first to read for all."""
 
@@ -128,7 +128,7 @@
             except ports.StoreUnavailableError as error:
                 await self._pause_lost(error, now)
                 continue
-            if self._contact.note_back():
+            if self._contact.record_success():
                 self._configuration.read_anew()
             now = anyio.current_time()
             self._record.heard_at = self._record.read_at = now
@@ -145,10 +145,10 @@
         if self._turn.is_reader(now):
             self._resignation.resign(reading_turn.READER_TASK, "store unavailable")
         is_next = self._turn.is_among_first(now)
-        longest = store_contact.LONGEST_PAUSE if is_next else SPARE_PAUSE
+        longest = store_contact.MAX_DELAY_S if is_next else MAX_STANDBY_DELAY_S
         if not self._record.is_complete:
-            longest = store_contact.LONGEST_PAUSE
-        await self._contact.pause_lost(error, longest)
+            longest = store_contact.MAX_DELAY_S
+        await self._contact.wait_after_failure(error, longest)
 
     async def _read_as_due(self, now: float) -> bool:
         """Read the targets; return whether anything has changed.
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_record.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_record.py
@@ -71,7 +71,7 @@
         """Whether all targets were read at least once."""
         return self.position >= 0
 
-    def take_news(self, news: datagrams.TargetUpdate, now: float) -> None:
+    def apply_target_update(self, news: datagrams.TargetUpdate, now: float) -> None:
         """Take in what another VM has read."""
         if not self.is_complete or news.since > self.position:
             return  # Something between is missing: read it from the store.
@@ -102,7 +102,7 @@
             self._start_anew(now)
         return bool(news)
 
-    def take_snapshot(
+    def apply_snapshot(
         self, snapshot: knowledge_exchange.Snapshot, now: float, vm: str
     ) -> bool:
         """Take in all that a peer knows, if it is up to date; return whether it was."""
@@ -115,7 +115,7 @@
         self._start_anew(now)
         return True
 
-    def lose_time(self, seconds: float) -> None:
+    def compensate_suspension(self, seconds: float) -> None:
         """Take in that the clock has not counted some time: all is older."""
         self.heard_at -= seconds
         self.read_at -= seconds
--- a/tests/edge/test_reading_turn.py
+++ b/tests/edge/test_reading_turn.py
@@ -34,7 +34,7 @@
     turns = [turn for turn in make_turns() if not turn.is_first(SETTLED)]
     silent = reading_turn.SILENCE + reading_turn.SILENCE_STEP / 2
     assert sum(turn.is_due(SETTLED, SETTLED - silent) for turn in turns) == 1
-    longest = reading_turn.SILENCE_STEP * reading_turn.MOST_STEPS
+    longest = reading_turn.SILENCE_STEP * reading_turn.MAX_DELAYED_RANKS
     silent = reading_turn.SILENCE + longest + 0.01
     assert all(turn.is_due(SETTLED, SETTLED - silent) for turn in turns)
 
--- a/tests/edge/test_resignation.py
+++ b/tests/edge/test_resignation.py
@@ -145,11 +145,11 @@
         before = edge_site.count_store_calls(vms).total()
         await anyio.sleep(4.0)
         made = edge_site.count_store_calls(vms).total() - before
-        few = reading_turn.MOST_STEPS + 1
+        few = reading_turn.MAX_DELAYED_RANKS + 1
         spare = len(vms) - few
         # The VMs that rank first call once a second, at times after half a second.
-        each = 4.0 / store_contact.LONGEST_PAUSE * 2
-        seldom = 4.0 / target_reader.SPARE_PAUSE * 2
+        each = 4.0 / store_contact.MAX_DELAY_S * 2
+        seldom = 4.0 / target_reader.MAX_STANDBY_DELAY_S * 2
         assert made <= few * each + spare * seldom
         site.store.fault = topic_store.Fault.NONE
         site.publish([edge_site.make_route("/new/")])
--- a/tests/edge/test_start.py
+++ b/tests/edge/test_start.py
@@ -22,7 +22,7 @@
 
 pytestmark = pytest.mark.anyio
 
-MOST_STEPS_TIME = start_turn.STEP * start_turn.MOST_STEPS
+MOST_STEPS_TIME = start_turn.STEP * start_turn.MAX_DELAYED_RANKS
 
 
 def make_member(name: str) -> ports.Member:
@@ -151,12 +151,12 @@
     log = log_lines.LogLines("vm-1", writer)
     record = target_record.TargetRecord(targets.Registry(), log, lambda: None)
     old = knowledge_exchange.Snapshot(None, 5, -2 * target_record.FRESH_FOR, ())
-    assert not record.take_snapshot(old, 0.0, "vm-2")
+    assert not record.apply_snapshot(old, 0.0, "vm-2")
     assert not record.is_complete
     unread = knowledge_exchange.Snapshot(None, -1, 0.0, ())
-    assert not record.take_snapshot(unread, 0.0, "vm-2")
+    assert not record.apply_snapshot(unread, 0.0, "vm-2")
     fresh = knowledge_exchange.Snapshot(None, 5, -0.1, ())
-    assert record.take_snapshot(fresh, 0.0, "vm-2")
+    assert record.apply_snapshot(fresh, 0.0, "vm-2")
     assert record.position == 5
 
 
--- a/tests/edge/test_store_contact.py
+++ b/tests/edge/test_store_contact.py
@@ -20,11 +20,11 @@
     reader, writer = os.pipe()
     log = log_lines.LogLines("vm-1", writer)
     contact = store_contact.StoreContact("targets", log, random.Random(1))
-    assert not contact.note_back()
+    assert not contact.record_success()
     for _ in range(3):
-        await contact.pause_lost(ports.StoreUnavailableError("x" * 500))
-    assert contact.note_back()
-    assert not contact.note_back()
+        await contact.wait_after_failure(ports.StoreUnavailableError("x" * 500))
+    assert contact.record_success()
+    assert not contact.record_success()
     log.flush()
     lines = os.read(reader, 10_000)
     assert lines.count(b'"store_lost"') == 1
@@ -48,9 +48,9 @@
     contact = store_contact.StoreContact("targets", log, random.Random(1))
     error = ports.StoreUnavailableError("down")
     for _ in range(20):
-        await contact.pause_lost(error)
-    assert max(paused) <= 1.5 * store_contact.LONGEST_PAUSE
-    assert min(paused[5:]) >= 0.5 * store_contact.LONGEST_PAUSE
-    contact.note_back()
-    await contact.pause_lost(error)
+        await contact.wait_after_failure(error)
+    assert max(paused) <= 1.5 * store_contact.MAX_DELAY_S
+    assert min(paused[5:]) >= 0.5 * store_contact.MAX_DELAY_S
+    contact.record_success()
+    await contact.wait_after_failure(error)
     assert paused[-1] <= 1.5 * store_contact.FIRST_PAUSE
--- a/tests/edge/test_target_record.py
+++ b/tests/edge/test_target_record.py
@@ -36,7 +36,7 @@
 def test_news_count_only_after_a_whole_read() -> None:
     # News tell changes. A VM that began with them would not know older targets.
     site = Site()
-    site.record.take_news(make_news(0, 5, "t1"), 1.0)
+    site.record.apply_target_update(make_news(0, 5, "t1"), 1.0)
     assert not site.record.is_complete
     assert site.registry.find("t1") is None
 
@@ -44,11 +44,11 @@
 def test_news_with_a_gap_before_them_are_left_to_the_store() -> None:
     site = Site()
     site.record.take_all(ports.TargetPage((make_entry("t1", 3),), 4), 1.0)
-    site.record.take_news(make_news(6, 9, "t2"), 2.0)
+    site.record.apply_target_update(make_news(6, 9, "t2"), 2.0)
     assert site.record.position == 4
     assert site.record.heard_at == 0.0
     assert site.registry.find("t2") is None
-    site.record.take_news(make_news(4, 9, "t2"), 2.0)
+    site.record.apply_target_update(make_news(4, 9, "t2"), 2.0)
     assert site.record.position == 9
     assert site.record.heard_at == 2.0
     assert site.registry.find("t2") is not None
@@ -58,7 +58,7 @@
 def test_late_news_bring_no_old_position_back() -> None:
     site = Site()
     site.record.take_all(ports.TargetPage((make_entry("t1", 8),), 9), 1.0)
-    site.record.take_news(make_news(0, 5), 2.0)
+    site.record.apply_target_update(make_news(0, 5), 2.0)
     assert site.record.position == 9
 
 
@@ -84,7 +84,9 @@
     site = Site()
     site.record.take_all(ports.TargetPage((), 0), 0.0)
     for number in range(1, 200):
-        site.record.take_news(make_news(number - 1, number, f"t{number}"), number * 1.0)
+        site.record.apply_target_update(
+            make_news(number - 1, number, f"t{number}"), number * 1.0
+        )
     assert len(site.record.list_since(0.0)[1]) < 10
 
 
@@ -92,7 +94,7 @@
     # Guards against a gap that makes every VM read the store at a change of reader.
     site = Site()
     site.record.take_all(ports.TargetPage((make_entry("t1", 3),), 4), 1.0)
-    site.record.take_news(make_news(4, 9, "t2"), 2.0)
+    site.record.apply_target_update(make_news(4, 9, "t2"), 2.0)
     site.record.take_changes(ports.TargetPage((make_entry("t3", 9),), 10), 2.5)
     since, changes = site.record.list_since(1.5)
     assert since == 4
