--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_codec.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_codec.py
@@ -1,4 +1,4 @@
-"""The configuration as VMs hand it to each other."""
+"""Encoding of the configuration for transfer between VMs."""
 
 from __future__ import annotations
 
@@ -9,67 +9,73 @@
 from zinniastand_core import services
 from zinniastand_core.deployment import configuration
 
-MOST_BYTES = 16 << 20
-"""Largest configuration taken from a peer."""
+MAX_UNPACKED_BYTES = 16 << 20
+"""Largest size, once decompressed, of a message accepted from a peer."""
 
 
 def pack(value: object) -> bytes:
-    """Return plain values as compressed CBOR."""
+    """Encode plain values as CBOR and compress them with zlib."""
     return zlib.compress(cbor2.dumps(value))
 
 
 def unpack(data: bytes) -> object:
-    """Return the values in compressed CBOR.
+    """Decompress and decode plain values.
 
     Raises
     ------
     ValueError
-        If there are none, or too many.
+        If the data is truncated or malformed, or larger than `MAX_UNPACKED_BYTES` once
+        decompressed.
     """
     inflater = zlib.decompressobj()
     try:
-        inflated = inflater.decompress(data, MOST_BYTES)
+        inflated = inflater.decompress(data, MAX_UNPACKED_BYTES)
         if not inflater.eof:
-            raise ValueError("not packed: cut short, or too long")
+            raise ValueError(
+                "not packed: truncated, or larger than the maximum once decompressed"
+            )
         return cbor2.loads(inflated)
     except (zlib.error, cbor2.CBORDecodeError, TypeError) as error:
-        raise ValueError(f"not packed: {error!r}") from error
+        raise ValueError(
+            f"not packed: expected zlib-compressed CBOR: {error!r}"
+        ) from error
 
 
 def encode(current: configuration.Configuration) -> list[object]:
-    """Return a configuration as plain values."""
+    """Convert a configuration to plain values; the inverse of `decode`."""
     routes = [_pack_route(route) for route in current.routes]
-    known = [
-        [one.name, one.health_path, one.max_connections] for one in current.services
+    service_rows = [
+        [service.name, service.health_path, service.max_connections]
+        for service in current.services
     ]
     limits = current.limits
-    bounds = [
+    limit_fields = [
         limits.max_head_bytes,
         limits.max_body_bytes,
         limits.head_timeout,
         limits.idle_timeout,
     ]
-    return [current.version, routes, known, bounds]
+    return [current.version, routes, service_rows, limit_fields]
 
 
 def decode(fields: object) -> configuration.Configuration:
-    """Return the configuration in plain values.
+    """Convert plain values from `encode` back to a configuration.
 
     Raises
     ------
     ValueError
-        If there is none.
+        If the values do not form a configuration.
     """
     try:
-        version, routes, known, limits = fields  # type: ignore[misc]
+        version, routes, service_rows, limits = fields  # type: ignore[misc]
         return configuration.Configuration(
             version,
             tuple(_unpack_route(route) for route in routes),
-            tuple(configuration.ServiceSettings(*one) for one in known),
+            tuple(configuration.ServiceSettings(*row) for row in service_rows),
             configuration.Limits(*limits),
         )
     except (ValueError, TypeError, IndexError) as error:
-        raise ValueError(f"no configuration: {error!r}") from error
+        raise ValueError(f"malformed configuration: {error!r}") from error
 
 
 def _pack_route(route: configuration.Route) -> list[object]:
@@ -82,12 +88,12 @@
         route.objective,
         route.max_attempts,
         route.priority,
-        [[part.service, part.weight] for part in route.weighted_services],
+        [[weighted.service, weighted.weight] for weighted in route.weighted_services],
     ]
 
 
 def _unpack_route(fields: list) -> configuration.Route:
-    name, host, prefix, work, time_limit, objective, attempts, priority, parts = fields
+    name, host, prefix, work, time_limit, objective, attempts, priority, rows = fields
     return configuration.Route(
         name,
         host,
@@ -97,5 +103,5 @@
         objective,
         attempts,
         priority,
-        tuple(configuration.WeightedService(*part) for part in parts),
+        tuple(configuration.WeightedService(*row) for row in rows),
     )
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
@@ -1,7 +1,8 @@
 """Keeps the configuration in force up to date, from the store and from peers.
 
-One VM waits on the store for all and pushes what it reads; the others call the store
-only where that VM says nothing, or says a version that did not reach them.
+One VM, the reader, waits at the store for new versions and pushes them to the others.
+Those call the store only if the reader sends nothing, or if they learn of a version
+that was not pushed to them.
 """
 
 from __future__ import annotations
@@ -30,90 +31,92 @@
     target_record,
 )
 
-TOLD_OF_VERSION = 4
-"""VMs, drawn at random, that a VM tells of a new version: for those that neither a push
-nor news reach. Nearly all hear of it so."""
+VERSION_NOTICE_COUNT = 4
+"""Number of VMs, drawn at random, that each VM notifies of a new version, for VMs that
+receive neither a push nor an update about targets. Nearly all of them get a notice."""
 
-VERSION_PAUSE = 0.3
-"""Least seconds between two waits for a configuration: while versions come in quick
-succession, some of them are read and not all. It stays far below the 2 s within which a
-version must be in force."""
+MIN_READ_INTERVAL_S = 0.3
+"""Minimum seconds between two waits for a configuration: of versions published in quick
+succession, only some are read. It is far below the 2 s within which a version must be
+in force."""
 
-CONFIGURATION_WAIT = 1.5
-"""Seconds that one read of the configuration waits at the store. Each costs a call; a
-wait on a connection that has gone silent is noticed only after it."""
+STORE_WAIT_S = 1.5
+"""Seconds that one read of the configuration waits at the store for a new version. A
+shorter wait costs more calls; with a longer one, a connection that has gone silent is
+detected later, since that shows only after the wait."""
 
-READ_SLACK = 0.5
-"""Seconds after the wait at which a read of the configuration is given up."""
+READ_SLACK_S = 0.5
+"""Seconds after the end of the wait at which a read of the configuration times out."""
 
-READ_LATELY = CONFIGURATION_WAIT + READ_SLACK + VERSION_PAUSE
-"""Seconds after a read of the configuration for which this VM may tell others that
+READ_VALIDITY_S = STORE_WAIT_S + READ_SLACK_S + MIN_READ_INTERVAL_S
+"""Seconds after a read of the configuration for which this VM may state to others that
 there is no newer version."""
 
-MOST_PUSHED = 16_384
-"""Bytes of a configuration that is pushed: sixty of them fill a slow VM's link for half
-a second. A larger one is read from the store by those who hear of its version."""
+MAX_PUSHED_BYTES = 16_384
+"""Largest encoded configuration that is pushed: sixty of this size fill a slow VM's
+link for half a second. A larger one is read from the store by the VMs that learn of its
+version."""
 
-PUSH_PATIENCE = 0.15
-"""Seconds that a VM which has heard of a version waits for it to be pushed."""
+PUSH_TIMEOUT_S = 0.15
+"""Seconds that a VM which has learnt of a version waits for it to be pushed."""
 
-STORE_PATIENCE = 0.4
-"""Seconds after which a VM that lacks a version asks the peer that told of it instead
-of the store, which may turn this VM away."""
+STORE_TIMEOUT_S = 0.4
+"""Seconds after which a VM that lacks a version stops waiting for the store, which may
+refuse its calls, and asks the peer that named the version."""
 
-EMPTY_PAUSE = 0.2
+EMPTY_STORE_INTERVAL_S = 0.2
 """Seconds between two reads of a store that holds no configuration yet."""
 
-CHECK_PAUSE = 0.1
-"""Seconds between two looks whether it is this VM's turn, and whether it lacks a
-version."""
+CHECK_INTERVAL_S = 0.1
+"""Seconds between two checks whether it is this VM's turn to read, and whether it lacks
+a version."""
 
 OPERATOR = "operator"
-"""Source of a configuration that was handed to this VM directly, in log lines."""
+"""Source, in log lines, of a configuration that was given to this VM directly."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Source:
-    """Where a configuration comes from, and when it may be asked for one."""
+    """Where configurations are read, and what decides when the store is read."""
 
     store: ports.ConfigurationSource
-    """Where operators publish it."""
+    """Store to which operators publish the configuration."""
 
     turn: reading_turn.ReadingTurn
-    """Whether it is this VM's turn to read."""
+    """Decides whether it is this VM's turn to read."""
 
     start: start_turn.StartTurn
-    """Whether this VM may read while it knows nothing yet."""
+    """Decides whether this VM may read while it has no configuration yet."""
 
     fetch: collections.abc.Callable[[str], collections.abc.Awaitable[None]]
-    """Gets and takes in what another VM knows."""
+    """Fetches and applies what the named VM knows."""
 
 
 class ConfigurationKeeper:
-    """Follows the configuration.
+    """Reads new versions of the configuration and puts them in force.
 
     Parameters
     ----------
     source : Source
-        Where it comes from.
-    knowledge : forwarder.RoutingState
-        Where it is put in force.
+        Where configurations are read, and when.
+    routing_state : forwarder.RoutingState
+        Holds the configuration in force.
     fleet : members.Members
-        The VMs.
+        The VMs of the fleet.
     broadcaster : broadcasting.Broadcaster
-        Pushes what was read.
+        Pushes new versions to other VMs.
     link : peer_link.PeerLink
-        Datagrams to other VMs.
+        Sends datagrams to other VMs.
     log : log_lines.LogLines
-        New versions, and the store lost and regained.
+        Receives a line for each new version, and for loss and return of the store.
     rng : random.Random
-        Spreads calls, and draws the VMs that are told of a version.
+        Jitter for calls, and choice of the VMs to notify of a version.
     """
 
     def __init__(
         self,
         source: Source,
-        knowledge: forwarder.RoutingState,
+        routing_state: forwarder.RoutingState,
         fleet: members.Members,
         broadcaster: broadcasting.Broadcaster,
         link: peer_link.PeerLink,
@@ -124,7 +127,7 @@
         self._turn = source.turn
         self._start = source.start
         self._fetch = source.fetch
-        self._knowledge = knowledge
+        self._routing_state = routing_state
         self._fleet = fleet
         self._broadcaster = broadcaster
         self._link = link
@@ -132,25 +135,34 @@
         self._rng = rng
         self._contact = store_contact.StoreContact("configuration", log, rng)
         self._wait_scope: anyio.CancelScope | None = None
-        self._told: dict[str, tuple[int, float]] = {}
-        self._read_at = -READ_LATELY
+        self._peer_versions: dict[str, tuple[int, float]] = {}
+        self._read_at = -READ_VALIDITY_S
 
     def has_recent_read(self, now: float) -> bool:
-        """Return whether this VM knows the newest version from the store itself."""
-        return now - self._read_at < READ_LATELY
+        """Return whether the store was read within `READ_VALIDITY_S` before `now`.
+
+        If so, this VM knows the newest version from the store itself.
+        """
+        return now - self._read_at < READ_VALIDITY_S
 
     def compensate_suspension(self, seconds: float) -> None:
-        """Take in that the clock has not counted some time."""
+        """Make the last read older by the time the clock did not count, and read again.
+
+        Parameters
+        ----------
+        seconds : float
+            How long the VM was suspended.
+        """
         self._read_at -= seconds
-        self.read_anew()
+        self.restart_read()
 
     async def follow_store(self) -> None:
-        """Read for all while it is this VM's turn, until cancelled."""
+        """Read the store for the fleet while it is this VM's turn, until cancelled."""
         position: int | None = None
         while True:
-            if not self._may_follow(anyio.current_time()):
+            if not self._may_read(anyio.current_time()):
                 position = None
-                await anyio.sleep(CHECK_PAUSE)
+                await anyio.sleep(CHECK_INTERVAL_S)
                 continue
             try:
                 page = await self._read(position)
@@ -162,76 +174,83 @@
                 position = None
                 continue
             position = page.position
-            self._take_page(page)
+            self._apply_page(page)
             if page.newest is not None:
-                await anyio.sleep(VERSION_PAUSE)
-            elif self._knowledge.configuration_state.current is None:
-                await anyio.sleep(EMPTY_PAUSE)
+                await anyio.sleep(MIN_READ_INTERVAL_S)
+            elif self._routing_state.configuration_state.current is None:
+                await anyio.sleep(EMPTY_STORE_INTERVAL_S)
 
     async def read_now(self) -> None:
-        """Read the newest configuration, where nobody else tells it.
+        """Read the newest configuration from the store and apply it.
 
         Raises
         ------
         ports.StoreUnavailableError
             If the store gives no usable answer.
         """
-        self._take_page(await self._read(None))
+        self._apply_page(await self._read(None))
 
     async def catch_up(self) -> None:
-        """Get versions that this VM was told of and that were not pushed to it."""
+        """Fetch versions that peers have named but nobody pushed, until cancelled."""
         while True:
-            await anyio.sleep(CHECK_PAUSE)
-            vm = self._choose_holder(anyio.current_time())
+            await anyio.sleep(CHECK_INTERVAL_S)
+            vm = self._choose_peer(anyio.current_time())
             if vm is None:
                 continue
-            version, _ = self._told.pop(vm)
-            if self._knowledge.configuration_state.current is None:
+            version, _ = self._peer_versions.pop(vm)
+            if self._routing_state.configuration_state.current is None:
                 await self._fetch(vm)
                 continue
             with (
                 contextlib.suppress(ports.StoreUnavailableError),
-                anyio.move_on_after(STORE_PATIENCE),
+                anyio.move_on_after(STORE_TIMEOUT_S),
             ):
                 await self.read_now()
-            if self._knowledge.configuration_state.version < version:
+            if self._routing_state.configuration_state.version < version:
                 await self._fetch(vm)
 
     def record_peer_version(self, vm: str, version: int) -> None:
-        """Take in which version another VM has."""
-        if version > self._knowledge.configuration_state.version:
-            self._told.setdefault(vm, (version, anyio.current_time()))
+        """Record which version another VM has, if it is newer than the one in force."""
+        if version > self._routing_state.configuration_state.version:
+            self._peer_versions.setdefault(vm, (version, anyio.current_time()))
 
-    def apply_configuration_update(
-        self, published: datagrams.ConfigurationUpdate
-    ) -> None:
-        """Take in a configuration that the reader pushes.
+    def apply_configuration_update(self, update: datagrams.ConfigurationUpdate) -> None:
+        """Relay and apply a configuration that the reader has pushed.
 
         Raises
         ------
         ValueError
-            If there is none in it.
+            If the update holds no valid configuration.
         """
-        if published.version <= self._knowledge.configuration_state.version:
+        if update.version <= self._routing_state.configuration_state.version:
             return
-        candidate = configuration_codec.decode(
-            configuration_codec.unpack(published.data)
-        )
-        # Passed on only once, and only after it was read: a broken one stops here.
-        self._broadcaster.relay(published)
-        self.apply_configuration(candidate, published.vm)
+        candidate = configuration_codec.decode(configuration_codec.unpack(update.data))
+        # Relayed only once, and only after it was decoded: a malformed one stops here.
+        self._broadcaster.relay(update)
+        self.apply_configuration(candidate, update.vm)
 
     def apply_configuration(
         self, candidate: configuration.Configuration, source: str
     ) -> None:
-        """Take a configuration, if it is newer than the one in force."""
-        is_first = self._knowledge.configuration_state.current is None
-        if not self._knowledge.configuration_state.offer(candidate):
+        """Put a configuration in force if it is newer than the current one.
+
+        Parameters
+        ----------
+        candidate : configuration.Configuration
+            The configuration.
+        source : str
+            Where it comes from, for log lines. It is pushed to other VMs only if it
+            comes from the store or an operator.
+        """
+        is_first = self._routing_state.configuration_state.current is None
+        if not self._routing_state.configuration_state.offer(candidate):
             return
         if source in (target_record.STORE, OPERATOR):
             self._push(candidate)
-        self._tell_version(to_all_near=is_first and source == target_record.STORE)
-        self._knowledge.router.apply(candidate)
+        self._announce_version(
+            to_data_centre=is_first and source == target_record.STORE
+        )
+        self._routing_state.router.apply(candidate)
         self._log.write(
             "configuration_in_force",
             version=candidate.version,
@@ -239,67 +258,77 @@
             source=source,
         )
 
-    def read_anew(self) -> None:
-        """End the wait at the store, if there is one, and read at once.
+    def restart_read(self) -> None:
+        """End the current wait at the store, if there is one, and read at once.
 
-        A wait that spans an outage may never be answered, on a connection that looks
-        open. Whoever gets through to the store again calls this.
+        A wait that spans an outage may never be answered, although its connection looks
+        open. So this is called when another call gets through to the store again.
         """
         if self._wait_scope is not None:
             self._wait_scope.cancel()
 
-    def _may_follow(self, now: float) -> bool:
-        if self._knowledge.configuration_state.current is None:
+    def _may_read(self, now: float) -> bool:
+        if self._routing_state.configuration_state.current is None:
             return self._start.may_read(now)
         return self._turn.is_reader(now)
 
     async def _read(self, position: int | None) -> ports.ConfigurationPage:
-        """Wait for a new configuration; without a position, return the newest."""
+        """Wait for a new configuration; if `position` is None, return the newest."""
         if position is None:
             return await self._store.read_configuration()
-        late_at = anyio.current_time() + CONFIGURATION_WAIT + READ_SLACK
+        late_at = anyio.current_time() + STORE_WAIT_S + READ_SLACK_S
         with anyio.CancelScope(deadline=late_at) as self._wait_scope:
-            return await self._store.wait_configuration(position, CONFIGURATION_WAIT)
+            return await self._store.wait_configuration(position, STORE_WAIT_S)
         if anyio.current_time() >= late_at:
             raise ports.StoreUnavailableError("no answer in time")
         return await self._store.read_configuration()
 
-    def _take_page(self, page: ports.ConfigurationPage) -> None:
+    def _apply_page(self, page: ports.ConfigurationPage) -> None:
         self._contact.record_success()
         self._read_at = anyio.current_time()
         if page.newest is not None:
             self.apply_configuration(page.newest, target_record.STORE)
 
-    def _choose_holder(self, now: float) -> str | None:
-        """Return a VM that has told of a version which does not come by itself."""
-        version = self._knowledge.configuration_state.version
-        self._told = {
-            vm: (known, at) for vm, (known, at) in self._told.items() if known > version
+    def _choose_peer(self, now: float) -> str | None:
+        """Return a VM with a newer version that is overdue here, or None."""
+        version = self._routing_state.configuration_state.version
+        self._peer_versions = {
+            vm: (known, at)
+            for vm, (known, at) in self._peer_versions.items()
+            if known > version
         }
-        due = [vm for vm, (_, at) in self._told.items() if now - at >= PUSH_PATIENCE]
+        due = [
+            vm
+            for vm, (_, at) in self._peer_versions.items()
+            if now - at >= PUSH_TIMEOUT_S
+        ]
         return self._rng.choice(due) if due else None
 
     def _push(self, current: configuration.Configuration) -> None:
         now = anyio.current_time()
         if not self._turn.is_first(now):
-            return  # Read in the reader's place; so may many others have done.
+            return  # Read in place of the reader, as many other VMs may have done.
         data = configuration_codec.pack(configuration_codec.encode(current))
-        if len(data) <= MOST_PUSHED:
+        if len(data) <= MAX_PUSHED_BYTES:
             vm = self._fleet.own.vm
             self._broadcaster.broadcast(
                 datagrams.ConfigurationUpdate(vm, current.version, data), now
             )
 
-    def _tell_version(self, to_all_near: bool) -> None:
-        """Tell some others of a new version, in case neither push nor news come.
+    def _announce_version(self, to_data_centre: bool) -> None:
+        """Notify some VMs of the version, in case no push and no update reaches them.
 
-        Where this VM had none before, the others may lack it as well: it is the first
-        version of all, or the whole fleet has started anew.
+        Parameters
+        ----------
+        to_data_centre : bool
+            Whether to notify all VMs of this data centre instead. If this VM had no
+            version before, the others may lack it as well: it is the first version of
+            all, or the whole fleet has restarted.
         """
-        version = self._knowledge.configuration_state.version
+        version = self._routing_state.configuration_state.version
         notice = datagrams.VersionNotice(self._fleet.own.vm, version)
         others = self._fleet.list_others()
-        drawn = self._rng.sample(others, min(TOLD_OF_VERSION, len(others)))
-        if to_all_near:
-            drawn = self._fleet.list_in(self._fleet.own.data_centre)
-        self._link.send_many(notice, drawn)
+        receivers = self._rng.sample(others, min(VERSION_NOTICE_COUNT, len(others)))
+        if to_data_centre:
+            receivers = self._fleet.list_in(self._fleet.own.data_centre)
+        self._link.send_many(notice, receivers)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_exchange.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_exchange.py
@@ -1,8 +1,9 @@
-"""Hands what one VM knows to another that knows nothing or less.
+"""Transfers a snapshot of what one VM knows to another VM.
 
-A VM that starts gets configuration and targets from a peer, and a VM that lacks a
-version gets it where the store turns it away. The peer tells how long ago it last heard
-of the store, so that nobody routes by what was not checked within its bound.
+A VM that starts gets configuration and targets from a peer. A VM that lacks a version
+of the configuration gets it from a peer if the store refuses its calls. The snapshot
+states how long ago the peer last had data from the store, so that no VM routes by data
+that was not checked within its time limit.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 
 from . import configuration_codec, datagrams
 
-FETCH_TIMEOUT = 0.6
-"""Seconds for one fetch. Another peer, or the store, is asked after it."""
+FETCH_TIMEOUT_S = 0.6
+"""Seconds for one fetch, after which another peer or the store is asked."""
 
-MOST_BYTES = 16 << 20
-"""Most that is taken from a peer, packed."""
+MAX_SNAPSHOT_BYTES = 16 << 20
+"""Largest compressed snapshot that is accepted from a peer."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -29,30 +30,38 @@
     """What a VM knows."""
 
     current: configuration.Configuration | None
-    """The configuration in force there."""
+    """The configuration in force on that VM; None if it has none."""
 
     position: int
-    """Up to where the targets' entries were read; negative where none were."""
+    """Position up to which the targets' entries were read; negative if none were."""
 
-    heard_at: float
-    """When that VM last read them or heard of them, in the clock of the receiver."""
+    received_at: float
+    """When that VM last read or received target entries, by the receiver's clock."""
 
     entries: tuple[targets.Entry, ...]
     """The targets."""
 
 
 async def serve(
-    host: str, port: int, take: collections.abc.Callable[[], Snapshot]
+    host: str, port: int, make_snapshot: collections.abc.Callable[[], Snapshot]
 ) -> None:
-    """Serve what this VM knows until cancelled."""
+    """Send a snapshot to each VM that connects, until cancelled.
+
+    Parameters
+    ----------
+    host, port : str, int
+        Address to listen at, over TCP.
+    make_snapshot : callable
+        Returns what this VM knows.
+    """
 
     async def _answer(stream: anyio.abc.SocketStream) -> None:
         async with stream:
-            with anyio.move_on_after(FETCH_TIMEOUT):
+            with anyio.move_on_after(FETCH_TIMEOUT_S):
                 try:
-                    await stream.send(encode(take(), anyio.current_time()))
+                    await stream.send(encode(make_snapshot(), anyio.current_time()))
                 except anyio.BrokenResourceError:
-                    return  # The peer gave up; it will ask somebody else.
+                    return  # The peer closed the connection; it will ask another VM.
 
     async with await anyio.create_tcp_listener(
         local_host=host, local_port=port
@@ -61,51 +70,65 @@
 
 
 async def fetch(host: str, port: int) -> Snapshot | None:
-    """Return what a peer knows, or None where it tells nothing in time."""
+    """Return the snapshot of a peer.
+
+    Returns
+    -------
+    Snapshot or None
+        None if the peer can't be reached, does not answer in time, or sends a malformed
+        or too large snapshot.
+    """
     data = b""
-    asked_at = anyio.current_time()
+    requested_at = anyio.current_time()
     try:
-        with anyio.fail_after(FETCH_TIMEOUT):
+        with anyio.fail_after(FETCH_TIMEOUT_S):
             async with await anyio.connect_tcp(host, port) as stream:
                 async for part in stream:
                     data += part
-                    if len(data) > MOST_BYTES:
+                    if len(data) > MAX_SNAPSHOT_BYTES:
                         return None
-        # By the time of asking: the way of the answer counts as age.
-        return decode(data, asked_at)
+        # Ages count from the request, so that the time in transit is included.
+        return decode(data, requested_at)
     except (OSError, TimeoutError, anyio.BrokenResourceError, ValueError):
         return None
 
 
 def encode(snapshot: Snapshot, now: float) -> bytes:
-    """Return a snapshot as packed bytes."""
+    """Encode a snapshot as compressed bytes; `now` is the current time in seconds."""
     current = snapshot.current
     return configuration_codec.pack(
         [
             configuration_codec.encode(current) if current is not None else None,
             snapshot.position,
-            now - snapshot.heard_at,
-            [datagrams.pack_change(one, now) for one in snapshot.entries],
+            now - snapshot.received_at,
+            [datagrams.pack_change(entry, now) for entry in snapshot.entries],
         ]
     )
 
 
 def decode(data: bytes, now: float) -> Snapshot:
-    """Return the snapshot in packed bytes.
+    """Decode a snapshot from compressed bytes.
+
+    Parameters
+    ----------
+    data : bytes
+        Result of `encode`.
+    now : float
+        Time in seconds from which the ages in the snapshot count back.
 
     Raises
     ------
     ValueError
-        If there is none.
+        If the data is truncated or malformed.
     """
     try:
         current, position, age, rows = configuration_codec.unpack(data)  # type: ignore[misc]
-        entries = [datagrams.unpack_change(row, now) for row in rows]
+        changes = [datagrams.unpack_change(row, now) for row in rows]
         return Snapshot(
             configuration_codec.decode(current) if current is not None else None,
             int(position),
             now - max(0.0, float(age)),
-            tuple(one for one in entries if isinstance(one, targets.Entry)),
+            tuple(change for change in changes if isinstance(change, targets.Entry)),
         )
     except (TypeError, IndexError) as error:
-        raise ValueError(f"no snapshot: {error!r}") from error
+        raise ValueError(f"malformed snapshot: {error!r}") from error
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
@@ -1,6 +1,6 @@
-"""Keeps what this VM knows of configuration, targets and other VMs up to date.
+"""Keeps this VM's configuration, targets and list of other VMs up to date.
 
-Whoever cannot reach the store hears of configuration and targets from its peers.
+A VM that cannot reach the store gets configuration and targets from its peers.
 """
 
 from __future__ import annotations
@@ -33,41 +33,42 @@
     target_update_sender,
 )
 
-HOLD_AT_START = 1.0
-"""Seconds after its start for which a VM lets requests wait for what it lacks. Nearly
-always it is complete by then; later it refuses at once, since others may serve them."""
+START_WAIT_S = 1.0
+"""Seconds after its start for which a VM lets requests wait until it is complete, which
+it nearly always is by then. Later it refuses them at once, since other VMs may serve
+them."""
 
-HOLD_CHECK = 0.01
-"""Seconds between two looks by a request that waits so."""
+START_CHECK_INTERVAL_S = 0.01
+"""Seconds between two checks by a request that waits for the start to complete."""
 
 
 class KnowledgeKeeper:
-    """Reads from the store and from peers.
+    """Reads configuration, targets and members from the store and from peers.
 
     Parameters
     ----------
     store : ports.Store
         The platform's store.
-    knowledge : forwarder.RoutingState
-        What is kept up to date.
+    routing_state : forwarder.RoutingState
+        The configuration and targets that are kept up to date.
     fleet : members.Members
-        The VMs.
+        The VMs of the fleet.
     link : peer_link.PeerLink
-        Datagrams to them.
+        Sends datagrams to other VMs.
     log : log_lines.LogLines
-        Changes, and the store lost and regained.
+        Receives a line for each change, and for loss and return of the store.
     on_targets : callable
         Called after the targets changed.
     rng : random.Random
-        Spreads calls.
+        Jitter for calls, and choice of peers.
     resign : resignation.Resignation
-        Leaves tasks to others.
+        Leaves fleet-wide tasks to other VMs.
     """
 
     def __init__(
         self,
         store: ports.Store,
-        knowledge: forwarder.RoutingState,
+        routing_state: forwarder.RoutingState,
         fleet: members.Members,
         link: peer_link.PeerLink,
         log: log_lines.LogLines,
@@ -75,166 +76,190 @@
         rng: random.Random,
         resign: resignation.Resignation,
     ) -> None:
-        self._configured = knowledge.configuration_state
-        self._registry = knowledge.registry
+        self._configuration_state = routing_state.configuration_state
+        self._registry = routing_state.registry
         self._fleet = fleet
         self._link = link
         self._rng = rng
         self._resignation = resign
-        self._hold_until = anyio.current_time() + HOLD_AT_START
+        self._start_wait_end = anyio.current_time() + START_WAIT_S
         self._store = store
         self._broadcaster = broadcasting.Broadcaster(fleet, link)
-        self._record = target_record.TargetRecord(knowledge.registry, log, on_targets)
-        self._starter = start_fetcher.StartFetcher(
+        self._target_record = target_record.TargetRecord(
+            routing_state.registry, log, on_targets
+        )
+        self._start_fetcher = start_fetcher.StartFetcher(
             fleet, lambda: self.is_complete, self._fetch_from, rng
         )
-        self._build_followers(store, knowledge, log)
+        self._build_readers(store, routing_state, log)
 
-    def _build_followers(
+    def _build_readers(
         self,
         store: ports.Store,
-        knowledge: forwarder.RoutingState,
+        routing_state: forwarder.RoutingState,
         log: log_lines.LogLines,
     ) -> None:
-        """Build what reads the store, and what tells of it."""
+        """Build the readers of the store, and the sender of updates about targets."""
         fleet, link, rng = self._fleet, self._link, self._rng
         turn = reading_turn.ReadingTurn(fleet)
         start = start_turn.StartTurn(fleet, anyio.current_time())
-        self._configuration = configuration_keeper.ConfigurationKeeper(
+        self._configuration_keeper = configuration_keeper.ConfigurationKeeper(
             configuration_keeper.Source(store, turn, start, self._fetch_from),
-            knowledge,
+            routing_state,
             fleet,
             self._broadcaster,
             link,
             log,
             rng,
         )
-        self._teller = target_update_sender.TargetUpdateSender(
-            self._record,
+        self._update_sender = target_update_sender.TargetUpdateSender(
+            self._target_record,
             turn,
-            knowledge.configuration_state,
+            routing_state.configuration_state,
             self._broadcaster,
             fleet.own.vm,
-            self._configuration.has_recent_read,
+            self._configuration_keeper.has_recent_read,
         )
-        self._reader = target_reader.TargetReader(
+        self._target_reader = target_reader.TargetReader(
             target_reader.Source(store, turn, start),
-            self._record,
-            self._teller,
+            self._target_record,
+            self._update_sender,
             store_contact.StoreContact("targets", log, rng),
             log,
-            self._configuration,
+            self._configuration_keeper,
             self._resignation,
-            self._greet_near,
+            self._announce_complete,
         )
-        self._entry = fleet_entry.FleetEntry(
+        self._fleet_entry = fleet_entry.FleetEntry(
             store,
             fleet,
             link,
             turn,
             start,
             store_contact.StoreContact("members", log, rng),
-            self._read_era,
+            self._find_era,
             rng,
         )
 
     @property
     def is_complete(self) -> bool:
-        """Whether enough is known to serve requests."""
-        return self._configured.current is not None and self._record.is_complete
+        """Whether configuration and targets are known: requests can be served."""
+        return (
+            self._configuration_state.current is not None
+            and self._target_record.is_complete
+        )
 
-    def _read_era(self) -> int:
-        """Return the newest era of the store that this VM has seen or heard of."""
-        return max(self._store.era, positions.find_era(self._record.position))
+    def _find_era(self) -> int:
+        """Return the newest era of the store named by the store itself or by a peer."""
+        return max(self._store.era, positions.find_era(self._target_record.position))
 
     @property
     def position(self) -> int:
-        """Up to where the targets are known; negative where none are."""
-        return self._record.position
+        """Position up to which the targets are known; negative if none are."""
+        return self._target_record.position
 
     async def wait_at_start(self) -> None:
-        """Wait for what this VM lacks, if it has just started.
+        """Wait until this VM is complete, for at most `START_WAIT_S` after its start.
 
-        Load pattern: all VMs lose power and return within a moment. What each needs
-        comes within some tenths of a second; requests that came before it were refused.
+        Load pattern: all VMs lose power and start again at almost the same moment. Each
+        is complete within some tenths of a second; without this wait, requests that
+        arrive before that would be refused.
         """
-        while not self.is_complete and anyio.current_time() < self._hold_until:
-            await anyio.sleep(HOLD_CHECK)
+        while not self.is_complete and anyio.current_time() < self._start_wait_end:
+            await anyio.sleep(START_CHECK_INTERVAL_S)
 
     def make_snapshot(self) -> knowledge_exchange.Snapshot:
-        """Return what this VM knows, for one that lacks it."""
+        """Return what this VM knows, for a VM that lacks it."""
         return knowledge_exchange.Snapshot(
-            self._configured.current,
-            self._record.position,
-            self._record.heard_at,
+            self._configuration_state.current,
+            self._target_record.position,
+            self._target_record.received_at,
             tuple(self._registry.list_registered()),
         )
 
     async def run(self) -> None:
-        """Read until cancelled."""
+        """Keep everything up to date until cancelled."""
         async with anyio.create_task_group() as group:
-            group.start_soon(self._configuration.follow_store)
-            group.start_soon(self._reader.run)
-            group.start_soon(self._teller.run)
-            group.start_soon(self._configuration.catch_up)
-            group.start_soon(self._entry.run)
-            group.start_soon(self._starter.run)
+            group.start_soon(self._configuration_keeper.follow_store)
+            group.start_soon(self._target_reader.run)
+            group.start_soon(self._update_sender.run)
+            group.start_soon(self._configuration_keeper.catch_up)
+            group.start_soon(self._fleet_entry.run)
+            group.start_soon(self._start_fetcher.run)
 
     def compensate_suspension(self, seconds: float) -> None:
-        """Take in that the clock has not counted some time."""
-        self._record.compensate_suspension(seconds)
-        self._configuration.compensate_suspension(seconds)
-        self._reader.read_anew()
+        """Make the data older by the time that the clock did not count, and read again.
+
+        Parameters
+        ----------
+        seconds : float
+            How long the VM was suspended.
+        """
+        self._target_record.compensate_suspension(seconds)
+        self._configuration_keeper.compensate_suspension(seconds)
+        self._target_reader.restart_read()
 
-    def apply_target_update(self, news: datagrams.TargetUpdate) -> None:
-        """Take in what another VM has read."""
+    def apply_target_update(self, update: datagrams.TargetUpdate) -> None:
+        """Relay and apply an update about targets that another VM has sent."""
         now = anyio.current_time()
-        self._broadcaster.relay(news)
-        self.record_peer_version(news.vm, news.version)
-        self._record.apply_target_update(news, now)
+        self._broadcaster.relay(update)
+        self.record_peer_version(update.vm, update.version)
+        self._target_record.apply_target_update(update, now)
 
     def record_peer_position(self, vm: str, position: int) -> None:
-        """Take in up to where another VM knows the targets."""
+        """Record the position up to which another VM knows the targets.
+
+        Negative positions, of VMs that know none, are ignored.
+        """
         if position >= 0:
-            self._starter.note_holder(vm)
+            self._start_fetcher.record_complete_peer(vm)
 
-    def apply_configuration_update(
-        self, published: datagrams.ConfigurationUpdate
-    ) -> None:
-        """Take in a configuration that another VM has read.
+    def apply_configuration_update(self, update: datagrams.ConfigurationUpdate) -> None:
+        """Apply a configuration that another VM has read and sent.
 
         Raises
         ------
         ValueError
-            If there is none in it.
+            If the update holds no valid configuration.
         """
-        self._configuration.apply_configuration_update(published)
+        self._configuration_keeper.apply_configuration_update(update)
 
     def record_peer_version(self, vm: str, version: int) -> None:
-        """Take in which version another VM has."""
-        self._configuration.record_peer_version(vm, version)
+        """Record which version of the configuration another VM has."""
+        self._configuration_keeper.record_peer_version(vm, version)
 
     def apply_configuration(
         self, candidate: configuration.Configuration, source: str
     ) -> None:
-        """Take a configuration, if it is newer than the one in force."""
-        self._configuration.apply_configuration(candidate, source)
+        """Put a configuration in force if it is newer than the current one.
+
+        Parameters
+        ----------
+        candidate : configuration.Configuration
+            The configuration.
+        source : str
+            Where it comes from, for log lines.
+        """
+        self._configuration_keeper.apply_configuration(candidate, source)
 
     async def _fetch_from(self, vm: str) -> None:
-        """Take in what another VM knows and this one lacks."""
+        """Fetch a VM's snapshot and apply what this VM lacks."""
         member = self._fleet.find(vm)
         if member is None:
             return
-        found = await knowledge_exchange.fetch(member.host, member.port)
-        if found is None:
+        snapshot = await knowledge_exchange.fetch(member.host, member.port)
+        if snapshot is None:
             return
-        if found.current is not None:
-            self.apply_configuration(found.current, vm)
-        if not self._record.is_complete:
-            self._record.apply_snapshot(found, anyio.current_time(), vm)
+        if snapshot.current is not None:
+            self.apply_configuration(snapshot.current, vm)
+        if not self._target_record.is_complete:
+            self._target_record.apply_snapshot(snapshot, anyio.current_time(), vm)
 
-    def _greet_near(self) -> None:
-        """Tell the VMs nearby, which may start as well, that this one knows all."""
+    def _announce_complete(self) -> None:
+        """Notify the VMs of this data centre that this VM knows all targets.
+
+        They may be starting as well.
+        """
         own = self._fleet.own
         hello = datagrams.Hello(own, wants_answer=False, position=self.position)
         self._link.send_many(hello, self._fleet.list_in(own.data_centre))
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/ports.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/ports.py
@@ -1,4 +1,4 @@
-"""Outside systems as the edge sees them, each behind a Protocol type."""
+"""Protocol types for the external systems and collaborators that the edge uses."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 
 
 class StoreUnavailableError(Exception):
-    """The platform's store gave no usable answer; what was asked may have been done."""
+    """The store gave no usable answer; the call may have taken effect all the same."""
 
 
 class HistoryLostError(Exception):
-    """The records asked for are no longer kept: read the whole state instead."""
+    """The requested records are no longer kept: read the whole state instead."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationPage:
-    """What a read of the configuration found."""
+    """Result of a read of the configuration."""
 
     newest: configuration.Configuration | None
-    """The newest whole configuration on the page, if any is on it."""
+    """The newest valid configuration on the page; None if there is none."""
 
     position: int
-    """Where to read on."""
+    """Position from which to continue reading."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetPage:
-    """What a read of the targets found."""
+    """Result of a read of the targets."""
 
     changes: tuple[targets.Change, ...]
-    """Entries written and removed, in order."""
+    """Entries that were written or removed, in order."""
 
     position: int
-    """Where to read on."""
+    """Position from which to continue reading."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -51,20 +51,20 @@
     """Unique name."""
 
     data_centre: str
-    """Where it runs."""
+    """Data centre in which it runs."""
 
     host: str
-    """IP number."""
+    """IP address."""
 
     port: int
-    """Port for datagrams and, over TCP, for other VMs' questions."""
+    """Port for datagrams and, over TCP, for snapshot requests of other VMs."""
 
     incarnation: int
-    """Grows with each start of the process."""
+    """Increases with each start of the process."""
 
 
 class ConfigurationSource(typing.Protocol):
-    """Where operators publish the configuration."""
+    """Store to which operators publish the configuration."""
 
     async def read_configuration(self) -> ConfigurationPage:
         """Return the newest configuration."""
@@ -76,7 +76,7 @@
 
 
 class TargetSource(typing.Protocol):
-    """Where targets register themselves."""
+    """Store in which targets register themselves."""
 
     async def read_targets(self) -> TargetPage:
         """Return all targets."""
@@ -88,27 +88,27 @@
 
 
 class MemberDirectory(typing.Protocol):
-    """Where the VMs of the fleet find each other."""
+    """Directory by which the VMs of the fleet find each other."""
 
     @property
     def era(self) -> int:
-        """The newest era that was seen in an answer here."""
+        """The newest era of the store that an answer to this VM has named."""
         ...
 
     async def announce(self, member: Member) -> None:
-        """Enter this VM."""
+        """Write the entry of this VM."""
         ...
 
     async def read_members(self) -> tuple[Member, ...]:
-        """Return all VMs that ever entered, the newest entry of each."""
+        """Return the newest entry of each VM that has ever announced itself."""
         ...
 
 
 class Store(ConfigurationSource, TargetSource, MemberDirectory, typing.Protocol):
-    """All that the platform keeps for the fleet."""
+    """The platform's store, with all that it keeps for the fleet."""
 
     def use_address(self, host: str, port: int) -> None:
-        """Make calls there from now on."""
+        """Send all further calls to this address."""
         ...
 
     async def close(self) -> None:
@@ -117,43 +117,43 @@
 
 
 class SlotSource(typing.Protocol):
-    """Where requests get slots of targets."""
+    """Source of target slots for requests."""
 
     async def acquire(
         self, ask: messages.SlotRequest
     ) -> messages.Grant | messages.Refuse:
-        """Return a slot of a target, or why there is none."""
+        """Return a slot of a target, or the reason why none is granted."""
         ...
 
     def report(self, report: messages.Report) -> None:
-        """Give a slot back, and tell how the attempt went."""
+        """Release a slot and report the outcome of the attempt."""
         ...
 
 
 class SuspectRecord(typing.Protocol):
-    """What is known of requests that crash their targets."""
+    """Record of requests that crash their targets."""
 
     def find_hold_end(self, fingerprint: str, now: float) -> float | None:
-        """Return until when a request is kept from targets; None where it is not."""
+        """Return until when a request is held back; None if it may be sent now."""
         ...
 
     def begin_attempt(self, fingerprint: str, now: float) -> None:
-        """Take in that a request is about to be sent."""
+        """Record that a request is about to be sent."""
         ...
 
     def record_crash(
         self, fingerprint: str, target: targets.Entry, started_at: float
     ) -> None:
-        """Take in that a target crashed while it held a request."""
+        """Record that a target crashed while it was working on a request."""
         ...
 
     def record_answer(self, fingerprint: str) -> None:
-        """Take in that a target answered a request."""
+        """Record that a target answered a request."""
         ...
 
 
 class TargetExchange(typing.Protocol):
-    """Connections to targets."""
+    """Sends requests over connections to targets."""
 
     async def attempt(
         self,
@@ -164,10 +164,10 @@
     ) -> target_client.Attempt:
         """Send a request to one target and return how it ended.
 
-        `mark_sent` is called just before the first byte is handed to a connection.
+        `mark_sent` is called just before the first byte is written to a connection.
         """
         ...
 
     def list_connected_targets(self, work: services.Work, now: float) -> list[str]:
-        """Return the targets to which an idle connection may carry work."""
+        """Return the targets that have an idle connection usable for this work."""
         ...
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/reading_turn.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/reading_turn.py
@@ -1,4 +1,4 @@
-"""Whose turn it is to read the store for all."""
+"""Decides which VM reads the store on behalf of the whole fleet."""
 
 from __future__ import annotations
 
@@ -6,32 +6,34 @@
 
 from . import members
 
-SILENCE = 0.7
-"""Seconds without news after which a VM reads for itself: two tellings missed."""
+UPDATE_TIMEOUT_S = 0.7
+"""Seconds without an update after which a VM reads the store itself: two updates in a
+row were missed."""
 
-SILENCE_STEP = 0.08
-"""Seconds by which each further VM in rank waits longer, so that the next one becomes
+RANK_DELAY_S = 0.08
+"""Extra seconds of waiting for each further rank, so that the next VM in rank becomes
 the reader before all the others start to read."""
 
 MAX_DELAYED_RANKS = 5
-"""Ranks that wait longer; beyond them the bound on leaving targets would be at risk."""
+"""Ranks that wait longer than the one before them. With more, the time limit for taking
+leaving targets out of use would be at risk."""
 
-JOIN_PAUSE = 0.5
-"""Seconds after this VM has read who is there from which it may become the reader.
-Before, it has heard of nobody and would take itself for the first in rank, as every
-other VM of a fleet that starts does."""
+JOIN_DELAY_S = 0.5
+"""Seconds after this VM has read the list of members before it may become the reader.
+Earlier, it has received nothing from the others and would rank itself first, as would
+every other VM of a fleet that is starting."""
 
 READER_TASK = "read the store"
-"""Name of the task of reading for all."""
+"""Name of the fleet-wide task of reading the store, by which VMs are ranked."""
 
 
 class ReadingTurn:
-    """Tells whether this VM reads for all, or must read for itself.
+    """Decides whether this VM reads for the fleet, or for itself.
 
     Parameters
     ----------
     fleet : members.Members
-        The VMs.
+        The VMs of the fleet.
     """
 
     def __init__(self, fleet: members.Members) -> None:
@@ -39,32 +41,48 @@
         self._joined_at = math.inf
 
     def join(self, now: float, is_alone: bool) -> None:
-        """Take in that this VM has read who is there."""
-        # Alone, there is nobody to hear of: it reads at once.
-        self._joined_at = now + (0.0 if is_alone else JOIN_PAUSE)
+        """Record that this VM has read the list of members.
+
+        Parameters
+        ----------
+        now : float
+            Current time in seconds.
+        is_alone : bool
+            Whether there is no other VM in the list.
+        """
+        # Without other VMs there are no heartbeats to wait for: it reads at once.
+        self._joined_at = now + (0.0 if is_alone else JOIN_DELAY_S)
 
     def is_first(self, now: float) -> bool:
         """Return whether this VM ranks first."""
         return self._rank(now) == 0
 
     def is_reader(self, now: float) -> bool:
-        """Return whether this VM reads for all: it ranks first and has entered."""
+        """Return whether this VM reads for the fleet: it ranks first and has joined."""
         return now >= self._joined_at and self.is_first(now)
 
     def is_among_first(self, now: float) -> bool:
-        """Return whether this VM is one of those that would read next."""
+        """Return whether this VM is the reader or one of the next in rank."""
         return self._rank(now) <= MAX_DELAYED_RANKS
 
-    def is_due(self, now: float, heard_at: float) -> bool:
-        """Return whether to read, with the last news heard at that time."""
+    def is_due(self, now: float, received_at: float) -> bool:
+        """Return whether this VM should read the store now.
+
+        Parameters
+        ----------
+        now : float
+            Current time in seconds.
+        received_at : float
+            When the last update about targets was received, in seconds.
+        """
         rank = self._rank(now)
         if rank == 0 and now >= self._joined_at:
             return True
         steps = min(max(0, rank - 1), MAX_DELAYED_RANKS)
-        return now - heard_at > SILENCE + SILENCE_STEP * steps
+        return now - received_at > UPDATE_TIMEOUT_S + RANK_DELAY_S * steps
 
     def suspect_reader(self, now: float) -> None:
-        """Take in that the VM that ranks first has told nothing for too long."""
+        """Mark the VM that ranks first as suspect, since its updates are overdue."""
         reader = self._fleet.rank(READER_TASK, now, 1)
         if reader and reader[0] != self._fleet.own.vm:
             self._fleet.suspect(reader[0], now)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/start_fetcher.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/start_fetcher.py
@@ -1,4 +1,4 @@
-"""Gets a VM that has just started what it lacks, from peers that know it."""
+"""Fetches what a newly started VM lacks from peers that have complete data."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 
 from . import members
 
-CHECK_PAUSE = 0.02
-"""Seconds between two looks for a peer that knows all."""
+CHECK_INTERVAL_S = 0.02
+"""Seconds between two checks for a peer that has complete data."""
 
-SPREAD = 0.06
-"""Seconds over which VMs that start together ask: the first that knows all would
-otherwise be asked by all others in the same moment."""
+MAX_JITTER_S = 0.06
+"""Seconds over which the fetches of VMs that start together are spread: otherwise all
+of them would ask the first complete VM at the same moment."""
 
 
 class StartFetcher:
-    """Asks peers until this VM knows enough to serve.
+    """Fetches data from peers until this VM has enough to serve requests.
 
     Parameters
     ----------
     fleet : members.Members
-        The VMs.
+        The VMs of the fleet.
     is_complete : callable
-        Returns whether nothing is lacking.
+        Returns whether this VM has all the data it needs.
     fetch : callable
-        Gets and takes in what a VM knows.
+        Fetches and applies the data of the VM that is named.
     rng : random.Random
-        Draws peers.
+        Chooses peers and draws the jitter.
     """
 
     def __init__(
@@ -43,36 +43,40 @@
         self._is_complete = is_complete
         self._fetch = fetch
         self._rng = rng
-        self._holders: set[str] = set()
+        self._complete_peers: set[str] = set()
 
-    def note_holder(self, vm: str) -> None:
-        """Take in that a VM knows all targets."""
+    def record_complete_peer(self, vm: str) -> None:
+        """Record that a VM knows all targets; ignored once this VM is complete."""
         if not self._is_complete():
-            self._holders.add(vm)
+            self._complete_peers.add(vm)
 
     async def run(self) -> None:
-        """Ask one peer after the other until nothing is lacking."""
+        """Ask one peer after the other until this VM is complete."""
         while not self._is_complete():
-            await anyio.sleep(CHECK_PAUSE)
-            vm = self._draw_holder()
+            await anyio.sleep(CHECK_INTERVAL_S)
+            vm = self._choose_peer()
             if vm is None:
                 continue
-            await anyio.sleep(self._rng.random() * SPREAD)
+            await anyio.sleep(self._rng.random() * MAX_JITTER_S)
             if not self._is_complete():
                 await self._fetch(vm)
-        self._holders.clear()
+        self._complete_peers.clear()
 
-    def _draw_holder(self) -> str | None:
-        """Return one that was not asked yet, of the own data centre if possible."""
-        place = self._fleet.own.data_centre
+    def _choose_peer(self) -> str | None:
+        """Return a complete peer that has not been asked since it was last recorded.
+
+        Peers in this VM's data centre are preferred. Returns None if there is no peer
+        left to ask.
+        """
+        data_centre = self._fleet.own.data_centre
         near = [
             vm
-            for vm in self._holders
-            if (member := self._fleet.find(vm)) and member.data_centre == place
+            for vm in self._complete_peers
+            if (member := self._fleet.find(vm)) and member.data_centre == data_centre
         ]
-        drawn = sorted(near or self._holders)
-        if not drawn:
+        candidates = sorted(near or self._complete_peers)
+        if not candidates:
             return None
-        vm = self._rng.choice(drawn)
-        self._holders.discard(vm)
+        vm = self._rng.choice(candidates)
+        self._complete_peers.discard(vm)
         return vm
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/start_turn.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/start_turn.py
@@ -1,8 +1,8 @@
-"""When a VM that knows nothing yet may read the store for itself.
+"""Decides when a VM that has no data yet may read the store itself.
 
-Load pattern: hundreds of VMs start within a moment, at the first start or after all of
-them have lost power. Each could read configuration and targets; a few in each data
-centre are enough, and the others get both from them.
+Load pattern: hundreds of VMs start at almost the same moment, on the first start or
+after a power failure of the whole fleet. Each could read configuration and targets from
+the store, but a few VMs in each data centre are enough: the others get both from them.
 """
 
 from __future__ import annotations
@@ -11,49 +11,57 @@
 
 from . import members, reading_turn
 
-FIRST_PAUSE = 0.06
-"""Seconds after the greetings that are left for answers: a peer that knows all is asked
-before the store."""
+ANSWER_DELAY_S = 0.06
+"""Seconds allowed for answers after the greetings were sent, so that a peer that has
+complete data is asked before the store."""
 
-STEP = 0.1
-"""Seconds by which each further VM in rank waits longer, enough for the one before it
-to read and to tell."""
+RANK_DELAY_S = 0.1
+"""Extra seconds of waiting for each further rank: enough for the VM before it to read
+the store and to notify the others."""
 
 MAX_DELAYED_RANKS = 8
-"""Ranks that wait longer. The wait is time in which a VM that nobody answers serves
-nothing."""
+"""Ranks that wait longer than the one before them. A VM that gets no answer serves no
+requests while it waits."""
 
-LONGEST = 1.2
-"""Seconds after the start of the process from which it reads whatever happens: those
-who are there cannot be found while the store takes no entry."""
+MAX_DELAY_S = 1.2
+"""Seconds after the start of the process from which the store is read in any case: the
+other VMs can't be found while the store accepts no membership entry."""
 
 
 class StartTurn:
-    """Tells whether this VM may read the store though it knows nothing.
+    """Decides whether this VM may read the store although it has no data yet.
 
     Parameters
     ----------
     fleet : members.Members
-        The VMs.
+        The VMs of the fleet.
     now : float
-        Seconds at the start of the process.
+        When the process started, in seconds.
     """
 
     def __init__(self, fleet: members.Members, now: float) -> None:
         self._fleet = fleet
         self._joined_at = math.inf
-        self._latest = now + LONGEST
+        self._latest_read_at = now + MAX_DELAY_S
 
     def join(self, now: float, is_alone: bool) -> None:
-        """Take in that this VM has read who is there, and greeted them."""
-        self._joined_at = now - FIRST_PAUSE if is_alone else now
+        """Record that this VM has read the list of members and greeted them.
+
+        Parameters
+        ----------
+        now : float
+            Current time in seconds.
+        is_alone : bool
+            Whether there is no other VM in the list, so that no answer is awaited.
+        """
+        self._joined_at = now - ANSWER_DELAY_S if is_alone else now
 
     def may_read(self, now: float) -> bool:
-        """Return whether to read the store."""
-        if now >= self._latest:
+        """Return whether this VM may read the store now."""
+        if now >= self._latest_read_at:
             return True
         steps = min(self._find_rank(now), MAX_DELAYED_RANKS)
-        return now >= self._joined_at + FIRST_PAUSE + STEP * steps
+        return now >= self._joined_at + ANSWER_DELAY_S + RANK_DELAY_S * steps
 
     def _find_rank(self, now: float) -> int:
         own = self._fleet.own
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/store_contact.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/store_contact.py
@@ -1,4 +1,4 @@
-"""Calls to the store, made again with growing pauses until one gets through."""
+"""Retry delays and log lines for calls to a store that may be unreachable."""
 
 from __future__ import annotations
 
@@ -8,53 +8,69 @@
 
 from . import log_lines, ports
 
-FIRST_PAUSE = 0.2
-"""Seconds before a failed call to the store is made again."""
+INITIAL_DELAY_S = 0.2
+"""Seconds before a failed call to the store is first retried."""
 
 MAX_DELAY_S = 1.0
-"""Most seconds between calls to a store that does not answer. Longer pauses would delay
-a new configuration after an outage beyond its bound of two seconds."""
+"""Longest delay, in seconds, between calls to a store that does not answer. A longer
+delay could push a new configuration past its limit of two seconds after an outage."""
 
-MOST_WHY = 120
-"""Characters of an error's text that go into a log line."""
+MAX_ERROR_CHARS = 120
+"""Characters of an error message that are kept in a log line."""
 
 
 class StoreContact:
-    """Whether one part of the knowledge can be read from the store.
+    """Tracks whether one kind of data can be read from the store.
 
     Parameters
     ----------
     part : str
-        What is read, in log lines.
+        What is read, as named in log lines.
     log : log_lines.LogLines
-        The store lost and regained, once each.
+        Receives one line when the store is lost and one when it is back.
     rng : random.Random
-        Spreads calls.
+        Jitter for the delays.
     """
 
     def __init__(self, part: str, log: log_lines.LogLines, rng: random.Random) -> None:
         self._part = part
         self._log = log
         self._rng = rng
-        self._pause = FIRST_PAUSE
+        self._delay = INITIAL_DELAY_S
         self._is_lost = False
 
     async def wait_after_failure(
-        self, error: ports.StoreUnavailableError, longest: float = MAX_DELAY_S
+        self, error: ports.StoreUnavailableError, max_delay: float = MAX_DELAY_S
     ) -> None:
-        """Take in that a call failed, and wait before the next one."""
+        """Record a failed call, then sleep until the next call may be made.
+
+        The delay doubles with each failure in a row and has a jitter of 50%.
+
+        Parameters
+        ----------
+        error : ports.StoreUnavailableError
+            Why the call failed.
+        max_delay : float
+            Upper limit of the delay before jitter, in seconds.
+        """
         if not self._is_lost:
             self._is_lost = True
-            why = str(error)[:MOST_WHY]
+            why = str(error)[:MAX_ERROR_CHARS]
             self._log.write("store_lost", part=self._part, why=why)
-        await anyio.sleep(self._pause * (0.5 + self._rng.random()))
-        self._pause = min(longest, 2 * self._pause)
+        await anyio.sleep(self._delay * (0.5 + self._rng.random()))
+        self._delay = min(max_delay, 2 * self._delay)
 
     def record_success(self) -> bool:
-        """Take in that a call got through; return whether the store was lost."""
+        """Record a successful call and reset the delay.
+
+        Returns
+        -------
+        bool
+            Whether the call before this one had failed.
+        """
         was_lost = self._is_lost
         self._is_lost = False
-        self._pause = FIRST_PAUSE
+        self._delay = INITIAL_DELAY_S
         if was_lost:
             self._log.write("store_back", part=self._part)
         return was_lost
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_reader.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_reader.py
@@ -1,7 +1,7 @@
-"""Reads the targets' entries from the store, for all VMs or for this one.
+"""Reads the targets' entries from the store, for the fleet or for this VM only.
 
-Entries change all the time, so one VM reads them and tells the others; a VM that hears
-nothing reads for itself.
+Entries change all the time, so one VM reads them and sends updates to the others. A VM
+that receives no updates reads the store itself.
 """
 
 from __future__ import annotations
@@ -23,64 +23,64 @@
     target_update_sender,
 )
 
-READ_WAIT = 0.4
+STORE_WAIT_S = 0.4
 """Seconds that a read of the targets' entries waits at the store for a change. A target
-that is leaving must get no new work two seconds after the store has taken that in. A
-longer wait would save calls, and notice a silent connection too late."""
+that is leaving must get no new work later than two seconds after the store has recorded
+that. A longer wait would save calls, but detect a silent connection too late."""
 
-READ_SLACK = 0.5
-"""Seconds after the wait at which a read of the targets' entries is given up: a slow
-store is still heard, and a silent connection is noticed in time."""
+READ_SLACK_S = 0.5
+"""Seconds after the end of the wait at which a read of the targets' entries times out:
+long enough for a slow store, and short enough to detect a silent connection in time."""
 
-READ_PAUSE = 0.25
-"""Least seconds between two reads of the targets' entries, however often they change:
-bounds the calls where targets write with every heartbeat."""
+MIN_READ_INTERVAL_S = 0.25
+"""Minimum seconds between two reads of the targets' entries, however often they change:
+limits the calls to the store when targets write an entry with every heartbeat."""
 
 MAX_STANDBY_DELAY_S = 3.0
-"""Most seconds between calls to a store that does not answer, for a VM that is not
-among the first to read for all."""
+"""Longest delay, in seconds, between calls to a store that does not answer, for a VM
+that is not among the first in rank for reading it."""
 
-CHECK_PAUSE = 0.1
-"""Seconds between two looks whether it is this VM's turn to read."""
+CHECK_INTERVAL_S = 0.1
+"""Seconds between two checks whether it is this VM's turn to read."""
 
-START_PAUSE = 0.02
-"""The same while nothing is known yet and no request can be served."""
+START_CHECK_INTERVAL_S = 0.02
+"""Like `CHECK_INTERVAL_S`, while no targets are known and no request can be served."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Source:
-    """Where the entries are read, and when."""
+    """The store to read, and what decides when it is read."""
 
     store: ports.TargetSource
-    """Where targets register themselves."""
+    """Store in which targets register themselves."""
 
     turn: reading_turn.ReadingTurn
-    """Whether it is this VM's turn."""
+    """Decides whether it is this VM's turn to read."""
 
     start: start_turn.StartTurn
-    """Whether this VM may read while it knows nothing yet."""
+    """Decides whether this VM may read while it has no targets yet."""
 
 
 class TargetReader:
-    """Reads the targets when it is this VM's turn, or when news stay away.
+    """Reads the targets if it is this VM's turn, or if it receives no updates.
 
     Parameters
     ----------
     source : Source
-        Where and when the entries are read.
+        The store to read, and what decides when it is read.
     record : target_record.TargetRecord
-        Takes in what was read.
-    teller : target_update_sender.TargetUpdateSender
-        Tells the others.
+        Applies what was read.
+    update_sender : target_update_sender.TargetUpdateSender
+        Sends updates to the other VMs.
     contact : store_contact.StoreContact
-        Paces calls while the store is lost.
+        Delays calls while the store does not answer.
     log : log_lines.LogLines
-        History lost.
+        Receives a line when the store no longer has the history that is needed.
     configuration : configuration_keeper.ConfigurationKeeper
-        Read along where this VM reads because it hears nothing, and read anew when the
-        store answers again after it was lost.
+        Read as well if this VM reads for lack of updates. Its wait at the store is
+        restarted when the store answers again after an outage.
     resignation : resignation.Resignation
-        Leaves the reading to others while this VM cannot reach the store.
+        Leaves the reading to other VMs while this one cannot reach the store.
     on_complete : callable
         Called when this VM has read all entries for the first time.
     """
@@ -89,7 +89,7 @@
         self,
         source: Source,
         record: target_record.TargetRecord,
-        teller: target_update_sender.TargetUpdateSender,
+        update_sender: target_update_sender.TargetUpdateSender,
         contact: store_contact.StoreContact,
         log: log_lines.LogLines,
         configuration: configuration_keeper.ConfigurationKeeper,
@@ -100,78 +100,85 @@
         self._turn = source.turn
         self._start = source.start
         self._record = record
-        self._teller = teller
+        self._update_sender = update_sender
         self._contact = contact
         self._log = log
         self._configuration = configuration
         self._resignation = resignation
         self._on_complete = on_complete
         self._wait_scope: anyio.CancelScope | None = None
-        self._is_read_anew = False
+        self._is_restarted = False
 
-    def read_anew(self) -> None:
-        """End the wait at the store, if there is one, and read at once."""
+    def restart_read(self) -> None:
+        """End the current wait at the store, if there is one, and read at once."""
         if self._wait_scope is not None:
-            self._is_read_anew = True
+            self._is_restarted = True
             self._wait_scope.cancel()
 
     async def run(self) -> None:
-        """Read until cancelled."""
+        """Read whenever it is due, until cancelled."""
         while True:
             now = anyio.current_time()
             if not self._is_due(now):
-                pause = CHECK_PAUSE if self._record.is_complete else START_PAUSE
-                await anyio.sleep(pause)
+                interval = (
+                    CHECK_INTERVAL_S
+                    if self._record.is_complete
+                    else START_CHECK_INTERVAL_S
+                )
+                await anyio.sleep(interval)
                 continue
             try:
-                has_news = await self._read_as_due(now)
+                has_changed = await self._read_as_due(now)
             except ports.StoreUnavailableError as error:
-                await self._pause_lost(error, now)
+                await self._wait_after_failure(error, now)
                 continue
             if self._contact.record_success():
-                self._configuration.read_anew()
+                self._configuration.restart_read()
             now = anyio.current_time()
-            self._record.heard_at = self._record.read_at = now
-            if has_news or self._teller.is_due(now):
-                self._teller.send()
-            await anyio.sleep(READ_PAUSE)
+            self._record.received_at = self._record.read_at = now
+            if has_changed or self._update_sender.is_due(now):
+                self._update_sender.send()
+            await anyio.sleep(MIN_READ_INTERVAL_S)
 
-    async def _pause_lost(self, error: ports.StoreUnavailableError, now: float) -> None:
-        """Leave reading for all to others, and wait before the next call.
+    async def _wait_after_failure(
+        self, error: ports.StoreUnavailableError, now: float
+    ) -> None:
+        """Leave reading for the fleet to other VMs, and wait before the next call.
 
-        Load pattern: the store is away for seconds. Hundreds of VMs that hear nothing
-        would each call it every second; the first few notice its return and tell.
+        Load pattern: the store is unreachable for seconds. Hundreds of VMs that receive
+        no updates would each call it every second. The first few in rank detect its
+        return soon and send updates, so the others call less often.
         """
         if self._turn.is_reader(now):
             self._resignation.resign(reading_turn.READER_TASK, "store unavailable")
-        is_next = self._turn.is_among_first(now)
-        longest = store_contact.MAX_DELAY_S if is_next else MAX_STANDBY_DELAY_S
+        is_among_first = self._turn.is_among_first(now)
+        max_delay = store_contact.MAX_DELAY_S if is_among_first else MAX_STANDBY_DELAY_S
         if not self._record.is_complete:
-            longest = store_contact.MAX_DELAY_S
-        await self._contact.wait_after_failure(error, longest)
+            max_delay = store_contact.MAX_DELAY_S
+        await self._contact.wait_after_failure(error, max_delay)
 
     async def _read_as_due(self, now: float) -> bool:
-        """Read the targets; return whether anything has changed.
+        """Read the targets; return whether any target changed.
 
-        Where this VM reads because it hears nothing, it is not told of versions of the
-        configuration either.
+        A VM that reads for lack of updates receives no notice of new versions of the
+        configuration either, so it reads the configuration too.
         """
         was_complete = self._record.is_complete
-        is_silence = was_complete and not self._turn.is_reader(now)
-        has_news = await self._read()
+        lacks_updates = was_complete and not self._turn.is_reader(now)
+        has_changed = await self._read()
         if not was_complete:
             self._on_complete()
-        if is_silence:
+        if lacks_updates:
             await self._configuration.read_now()
-        return has_news
+        return has_changed
 
     def _is_due(self, now: float) -> bool:
         if not self._record.is_complete:
             return self._start.may_read(now)
-        return self._turn.is_due(now, self._record.heard_at)
+        return self._turn.is_due(now, self._record.received_at)
 
     async def _read(self) -> bool:
-        """Read from the store; return whether anything has changed."""
+        """Read from the store; return whether any target changed."""
         if self._record.is_complete:
             self._turn.suspect_reader(anyio.current_time())
             try:
@@ -180,21 +187,21 @@
                 position = self._record.position
                 self._log.write("target_history_lost", position=position)
             else:
-                return self._record.take_changes(page, anyio.current_time())
+                return self._record.apply_changes(page, anyio.current_time())
         page = await self._store.read_targets()
-        return self._record.take_all(page, anyio.current_time())
+        return self._record.apply_listing(page, anyio.current_time())
 
     async def _read_changes(self) -> ports.TargetPage:
-        wait = READ_WAIT if self._turn.is_first(anyio.current_time()) else 0.0
+        wait = STORE_WAIT_S if self._turn.is_first(anyio.current_time()) else 0.0
         while True:
             try:
-                with anyio.move_on_after(wait + READ_SLACK) as self._wait_scope:
+                with anyio.move_on_after(wait + READ_SLACK_S) as self._wait_scope:
                     return await self._store.read_target_changes(
                         self._record.position, wait
                     )
             finally:
                 self._wait_scope = None
-            if not self._is_read_anew:
+            if not self._is_restarted:
                 raise ports.StoreUnavailableError("no answer in time")
-            self._is_read_anew = False
+            self._is_restarted = False
             wait = 0.0
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_record.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_record.py
@@ -1,4 +1,4 @@
-"""What this VM has taken in about the targets, and up to where."""
+"""State of the targets as known to this VM, and the changes that led to it."""
 
 from __future__ import annotations
 
@@ -11,39 +11,40 @@
 from . import datagrams, knowledge_exchange, log_lines, ports
 
 STORE = "store"
-"""Source of what was read from the store, in log lines."""
+"""Source, in log lines, of what was read from the store."""
 
-FRESH_FOR = 0.8
-"""Seconds since a peer last heard of the targets within which its knowledge is taken:
-one that hears nothing for longer reads the store itself."""
+MAX_SNAPSHOT_AGE_S = 0.8
+"""Seconds since a peer's last update of its targets within which its snapshot is
+accepted. A peer without updates for longer reads the store itself."""
 
-KEEP_RECENT = 5.0
-"""Seconds for which changes are kept for telling: longer than they are told again."""
+CHANGE_RETENTION_S = 5.0
+"""Seconds for which changes are kept so that they can be sent to other VMs. This is
+longer than the time for which their sending is repeated."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Step:
-    """Where the record stood at some moment."""
+class _Checkpoint:
+    """State of the record at one moment."""
 
     at: float
-    """When it came to stand there."""
+    """When the record reached this state, in seconds."""
 
     position: int
-    """Up to where the entries were known."""
+    """Position in the store up to which the entries were known."""
 
-    noted: int
-    """Changes noted until then."""
+    change_count: int
+    """Number of changes recorded until then."""
 
 
 class TargetRecord:
-    """Takes changes into the registry and keeps the recent ones for telling.
+    """Applies changes to the registry and keeps recent ones for sending to other VMs.
 
     Parameters
     ----------
     registry : targets.Registry
         The targets.
     log : log_lines.LogLines
-        Changes.
+        Receives a line for each change.
     on_targets : callable
         Called after the targets changed.
     """
@@ -57,103 +58,147 @@
         self._registry = registry
         self._log = log
         self._on_targets = on_targets
-        self._noted = 0
-        self._recent: collections.deque[tuple[int, targets.Change]] = (
+        self._change_count = 0
+        self._recent_changes: collections.deque[tuple[int, targets.Change]] = (
             collections.deque()
         )
-        self._steps: collections.deque[_Step] = collections.deque([_Step(0.0, -1, 0)])
+        self._checkpoints: collections.deque[_Checkpoint] = collections.deque(
+            [_Checkpoint(0.0, -1, 0)]
+        )
         self.position = -1
-        self.heard_at = 0.0
+        self.received_at = 0.0
         self.read_at = 0.0
 
     @property
     def is_complete(self) -> bool:
-        """Whether all targets were read at least once."""
+        """Whether the full list of targets was read or received at least once."""
         return self.position >= 0
 
-    def apply_target_update(self, news: datagrams.TargetUpdate, now: float) -> None:
-        """Take in what another VM has read."""
-        if not self.is_complete or news.since > self.position:
-            return  # Something between is missing: read it from the store.
-        self.heard_at = now
-        self.position = max(self.position, news.position)
-        self._note_changes(self._registry.apply(news.changes, now), news.vm)
-        self._step(now)
-
-    def take_changes(self, page: ports.TargetPage, now: float) -> bool:
-        """Take in what has changed at the store; return whether that is news."""
+    def apply_target_update(self, update: datagrams.TargetUpdate, now: float) -> None:
+        """Apply the changes that another VM has read and sent.
+
+        The update is ignored if this VM has no full list yet, or lacks changes before
+        the first one in the update.
+        """
+        if not self.is_complete or update.since > self.position:
+            return  # Changes in between are missing: they are read from the store.
+        self.received_at = now
+        self.position = max(self.position, update.position)
+        self._record_changes(self._registry.apply(update.changes, now), update.vm)
+        self._add_checkpoint(now)
+
+    def apply_changes(self, page: ports.TargetPage, now: float) -> bool:
+        """Apply changes read from the store; return whether any target changed."""
         self.position = page.position
-        news = self._registry.apply(page.changes, now)
-        self._note_changes(news, STORE)
-        self._step(now)
-        return bool(news)
+        changes = self._registry.apply(page.changes, now)
+        self._record_changes(changes, STORE)
+        self._add_checkpoint(now)
+        return bool(changes)
 
-    def take_all(self, page: ports.TargetPage, now: float) -> bool:
-        """Take in all that the store holds; return whether that is news."""
+    def apply_listing(self, page: ports.TargetPage, now: float) -> bool:
+        """Apply a full list read from the store; return whether any target changed."""
         entries = [one for one in page.changes if isinstance(one, targets.Entry)]
-        news = self._registry.replace(entries, page.position, now)
+        changes = self._registry.replace(entries, page.position, now)
         was_complete = self.is_complete
         self.position = page.position
-        self._note_changes(news, STORE)
+        self._record_changes(changes, STORE)
         if was_complete:
-            # What differs from the former listing is told like any change.
-            self._step(now)
+            # Differences from the former list are sent to other VMs like any change.
+            self._add_checkpoint(now)
         else:
-            self._start_anew(now)
-        return bool(news)
+            self._restart_checkpoints(now)
+        return bool(changes)
 
     def apply_snapshot(
         self, snapshot: knowledge_exchange.Snapshot, now: float, vm: str
     ) -> bool:
-        """Take in all that a peer knows, if it is up to date; return whether it was."""
-        if snapshot.position < 0 or now - snapshot.heard_at > FRESH_FOR:
+        """Apply the targets in a peer's snapshot if it is recent enough.
+
+        Parameters
+        ----------
+        snapshot : knowledge_exchange.Snapshot
+            What the peer knows.
+        now : float
+            Current time in seconds.
+        vm : str
+            Name of the peer, for log lines.
+
+        Returns
+        -------
+        bool
+            Whether the snapshot was complete and recent enough, and thus was applied.
+        """
+        if snapshot.position < 0 or now - snapshot.received_at > MAX_SNAPSHOT_AGE_S:
             return False
-        news = self._registry.replace(snapshot.entries, snapshot.position, now)
+        changes = self._registry.replace(snapshot.entries, snapshot.position, now)
         self.position = snapshot.position
-        self.heard_at = snapshot.heard_at
-        self._note_changes(news, vm)
-        self._start_anew(now)
+        self.received_at = snapshot.received_at
+        self._record_changes(changes, vm)
+        self._restart_checkpoints(now)
         return True
 
     def compensate_suspension(self, seconds: float) -> None:
-        """Take in that the clock has not counted some time: all is older."""
-        self.heard_at -= seconds
+        """Make the data older by the time that the clock did not count.
+
+        Parameters
+        ----------
+        seconds : float
+            How long the VM was suspended.
+        """
+        self.received_at -= seconds
         self.read_at -= seconds
 
     def list_since(self, since: float) -> tuple[int, tuple[targets.Change, ...]]:
-        """Return where this VM stood then, and the changes that it took in after that.
+        """Return the position known at a time, and the changes recorded after it.
+
+        Changes are listed whether this VM or another one read them. So a VM that has
+        just become the reader leaves no gap for those that received the updates of the
+        former reader.
 
-        They are told from there on, whoever read them, so that a VM that has just
-        become the reader leaves no gap for those who heard the former one.
+        Parameters
+        ----------
+        since : float
+            The time in seconds.
         """
-        step = self._steps[0]
-        for one in self._steps:
-            if one.at > since:
+        latest = self._checkpoints[0]
+        for checkpoint in self._checkpoints:
+            if checkpoint.at > since:
                 break
-            step = one
-        changes = [change for number, change in self._recent if number > step.noted]
-        return step.position, tuple(changes)
-
-    def _step(self, now: float) -> None:
-        """Note where the record stands, and forget what is told no more.
-
-        Here and not when telling: a VM that never tells would keep it all.
+            latest = checkpoint
+        changes = [
+            change
+            for number, change in self._recent_changes
+            if number > latest.change_count
+        ]
+        return latest.position, tuple(changes)
+
+    def _add_checkpoint(self, now: float) -> None:
+        """Record the current state, and drop changes past the retention period.
+
+        They are dropped here and not when updates are sent, since a VM that never sends
+        updates would otherwise keep all changes.
         """
-        self._steps.append(_Step(now, self.position, self._noted))
-        while len(self._steps) > 1 and self._steps[0].at < now - KEEP_RECENT:
-            self._steps.popleft()
-        while self._recent and self._recent[0][0] <= self._steps[0].noted:
-            self._recent.popleft()
-
-    def _start_anew(self, now: float) -> None:
-        """Begin to tell from here on: a whole listing is not told again."""
-        self._steps.clear()
-        self._step(now)
-
-    def _note_changes(self, news: list[targets.Change], source: str) -> None:
-        for change in news:
-            self._noted += 1
-            self._recent.append((self._noted, change))
+        self._checkpoints.append(_Checkpoint(now, self.position, self._change_count))
+        while (
+            len(self._checkpoints) > 1
+            and self._checkpoints[0].at < now - CHANGE_RETENTION_S
+        ):
+            self._checkpoints.popleft()
+        while (
+            self._recent_changes
+            and self._recent_changes[0][0] <= self._checkpoints[0].change_count
+        ):
+            self._recent_changes.popleft()
+
+    def _restart_checkpoints(self, now: float) -> None:
+        """Drop older checkpoints, so that a full list is not sent on as changes."""
+        self._checkpoints.clear()
+        self._add_checkpoint(now)
+
+    def _record_changes(self, changes: list[targets.Change], source: str) -> None:
+        for change in changes:
+            self._change_count += 1
+            self._recent_changes.append((self._change_count, change))
             phase = (
                 "gone" if isinstance(change, targets.Removal) else change.phase.value
             )
@@ -164,5 +209,5 @@
                 position=change.position,
                 source=source,
             )
-        if news:
+        if changes:
             self._on_targets()
--- a/tests/edge/test_configuration_keeper.py
+++ b/tests/edge/test_configuration_keeper.py
@@ -113,9 +113,9 @@
             await anyio.sleep_forever()
 
         monkeypatch.setattr(store, "wait_configuration", hang)
-        await anyio.sleep(configuration_keeper.CONFIGURATION_WAIT)
+        await anyio.sleep(configuration_keeper.STORE_WAIT_S)
         site.publish([edge_site.make_route("/new/")])
-        await anyio.sleep(configuration_keeper.READ_SLACK)
+        await anyio.sleep(configuration_keeper.READ_SLACK_S)
         await wait_in_force(site, vms)
 
 
@@ -131,9 +131,9 @@
             await anyio.sleep_forever()
 
         monkeypatch.setattr(vm.daemon._store, "wait_configuration", hang)
-        await anyio.sleep(configuration_keeper.CONFIGURATION_WAIT + 0.2)
+        await anyio.sleep(configuration_keeper.STORE_WAIT_S + 0.2)
         site.publish([edge_site.make_route("/new/")])
-        vm.daemon._keeper._configuration.read_anew()
+        vm.daemon._keeper._configuration_keeper.restart_read()
         await edge_site.wait_until(lambda: have_version([vm], site.version), 0.3)
         assert "store_lost" not in [line["event"] for line in vm.read_log()]
 
@@ -141,7 +141,7 @@
 async def test_version_that_does_not_fit_a_push_is_in_force_in_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(configuration_keeper, "MOST_PUSHED", 10)
+    monkeypatch.setattr(configuration_keeper, "MAX_PUSHED_BYTES", 10)
     async with edge_site.run_site() as site:
         vms = await start_settled(site)
         site.publish([edge_site.make_route("/new/")])
@@ -152,7 +152,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Neither a push nor the store: a peer that has it is asked.
-    monkeypatch.setattr(configuration_keeper, "MOST_PUSHED", 10)
+    monkeypatch.setattr(configuration_keeper, "MAX_PUSHED_BYTES", 10)
     async with edge_site.run_site() as site:
         vms = await start_settled(site)
         reader = find_reader(vms)
--- a/tests/edge/test_reading_turn.py
+++ b/tests/edge/test_reading_turn.py
@@ -1,4 +1,4 @@
-"""Whose turn it is to read for all, and when others read for themselves."""
+"""Which VM reads the store for the fleet, and when others read for themselves."""
 
 from __future__ import annotations
 
@@ -22,32 +22,32 @@
     ]
 
 
-def test_one_of_all_reads_while_news_come() -> None:
+def test_exactly_one_vm_reads_while_updates_arrive() -> None:
     turns = make_turns()
     for turn in turns:
         turn.join(0.0, is_alone=False)
     assert sum(turn.is_first(SETTLED) for turn in turns) == 1
-    assert sum(turn.is_due(SETTLED, heard_at=SETTLED) for turn in turns) == 1
+    assert sum(turn.is_due(SETTLED, received_at=SETTLED) for turn in turns) == 1
 
 
-def test_the_next_in_rank_reads_before_the_others_when_news_stay_away() -> None:
+def test_next_in_rank_reads_before_the_others_when_updates_stop() -> None:
     turns = [turn for turn in make_turns() if not turn.is_first(SETTLED)]
-    silent = reading_turn.SILENCE + reading_turn.SILENCE_STEP / 2
+    silent = reading_turn.UPDATE_TIMEOUT_S + reading_turn.RANK_DELAY_S / 2
     assert sum(turn.is_due(SETTLED, SETTLED - silent) for turn in turns) == 1
-    longest = reading_turn.SILENCE_STEP * reading_turn.MAX_DELAYED_RANKS
-    silent = reading_turn.SILENCE + longest + 0.01
+    longest = reading_turn.RANK_DELAY_S * reading_turn.MAX_DELAYED_RANKS
+    silent = reading_turn.UPDATE_TIMEOUT_S + longest + 0.01
     assert all(turn.is_due(SETTLED, SETTLED - silent) for turn in turns)
 
 
-def test_vm_that_has_heard_of_nobody_yet_is_not_the_reader() -> None:
+def test_vm_is_not_the_reader_before_it_could_receive_heartbeats() -> None:
     turn = make_turn("own", ())
-    assert not turn.is_due(1.0, heard_at=1.0)
+    assert not turn.is_due(1.0, received_at=1.0)
     turn.join(1.0, is_alone=False)
-    assert not turn.is_due(1.0, heard_at=1.0)
-    assert turn.is_due(1.0 + reading_turn.JOIN_PAUSE, heard_at=1.0)
+    assert not turn.is_due(1.0, received_at=1.0)
+    assert turn.is_due(1.0 + reading_turn.JOIN_DELAY_S, received_at=1.0)
 
 
 def test_vm_that_is_alone_reads_at_once() -> None:
     turn = make_turn("own", ())
     turn.join(1.0, is_alone=True)
-    assert turn.is_due(1.0, heard_at=1.0)
+    assert turn.is_due(1.0, received_at=1.0)
--- a/tests/edge/test_start.py
+++ b/tests/edge/test_start.py
@@ -22,7 +22,7 @@
 
 pytestmark = pytest.mark.anyio
 
-MOST_STEPS_TIME = start_turn.STEP * start_turn.MAX_DELAYED_RANKS
+MAX_RANK_DELAY_S = start_turn.RANK_DELAY_S * start_turn.MAX_DELAYED_RANKS
 
 
 def make_member(name: str) -> ports.Member:
@@ -44,10 +44,10 @@
     starts = [
         make_start(own, tuple(name for name in names if name != own)) for own in names
     ]
-    soon = start_turn.FIRST_PAUSE + 2.5 * start_turn.STEP
+    soon = start_turn.ANSWER_DELAY_S + 2.5 * start_turn.RANK_DELAY_S
     assert sum(start.may_read(0.0) for start in starts) == 0
     assert sum(start.may_read(soon) for start in starts) == 3
-    latest = start_turn.FIRST_PAUSE + MOST_STEPS_TIME + 0.01
+    latest = start_turn.ANSWER_DELAY_S + MAX_RANK_DELAY_S + 0.01
     assert all(start.may_read(latest) for start in starts)
 
 
@@ -55,8 +55,8 @@
     assert make_start("own", ()).may_read(0.0)
     fleet = members.Members(make_member("own"), 0.0)
     start = start_turn.StartTurn(fleet, 0.0)
-    assert not start.may_read(start_turn.LONGEST - 0.1)
-    assert start.may_read(start_turn.LONGEST)
+    assert not start.may_read(start_turn.MAX_DELAY_S - 0.1)
+    assert start.may_read(start_turn.MAX_DELAY_S)
 
 
 async def test_joining_vm_asks_the_store_only_to_enter() -> None:
@@ -117,7 +117,7 @@
     async with edge_site.run_site() as site:
         site.store.fault = topic_store.Fault.BUSY
         vm = await site.start_vm("vm-1")
-        await anyio.sleep(knowledge_keeper.HOLD_AT_START)
+        await anyio.sleep(knowledge_keeper.START_WAIT_S)
         with anyio.fail_after(0.3):
             assert (await edge_site.call(vm)).status_code == 503
 
@@ -150,7 +150,9 @@
     os.close(reader)
     log = log_lines.LogLines("vm-1", writer)
     record = target_record.TargetRecord(targets.Registry(), log, lambda: None)
-    old = knowledge_exchange.Snapshot(None, 5, -2 * target_record.FRESH_FOR, ())
+    old = knowledge_exchange.Snapshot(
+        None, 5, -2 * target_record.MAX_SNAPSHOT_AGE_S, ()
+    )
     assert not record.apply_snapshot(old, 0.0, "vm-2")
     assert not record.is_complete
     unread = knowledge_exchange.Snapshot(None, -1, 0.0, ())
@@ -164,7 +166,7 @@
     snapshot = knowledge_exchange.Snapshot(None, 5, 9.5, ())
     data = knowledge_exchange.encode(snapshot, 10.0)
     found = knowledge_exchange.decode(data, 20.0)
-    assert (found.position, found.heard_at) == (5, 19.5)
+    assert (found.position, found.received_at) == (5, 19.5)
     for end in range(len(data)):
         with pytest.raises(ValueError, match="no"):
             knowledge_exchange.decode(data[:end], 20.0)
--- a/tests/edge/test_store_contact.py
+++ b/tests/edge/test_store_contact.py
@@ -1,4 +1,4 @@
-"""The store lost and regained is told once each, and asked again soon."""
+"""Loss and return of the store are logged once each, and retries stay frequent."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_an_outage_is_told_once_and_its_end_too(
+async def test_start_and_end_of_an_outage_are_logged_once_each(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(store_contact, "FIRST_PAUSE", 0.001)
+    monkeypatch.setattr(store_contact, "INITIAL_DELAY_S", 0.001)
     reader, writer = os.pipe()
     log = log_lines.LogLines("vm-1", writer)
     contact = store_contact.StoreContact("targets", log, random.Random(1))
@@ -29,28 +29,28 @@
     lines = os.read(reader, 10_000)
     assert lines.count(b'"store_lost"') == 1
     assert lines.count(b'"store_back"') == 1
-    assert lines.count(b"x") == store_contact.MOST_WHY
+    assert lines.count(b"x") == store_contact.MAX_ERROR_CHARS
 
 
-async def test_pauses_grow_to_a_bound_and_begin_anew_after_an_answer(
+async def test_retry_delay_grows_to_its_maximum_and_is_reset_by_a_success(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # A new configuration must be in force two seconds after an outage: no pause may
-    # come near that, however long the outage was.
-    paused: list[float] = []
+    # A new configuration must be in force within two seconds after an outage, so no
+    # delay may come near that, however long the outage was.
+    delays: list[float] = []
 
-    async def note_pause(seconds: float) -> None:
-        paused.append(seconds)
+    async def record_sleep(seconds: float) -> None:
+        delays.append(seconds)
 
-    monkeypatch.setattr(anyio, "sleep", note_pause)
+    monkeypatch.setattr(anyio, "sleep", record_sleep)
     _, writer = os.pipe()
     log = log_lines.LogLines("vm-1", writer)
     contact = store_contact.StoreContact("targets", log, random.Random(1))
     error = ports.StoreUnavailableError("down")
     for _ in range(20):
         await contact.wait_after_failure(error)
-    assert max(paused) <= 1.5 * store_contact.MAX_DELAY_S
-    assert min(paused[5:]) >= 0.5 * store_contact.MAX_DELAY_S
+    assert max(delays) <= 1.5 * store_contact.MAX_DELAY_S
+    assert min(delays[5:]) >= 0.5 * store_contact.MAX_DELAY_S
     contact.record_success()
     await contact.wait_after_failure(error)
-    assert paused[-1] <= 1.5 * store_contact.FIRST_PAUSE
+    assert delays[-1] <= 1.5 * store_contact.INITIAL_DELAY_S
