--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_codec.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_codec.py
@@ -45,8 +45,8 @@
     """Convert a configuration to plain values; the inverse of `decode`."""
     routes = [_pack_route(route) for route in current.routes]
     service_rows = [
-        [service.name, service.health_path, service.max_connections]
-        for service in current.services
+        [settings.name, settings.health_path, settings.max_connections]
+        for settings in current.services
     ]
     limits = current.limits
     limit_fields = [
@@ -103,5 +103,5 @@
         objective,
         attempts,
         priority,
-        tuple(configuration.WeightedService(*row) for row in rows),
+        tuple(configuration.WeightedService(*weighted) for weighted in rows),
     )
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
@@ -214,7 +214,9 @@
         if position >= 0:
             self._start_fetcher.record_complete_peer(vm)
 
-    def apply_configuration_update(self, update: datagrams.ConfigurationUpdate) -> None:
+    def apply_configuration_update(
+        self, configuration_update: datagrams.ConfigurationUpdate
+    ) -> None:
         """Apply a configuration that another VM has read and sent.
 
         Raises
@@ -222,7 +224,7 @@
         ValueError
             If the update holds no valid configuration.
         """
-        self._configuration_keeper.apply_configuration_update(update)
+        self._configuration_keeper.apply_configuration_update(configuration_update)
 
     def record_peer_version(self, vm: str, version: int) -> None:
         """Record which version of the configuration another VM has."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/start_fetcher.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/start_fetcher.py
@@ -68,11 +68,12 @@
         Peers in this VM's data centre are preferred. Returns None if there is no peer
         left to ask.
         """
-        data_centre = self._fleet.own.data_centre
+        own_data_centre = self._fleet.own.data_centre
         near = [
             vm
             for vm in self._complete_peers
-            if (member := self._fleet.find(vm)) and member.data_centre == data_centre
+            if (member := self._fleet.find(vm))
+            and member.data_centre == own_data_centre
         ]
         candidates = sorted(near or self._complete_peers)
         if not candidates:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_reader.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_reader.py
@@ -151,8 +151,10 @@
         """
         if self._turn.is_reader(now):
             self._resignation.resign(reading_turn.READER_TASK, "store unavailable")
-        is_among_first = self._turn.is_among_first(now)
-        max_delay = store_contact.MAX_DELAY_S if is_among_first else MAX_STANDBY_DELAY_S
+        is_in_first_ranks = self._turn.is_among_first(now)
+        max_delay = (
+            store_contact.MAX_DELAY_S if is_in_first_ranks else MAX_STANDBY_DELAY_S
+        )
         if not self._record.is_complete:
             max_delay = store_contact.MAX_DELAY_S
         await self._contact.wait_after_failure(error, max_delay)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_record.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_record.py
@@ -90,24 +90,24 @@
     def apply_changes(self, page: ports.TargetPage, now: float) -> bool:
         """Apply changes read from the store; return whether any target changed."""
         self.position = page.position
-        changes = self._registry.apply(page.changes, now)
-        self._record_changes(changes, STORE)
+        applied = self._registry.apply(page.changes, now)
+        self._record_changes(applied, STORE)
         self._add_checkpoint(now)
-        return bool(changes)
+        return bool(applied)
 
     def apply_listing(self, page: ports.TargetPage, now: float) -> bool:
         """Apply a full list read from the store; return whether any target changed."""
         entries = [one for one in page.changes if isinstance(one, targets.Entry)]
-        changes = self._registry.replace(entries, page.position, now)
+        applied = self._registry.replace(entries, page.position, now)
         was_complete = self.is_complete
         self.position = page.position
-        self._record_changes(changes, STORE)
+        self._record_changes(applied, STORE)
         if was_complete:
             # Differences from the former list are sent to other VMs like any change.
             self._add_checkpoint(now)
         else:
             self._restart_checkpoints(now)
-        return bool(changes)
+        return bool(applied)
 
     def apply_snapshot(
         self, snapshot: knowledge_exchange.Snapshot, now: float, vm: str
@@ -130,10 +130,10 @@
         """
         if snapshot.position < 0 or now - snapshot.received_at > MAX_SNAPSHOT_AGE_S:
             return False
-        changes = self._registry.replace(snapshot.entries, snapshot.position, now)
+        applied = self._registry.replace(snapshot.entries, snapshot.position, now)
         self.position = snapshot.position
         self.received_at = snapshot.received_at
-        self._record_changes(changes, vm)
+        self._record_changes(applied, vm)
         self._restart_checkpoints(now)
         return True
 
@@ -195,8 +195,8 @@
         self._checkpoints.clear()
         self._add_checkpoint(now)
 
-    def _record_changes(self, changes: list[targets.Change], source: str) -> None:
-        for change in changes:
+    def _record_changes(self, applied: list[targets.Change], source: str) -> None:
+        for change in applied:
             self._change_count += 1
             self._recent_changes.append((self._change_count, change))
             phase = (
@@ -209,5 +209,5 @@
                 position=change.position,
                 source=source,
             )
-        if changes:
+        if applied:
             self._on_targets()
--- a/tests/edge/test_configuration_keeper.py
+++ b/tests/edge/test_configuration_keeper.py
@@ -1,4 +1,4 @@
-"""A new configuration is in force everywhere within its bound, for few store calls."""
+"""A new configuration is in force everywhere in time, with few calls to the store."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 """Seconds within which a version must be in force."""
 
 SETTLED = 4.0
-"""Seconds after which one VM reads the store for all."""
+"""Seconds after which one VM reads the store for the fleet."""
 
 
 async def start_settled(
-    site: edge_site.Site, places: str = "aaaabbbb"
+    site: edge_site.Site, data_centres: str = "aaaabbbb"
 ) -> list[edge_site.Vm]:
-    """Start a VM in each of the places, and wait until one reads for all."""
+    """Start a VM in each of the data centres; wait until one reads for the fleet."""
     site.publish([edge_site.make_route("/old/")])
     await site.start_target(edge_site.Target("t1"))
     vms = [
-        await site.start_vm(f"vm-{n}", data_centre=place)
-        for n, place in enumerate(places)
+        await site.start_vm(f"vm-{n}", data_centre=vm_data_centre)
+        for n, vm_data_centre in enumerate(data_centres)
     ]
     for vm in vms:
         await edge_site.wait_ready(vm)
@@ -57,12 +57,12 @@
 
 
 async def wait_in_force(site: edge_site.Site, vms: list[edge_site.Vm]) -> None:
-    """Return once all have the newest version; fail after the bound."""
+    """Wait until all VMs have the newest version; fail after `BOUND`."""
     await edge_site.wait_until(lambda: have_version(vms, site.version), BOUND)
 
 
-async def test_new_version_costs_the_fleet_a_call_and_not_each_vm() -> None:
-    # Guards against store calls that grow with versions times VMs.
+async def test_store_calls_for_a_new_version_do_not_grow_with_the_fleet() -> None:
+    # Guards against store calls that grow with the number of versions times VMs.
     async with edge_site.run_site() as site:
         vms = await start_settled(site)
         before = edge_site.count_store_calls(vms)
@@ -74,8 +74,8 @@
         assert made["read configuration"] + made["follow configuration"] <= 8
 
 
-async def test_broken_record_costs_one_vm_a_call() -> None:
-    # Guards against a record that nobody can use being read by every VM.
+async def test_malformed_record_is_read_by_one_vm_only() -> None:
+    # Guards against each VM reading a record that none of them can use.
     async with edge_site.run_site() as site:
         vms = await start_settled(site)
         words = edge_site.words
@@ -90,8 +90,8 @@
         assert len(refused) == 1
 
 
-async def test_version_is_in_force_in_time_though_the_reader_dies() -> None:
-    # Guards against a fleet that waits for a VM that is gone.
+async def test_version_is_in_force_in_time_though_the_reader_crashes() -> None:
+    # Guards against VMs that wait for updates from a reader that no longer runs.
     async with edge_site.run_site() as site:
         vms = await start_settled(site)
         reader = find_reader(vms)
@@ -100,11 +100,11 @@
         await wait_in_force(site, [vm for vm in vms if vm is not reader])
 
 
-async def test_version_is_in_force_in_time_though_the_readers_wait_is_silent(
+async def test_version_is_in_force_in_time_though_the_readers_wait_gets_no_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards against a reader whose wait will never be answered while its other calls
-    # are: its news would keep everybody from asking.
+    # are: its updates about targets would keep all VMs from calling the store.
     async with edge_site.run_site() as site:
         vms = await start_settled(site)
         store = find_reader(vms).daemon._store
@@ -119,10 +119,10 @@
         await wait_in_force(site, vms)
 
 
-async def test_wait_that_is_ended_is_followed_by_a_read_at_once(
+async def test_restarted_wait_reads_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a pause, and a store taken for lost, where a wait is ended because
+    # Guards against a delay, and a store reported as lost, if a wait is ended because
     # the store is back or this VM was suspended.
     async with edge_site.run_site() as site:
         [vm] = await start_settled(site, "a")
@@ -138,7 +138,7 @@
         assert "store_lost" not in [line["event"] for line in vm.read_log()]
 
 
-async def test_version_that_does_not_fit_a_push_is_in_force_in_time(
+async def test_version_too_large_for_a_push_is_in_force_in_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(configuration_keeper, "MAX_PUSHED_BYTES", 10)
@@ -148,10 +148,10 @@
         await wait_in_force(site, vms)
 
 
-async def test_version_reaches_a_vm_that_the_store_turns_away(
+async def test_version_reaches_a_vm_whose_calls_the_store_refuses(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Neither a push nor the store: a peer that has it is asked.
+    # The VM gets the version neither by a push nor from the store, but from a peer.
     monkeypatch.setattr(configuration_keeper, "MAX_PUSHED_BYTES", 10)
     async with edge_site.run_site() as site:
         vms = await start_settled(site)
@@ -166,7 +166,7 @@
         await wait_in_force(site, vms)
 
 
-def test_packed_configuration_is_read_back_and_a_torn_one_is_refused() -> None:
+def test_packed_configuration_round_trips_and_a_truncated_one_is_rejected() -> None:
     current = decoding.decode_configuration(
         encoding.encode_configuration(7, [edge_site.make_route()])
     )
--- a/tests/edge/test_knowledge_keeper.py
+++ b/tests/edge/test_knowledge_keeper.py
@@ -1,4 +1,4 @@
-"""What a VM makes of news from peers, and of a store that comes and goes."""
+"""How a VM handles updates from peers, and a store that fails and comes back."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 
 async def test_configuration_is_in_force_soon_after_an_outage() -> None:
-    # The store is silent while a VM waits on it, and a version is published as it
-    # returns. The old wait will never be answered; only a new call can tell.
+    # The store stops answering while a VM waits there, and a version is published as it
+    # comes back. The old wait will never be answered; only a new call gets the version.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route("/old/")])
         await site.start_target(edge_site.Target("t1"))
@@ -30,9 +30,9 @@
         assert "store_back" in events
 
 
-async def test_history_that_is_forgotten_is_read_anew() -> None:
-    # The store drops its old records, and a target left in the gap: nothing but the
-    # whole listing tells.
+async def test_full_list_is_read_when_the_store_has_dropped_history() -> None:
+    # The store drops its old records, and a target left in the gap: only the full list
+    # shows that.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         for name in ("t1", "t2", "t3", "t4"):
@@ -47,7 +47,7 @@
         assert site.targets["t1"].ran == []
 
 
-async def test_leaving_target_gets_nothing_more_within_its_bound() -> None:
+async def test_leaving_target_gets_no_more_requests_after_its_time_limit() -> None:
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         for name in ("t1", "t2"):
@@ -65,16 +65,16 @@
         assert len(site.targets["t1"].ran) == before
 
 
-async def test_news_reach_other_data_centres_through_relays() -> None:
-    # One VM reads for two data centres. The other one hears through a relay; if that
-    # did not pass news on, every VM there would read the store for itself.
+async def test_updates_reach_other_data_centres_through_relays() -> None:
+    # One VM reads for two data centres. The other data centre gets updates through a
+    # relay; if that did not forward them, each VM there would read the store itself.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         for name in ("t1", "t2"):
             await site.start_target(edge_site.Target(name))
         vms = [
-            await site.start_vm(f"vm-{n}", data_centre=place)
-            for n, place in enumerate("aaabbb")
+            await site.start_vm(f"vm-{n}", data_centre=vm_data_centre)
+            for n, vm_data_centre in enumerate("aaabbb")
         ]
         for vm in vms:
             await edge_site.wait_ready(vm)
@@ -92,8 +92,8 @@
 
 
 async def test_fleet_that_starts_has_one_reader_at_any_time() -> None:
-    # All VMs start together. As long as each takes itself for the first in rank, each
-    # reads the store some three times a second, and calls to the store are bounded.
+    # All VMs start together. As long as each ranks itself first, each reads the store
+    # some three times a second, and the calls to the store are limited.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         await site.start_target(edge_site.Target("t1"))
@@ -102,6 +102,6 @@
             await edge_site.wait_ready(vm)
         before = site.store.calls
         await anyio.sleep(3.5)
-        # One reader waits 0.4 s and pauses 0.25 s: 5 or 6 reads, and a few more by
-        # those who became the next.
+        # One reader waits 0.4 s and pauses 0.25 s: 5 or 6 reads, and a few more by VMs
+        # that became the reader after it.
         assert site.store.calls - before < 16
--- a/tests/edge/test_start.py
+++ b/tests/edge/test_start.py
@@ -1,4 +1,4 @@
-"""VMs that start get what they need from peers, and the store is asked by few."""
+"""VMs that start get what they need from peers, and few of them call the store."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     return start
 
 
-def test_few_of_those_that_start_together_read_at_once() -> None:
+def test_few_vms_that_start_together_read_the_store_at_once() -> None:
     names = tuple(f"vm-{n}" for n in range(30))
     starts = [
         make_start(own, tuple(name for name in names if name != own)) for own in names
@@ -51,7 +51,7 @@
     assert all(start.may_read(latest) for start in starts)
 
 
-def test_vm_that_is_alone_or_cannot_enter_reads_all_the_same() -> None:
+def test_vm_that_is_alone_or_cannot_join_reads_the_store_itself() -> None:
     assert make_start("own", ()).may_read(0.0)
     fleet = members.Members(make_member("own"), 0.0)
     start = start_turn.StartTurn(fleet, 0.0)
@@ -59,8 +59,8 @@
     assert start.may_read(start_turn.MAX_DELAY_S)
 
 
-async def test_joining_vm_asks_the_store_only_to_enter() -> None:
-    # Guards against store calls that grow with each start: rolling stops restart all.
+async def test_joining_vm_calls_the_store_only_for_membership() -> None:
+    # Guards against more store calls with each start: a rolling restart starts all VMs.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         await site.start_target(edge_site.Target("t1"))
@@ -74,9 +74,7 @@
         assert made == {"announce": 1, "read members": 1}
 
 
-async def test_fleet_that_starts_at_once_is_ready_soon_and_asks_the_store_little() -> (
-    None
-):
+async def test_fleet_that_starts_at_once_is_ready_soon_with_few_store_calls() -> None:
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         await site.start_target(edge_site.Target("t1"))
@@ -89,7 +87,7 @@
         assert made["read configuration"] <= 6
 
 
-async def test_first_configuration_of_a_fleet_reaches_all_without_a_call_each() -> None:
+async def test_first_configuration_reaches_all_vms_without_a_store_call_each() -> None:
     async with edge_site.run_site() as site:
         await site.start_target(edge_site.Target("t1"))
         vms = [await site.start_vm(f"vm-{n}") for n in range(10)]
@@ -102,9 +100,9 @@
         assert made["read configuration"] + made["follow configuration"] <= 14
 
 
-async def test_request_waits_for_what_a_starting_vm_is_about_to_know() -> None:
-    # Guards against refusing callers of a fleet that has lost power, for the tenths of
-    # a second until its VMs know routes and targets.
+async def test_request_waits_until_a_starting_vm_is_complete() -> None:
+    # Guards against refusing requests after a power failure of the fleet, in the tenths
+    # of a second until its VMs know routes and targets.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         await site.start_target(edge_site.Target("t1"))
@@ -113,7 +111,7 @@
         assert (await edge_site.call(vm)).status_code == 200
 
 
-async def test_vm_that_knows_nothing_for_long_refuses_at_once() -> None:
+async def test_vm_that_stays_incomplete_for_long_refuses_requests_at_once() -> None:
     async with edge_site.run_site() as site:
         site.store.fault = topic_store.Fault.BUSY
         vm = await site.start_vm("vm-1")
@@ -122,10 +120,10 @@
             assert (await edge_site.call(vm)).status_code == 503
 
 
-async def test_vm_starts_while_only_peers_can_be_asked(
+async def test_vm_starts_from_a_peer_while_the_store_refuses_reads(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The store turns its readings away; a peer knows all that it needs.
+    # The store refuses the reads of the second VM, and the first has all that it needs.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         await site.start_target(edge_site.Target("t1"))
@@ -144,8 +142,8 @@
         assert (await edge_site.call(second)).status_code == 200
 
 
-def test_peer_that_has_heard_nothing_lately_is_not_believed() -> None:
-    # Guards against routing by what nobody has checked within its bound.
+def test_snapshot_that_is_too_old_or_incomplete_is_not_applied() -> None:
+    # Guards against routing by data that no VM has checked within its time limit.
     reader, writer = os.pipe()
     os.close(reader)
     log = log_lines.LogLines("vm-1", writer)
@@ -162,7 +160,7 @@
     assert record.position == 5
 
 
-def test_snapshot_is_read_back_and_a_torn_one_is_refused() -> None:
+def test_snapshot_round_trips_and_a_truncated_one_is_rejected() -> None:
     snapshot = knowledge_exchange.Snapshot(None, 5, 9.5, ())
     data = knowledge_exchange.encode(snapshot, 10.0)
     found = knowledge_exchange.decode(data, 20.0)
--- a/tests/edge/test_store_drill.py
+++ b/tests/edge/test_store_drill.py
@@ -1,4 +1,4 @@
-"""The store returns from a copy that is some seconds old."""
+"""The store is restored from a backup that is some seconds old."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 pytestmark = pytest.mark.anyio
 
 SETTLED = 2.0
-"""Seconds within which all VMs know what stands in the new era."""
+"""Seconds within which all VMs know the entries of the new era."""
 
 
 async def start(site: edge_site.Site, *names: str) -> list[edge_site.Vm]:
@@ -22,7 +22,7 @@
 
 
 async def find_used(vms: list[edge_site.Vm], path: str = "/x") -> set[str]:
-    """Return the targets that answer a few requests to each VM."""
+    """Return the targets that answer when a few requests are sent to each VM."""
     used: set[str] = set()
     for number in range(12):
         for vm in vms:
@@ -33,8 +33,8 @@
     return used
 
 
-async def strike(site: edge_site.Site, copy: topic_store.Copy) -> None:
-    """Let the store be away for a moment and return from a copy."""
+async def restore_store(site: edge_site.Site, copy: topic_store.Copy) -> None:
+    """Make the store unavailable for a moment, then restore it from a copy."""
     site.store.fault = topic_store.Fault.BUSY
     await anyio.sleep(0.3)
     site.store.return_from(copy)
@@ -42,8 +42,8 @@
 
 
 async def test_targets_of_the_new_era_are_used_and_leaving_ones_are_not() -> None:
-    # Offsets are given out again: by offsets alone, whatever is written after the
-    # return looks older than what was read before, and is never taken in.
+    # The restored store assigns the same offsets again. By offsets alone, all that is
+    # written after that looks older than what was read before, and is never applied.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         for name in ("t1", "t2", "t3"):
@@ -55,9 +55,9 @@
         site.register(site.targets["t1"], "draining")
         await anyio.sleep(1.0)
         assert "t1" not in await find_used(vms)
-        await strike(site, copy)
+        await restore_store(site, copy)
         await anyio.sleep(SETTLED)
-        # Its entry says that it is ready, as it did when the copy was made.
+        # Its entry is back in phase "ready", as it was when the copy was made.
         assert "t1" not in await find_used(vms)
         site.register(site.targets["t1"], "draining")
         for name in ("t2", "t3"):
@@ -67,7 +67,7 @@
         assert await find_used(vms) == {"t4"}
 
 
-async def test_configuration_in_force_outlives_the_return() -> None:
+async def test_configuration_in_force_is_kept_when_the_store_is_restored() -> None:
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route("/old/")])
         await site.start_target(edge_site.Target("t1"))
@@ -75,7 +75,7 @@
         copy = site.store.take_copy()
         site.publish([edge_site.make_route("/new/")])
         await anyio.sleep(1.0)
-        await strike(site, copy)
+        await restore_store(site, copy)
         await anyio.sleep(SETTLED)
         late = await start(site, "vm-3")
         await anyio.sleep(SETTLED)
@@ -86,21 +86,21 @@
         assert await find_used([*vms, *late], "/newest/x") == {"t1"}
 
 
-async def test_vm_whose_entry_is_lost_enters_again() -> None:
-    # A VM that starts later finds the others in the store, and would not know it.
+async def test_vm_whose_entry_is_lost_writes_it_again() -> None:
+    # A VM that starts later reads the list of VMs from the store, and would miss it.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         await site.start_target(edge_site.Target("t1"))
         await start(site, "vm-1")
         copy = site.store.take_copy()
         await start(site, "vm-2")
-        await strike(site, copy)
+        await restore_store(site, copy)
         await anyio.sleep(2 * SETTLED)
         listed = {one.key for one in site.store.list_newest("keyed.members")}
         assert listed == {"vm-1", "vm-2"}
 
 
-async def test_calls_after_a_return_are_few() -> None:
+async def test_store_calls_after_a_restore_are_few() -> None:
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         await site.start_target(edge_site.Target("t1"))
--- a/tests/edge/test_target_record.py
+++ b/tests/edge/test_target_record.py
@@ -1,4 +1,4 @@
-"""What a VM takes in about targets, and from where on it must read for itself."""
+"""Which updates about targets a VM applies, and which changes it sends on."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Site:
-    """A record, and how often it said that targets changed."""
+    """A record, with a count of its notifications that targets changed."""
 
     def __init__(self) -> None:
         self.changes = 0
@@ -33,15 +33,15 @@
     return datagrams.TargetUpdate("vm-2", 1, position, since, changes)
 
 
-def test_news_count_only_after_a_whole_read() -> None:
-    # News tell changes. A VM that began with them would not know older targets.
+def test_updates_are_ignored_before_the_first_full_list() -> None:
+    # Updates hold changes only. A VM that started with them would lack older targets.
     site = Site()
     site.record.apply_target_update(make_update(0, 5, "t1"), 1.0)
     assert not site.record.is_complete
     assert site.registry.find("t1") is None
 
 
-def test_news_with_a_gap_before_them_are_left_to_the_store() -> None:
+def test_update_after_a_gap_is_ignored() -> None:
     site = Site()
     site.record.apply_listing(ports.TargetPage((make_entry("t1", 3),), 4), 1.0)
     site.record.apply_target_update(make_update(6, 9, "t2"), 2.0)
@@ -55,14 +55,14 @@
     assert site.changes == 2
 
 
-def test_late_news_bring_no_old_position_back() -> None:
+def test_late_update_does_not_move_the_position_back() -> None:
     site = Site()
     site.record.apply_listing(ports.TargetPage((make_entry("t1", 8),), 9), 1.0)
     site.record.apply_target_update(make_update(0, 5), 2.0)
     assert site.record.position == 9
 
 
-def test_a_page_without_changes_is_no_news() -> None:
+def test_page_without_changes_is_not_reported_as_a_change() -> None:
     site = Site()
     assert site.record.apply_listing(ports.TargetPage((make_entry("t1", 3),), 4), 1.0)
     assert not site.record.apply_changes(ports.TargetPage((), 6), 2.0)
@@ -70,7 +70,7 @@
     assert site.changes == 1
 
 
-def test_changes_are_listed_from_a_time_on() -> None:
+def test_only_changes_after_the_given_time_are_listed() -> None:
     site = Site()
     site.record.apply_listing(ports.TargetPage((make_entry("t1", 3),), 4), 1.0)
     site.record.apply_changes(ports.TargetPage((make_entry("t2", 5),), 6), 2.0)
@@ -78,9 +78,9 @@
     assert [change.target_id for change in listed] == ["t2"]
 
 
-def test_changes_that_nobody_will_be_told_are_forgotten() -> None:
-    # A VM that never reads for the others hears of changes all day. Kept for a telling
-    # that never comes, they would fill its memory until it is killed.
+def test_changes_past_the_retention_period_are_dropped() -> None:
+    # A VM that is never the reader receives changes all day. If it kept all of them for
+    # sending, they would fill its memory until it is killed.
     site = Site()
     site.record.apply_listing(ports.TargetPage((), 0), 0.0)
     for number in range(1, 200):
@@ -90,8 +90,8 @@
     assert len(site.record.list_since(0.0)[1]) < 10
 
 
-def test_vm_that_becomes_the_reader_tells_from_where_the_former_one_stopped() -> None:
-    # Guards against a gap that makes every VM read the store at a change of reader.
+def test_new_reader_sends_changes_from_where_the_former_one_stopped() -> None:
+    # Guards against a gap that makes each VM read the store when the reader changes.
     site = Site()
     site.record.apply_listing(ports.TargetPage((make_entry("t1", 3),), 4), 1.0)
     site.record.apply_target_update(make_update(4, 9, "t2"), 2.0)
@@ -104,7 +104,7 @@
     assert [one.target_id for one in changes] == ["t3"]
 
 
-def test_whole_listing_is_not_told_again() -> None:
+def test_full_list_is_not_listed_as_changes() -> None:
     site = Site()
     site.record.apply_listing(ports.TargetPage((make_entry("t1", 3),), 4), 1.0)
     assert site.record.list_since(0.0) == (4, ())
