--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/ports.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/ports.py
@@ -120,7 +120,7 @@
     """Source of target slots for requests."""
 
     async def acquire(
-        self, ask: messages.SlotRequest
+        self, slot_request: messages.SlotRequest
     ) -> messages.Grant | messages.Refuse:
         """Return a slot of a target, or the reason why none is granted."""
         ...
