--- a/packages/zinniastand-core/src/zinniastand_core/bundles.py
+++ b/packages/zinniastand-core/src/zinniastand_core/bundles.py
@@ -115,7 +115,7 @@
         for key, value in values.items()
     }
     _check_whole(parts, collector)
-    if collector.found:
+    if collector.has_findings:
         return expression.Error(collector.collect())
     return expression.Ok(build(parts))
 
@@ -136,7 +136,7 @@
         else:
             parts[key] = parse_section(key, value, collector)
     _check_whole(parts, collector)
-    if collector.found:
+    if collector.has_findings:
         return expression.Error(collector.collect())
     return expression.Ok(build(parts))
 
@@ -170,7 +170,7 @@
         shards.setdefault(name_account_section(name), {})[name] = value
     result.update(shards)
     reader.refuse_unknown()
-    if collector.found:
+    if collector.has_findings:
         return expression.Error(collector.collect())
     return expression.Ok(result)
 
--- a/packages/zinniastand-core/src/zinniastand_core/documents.py
+++ b/packages/zinniastand-core/src/zinniastand_core/documents.py
@@ -19,7 +19,7 @@
         self._items.append(findings.Finding(place, message))
 
     @property
-    def found(self) -> bool:
+    def has_findings(self) -> bool:
         """Whether there is any finding yet."""
         return bool(self._items)
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/settings_document.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/settings_document.py
@@ -40,7 +40,7 @@
     reader = documents.Reader(document, "", collector)
     result = read(reader)
     reader.refuse_unknown()
-    if collector.found:
+    if collector.has_findings:
         return expression.Error(collector.collect())
     return expression.Ok(result)
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/vm_list.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/vm_list.py
@@ -83,6 +83,6 @@
             name, place = item.read_text("name"), item.read_text("data_centre")
             url = item.read_text("peers_url")
             members.append(membership.Member(name, place, url, 0))
-    if collector.found:
+    if collector.has_findings:
         raise VmListError(str(collector.collect()))
     return VmList(tuple(members), tuple(leaving))
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -246,6 +246,6 @@
     headers = [
         (b"host", HOST),
         (words.HEADERS.request_id, sent.request_id.encode()),
-        (words.HEADERS.time_left, b"%d" % int(PATIENCE * words.MILLISECONDS)),
+        (words.HEADERS.time_left, b"%d" % int(PATIENCE * words.MS_PER_S)),
     ]
     return http_exchange.Request(b"POST", sent.path.encode(), headers, sent.body, True)
--- a/soak/operators.py
+++ b/soak/operators.py
@@ -42,6 +42,6 @@
 
 
 def _make_route(prefix: str, kind: str, service: str) -> list[object]:
-    limit = int(promises.TIME_LIMIT * words.MILLISECONDS)
+    limit = int(promises.TIME_LIMIT * words.MS_PER_S)
     host = callers.HOST.decode()
     return [prefix, host, prefix, kind, limit, OBJECTIVE_MS, 1, service, 2]
--- a/soak/targets.py
+++ b/soak/targets.py
@@ -147,7 +147,7 @@
             incoming.request.body,
             status,
             anyio.current_time(),
-            int(headers.get(words.HEADERS.time_left, b"0")) / words.MILLISECONDS,
+            int(headers.get(words.HEADERS.time_left, b"0")) / words.MS_PER_S,
         )
         self._book.ran.append(ran)
         if ran.path.startswith(promises.CRASHING):
