--- a/packages/zinniastand-core/src/zinniastand_core/documents.py
+++ b/packages/zinniastand-core/src/zinniastand_core/documents.py
@@ -1,4 +1,4 @@
-"""Readers of JSON-like documents that collect every finding with its place."""
+"""Readers of JSON-like documents that collect every finding with its location."""
 
 from __future__ import annotations
 
@@ -9,63 +9,64 @@
 
 
 class Collector:
-    """Findings gathered while a document is read."""
+    """Collects the findings made while a document is read."""
 
     def __init__(self) -> None:
         self._items: list[findings.Finding] = []
 
-    def add(self, place: str, message: str) -> None:
-        """Record a finding at `place`."""
-        self._items.append(findings.Finding(place, message))
+    def add(self, location: str, message: str) -> None:
+        """Record a finding at `location`."""
+        self._items.append(findings.Finding(location, message))
 
     @property
     def has_findings(self) -> bool:
-        """Whether there is any finding yet."""
+        """Whether there is any finding so far."""
         return bool(self._items)
 
     def collect(self) -> findings.Findings:
-        """Return all findings so far, in order."""
+        """Return all findings so far, in the order in which they were added."""
         return findings.Findings(tuple(self._items))
 
 
 class Reader:
     """One mapping of a document, read field by field.
 
-    A missing or mistyped field adds a finding and yields a harmless default, so that
-    reading goes on and every mistake is reported in one pass.
+    A field that is missing, of the wrong type or out of range adds a finding, and a
+    default is returned instead, so that reading goes on and every mistake is reported
+    in one pass.
 
     Parameters
     ----------
     value : object
-        The value found at `place`; anything but a mapping is a finding.
-    place : str
-        Path of the mapping within the document.
+        The value found at `location`; anything but a mapping is a finding.
+    location : str
+        Path of the mapping within the document; empty for the document itself.
     collector : Collector
         Receives the findings.
     """
 
-    def __init__(self, value: object, place: str, collector: Collector) -> None:
-        self._place = place
+    def __init__(self, value: object, location: str, collector: Collector) -> None:
+        self._location = location
         self._collector = collector
         self._seen: set[str] = set()
         self._value: collections.abc.Mapping[str, object] = {}
         if isinstance(value, collections.abc.Mapping):
             self._value = typing.cast("collections.abc.Mapping[str, object]", value)
         else:
-            collector.add(place, "expected an object")
+            collector.add(location, "expected an object")
 
     @property
     def source(self) -> dict[str, object]:
-        """The mapping as it was found."""
+        """A copy of the mapping as it was found."""
         return dict(self._value)
 
-    def place_of(self, name: str) -> str:
-        """Return the path of field `name`."""
-        return f"{self._place}.{name}" if self._place else name
+    def location_of(self, name: str) -> str:
+        """Return the path of field `name` within the document."""
+        return f"{self._location}.{name}" if self._location else name
 
     def add(self, name: str, message: str) -> None:
         """Record a finding about field `name`."""
-        self._collector.add(self.place_of(name), message)
+        self._collector.add(self.location_of(name), message)
 
     def has(self, name: str) -> bool:
         """Return whether the field is present."""
@@ -73,58 +74,58 @@
 
     def read_text(self, name: str, default: str | None = None) -> str:
         """Return a non-empty string."""
-        value = self._take(name, default)
+        value = self._get(name, default)
         if isinstance(value, str) and (value or default == ""):
             return value
-        self._refuse(name, value, "a non-empty string")
+        self._add_mismatch(name, value, "a non-empty string")
         return ""
 
     def read_integer(
         self, name: str, default: int | None = None, low: int = 0, high: int = 2**53
     ) -> int:
         """Return an integer between `low` and `high`."""
-        value = self._take(name, default)
+        value = self._get(name, default)
         if isinstance(value, int) and not isinstance(value, bool):
             if low <= value <= high:
                 return value
-        self._refuse(name, value, f"a whole number from {low} to {high}")
+        self._add_mismatch(name, value, f"a whole number from {low} to {high}")
         return low
 
     def read_number(
         self, name: str, default: float | None = None, low: float = 0, high: float = 1e9
     ) -> float:
         """Return a number between `low` and `high`."""
-        value = self._take(name, default)
+        value = self._get(name, default)
         if isinstance(value, int | float) and not isinstance(value, bool):
             if low <= value <= high:
                 return float(value)
-        self._refuse(name, value, f"a number from {low} to {high}")
+        self._add_mismatch(name, value, f"a number from {low} to {high}")
         return low
 
     def read_flag(self, name: str, default: bool | None = None) -> bool:
         """Return a boolean."""
-        value = self._take(name, default)
+        value = self._get(name, default)
         if isinstance(value, bool):
             return value
-        self._refuse(name, value, "true or false")
+        self._add_mismatch(name, value, "true or false")
         return False
 
     def read_choice(
         self, name: str, choices: collections.abc.Sequence[str], default: str = ""
     ) -> str:
         """Return one of `choices`."""
-        value = self._take(name, default or None)
+        value = self._get(name, default or None)
         if isinstance(value, str) and value in choices:
             return value
-        self._refuse(name, value, "one of " + ", ".join(choices))
+        self._add_mismatch(name, value, "one of " + ", ".join(choices))
         return choices[0]
 
     def read_list(self, name: str, default: list[object] | None = None) -> list[object]:
-        """Return a list of values not looked at yet."""
-        value = self._take(name, default)
+        """Return a list whose values are not checked."""
+        value = self._get(name, default)
         if isinstance(value, list):
             return typing.cast("list[object]", value)
-        self._refuse(name, value, "a list")
+        self._add_mismatch(name, value, "a list")
         return []
 
     def read_texts(
@@ -139,34 +140,34 @@
 
     def read_object(self, name: str, optional: bool = False) -> Reader:
         """Return a reader of a nested object."""
-        value = self._take(name, {} if optional else None)
-        return Reader(value, self.place_of(name), self._collector)
+        value = self._get(name, {} if optional else None)
+        return Reader(value, self.location_of(name), self._collector)
 
     def read_objects(
         self, name: str, default: list[object] | None = None
     ) -> list[Reader]:
         """Return a reader for each object of a list."""
         return [
-            Reader(value, f"{self.place_of(name)}[{index}]", self._collector)
+            Reader(value, f"{self.location_of(name)}[{index}]", self._collector)
             for index, value in enumerate(self.read_list(name, default))
         ]
 
     def read_names(self) -> tuple[str, ...]:
-        """Return the names of all fields; none of them counts as unknown."""
+        """Return the names of all fields, and count all of them as known."""
         self._seen.update(self._value)
         return tuple(self._value)
 
     def refuse_unknown(self) -> None:
-        """Record a finding for each field that nothing asked for."""
+        """Record a finding for each field that has not been read."""
         for name in self._value:
             if name not in self._seen:
                 self.add(str(name), "unknown field")
 
-    def _take(self, name: str, default: object) -> object:
+    def _get(self, name: str, default: object) -> object:
         self._seen.add(name)
         return self._value.get(name, default)
 
-    def _refuse(self, name: str, value: object, expected: str) -> None:
+    def _add_mismatch(self, name: str, value: object, expected: str) -> None:
         if value is None and name not in self._value:
             self.add(name, f"missing; expected {expected}")
         else:
--- a/packages/zinniastand-core/src/zinniastand_core/findings.py
+++ b/packages/zinniastand-core/src/zinniastand_core/findings.py
@@ -1,4 +1,4 @@
-"""Findings in operator input, each with the place that it concerns."""
+"""Findings in documents, each with the location that it concerns."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finding:
-    """One thing wrong in a document."""
+    """One mistake in a document."""
 
-    place: str
+    location: str
     """Path of the value, such as ``services[2].targets[0].slots``."""
 
     message: str
-    """What is wrong and what is expected there."""
+    """What is wrong, and what is expected instead."""
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.message}"
+        return f"{self.location}: {self.message}"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/packages/zinniastand-core/src/zinniastand_core/services.py
+++ b/packages/zinniastand-core/src/zinniastand_core/services.py
@@ -1,4 +1,4 @@
-"""Services, targets, kinds of work, routes and accounts, as operators state them."""
+"""Services, targets, kinds of work, routes and accounts, as operators define them."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 class Work(enum.StrEnum):
-    """How often a piece of work may run."""
+    """Whether a piece of work may run more than once."""
 
     IDEMPOTENT = "idempotent"
-    """May run again: retries and hedges are allowed."""
+    """May run more than once: retries and hedged requests are allowed."""
 
     AT_MOST_ONCE = "at-most-once"
-    """Must never run twice: needs a claim on its key first."""
+    """Must never run twice: its idempotency key is claimed before it is sent."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -27,21 +27,21 @@
     """Whether the work is idempotent."""
 
     time_limit: float
-    """Seconds within which an answer counts; becomes a deadline on arrival."""
+    """Seconds from a request's arrival to its deadline; later answers do not count."""
 
     weight: float
-    """Worth of one answer in time, relative to other kinds."""
+    """Value of one answer in time, relative to other kinds."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Which requests are of which kind."""
+    """Assigns requests to a kind of work by path and method."""
 
     path_prefix: str
-    """Requests whose path starts with this, on a segment boundary."""
+    """Prefix of the path, which must end on a segment boundary."""
 
     methods: tuple[str, ...]
-    """Methods in upper case that the route takes."""
+    """Methods that the route accepts, in upper case."""
 
     kind: str
     """Name of a kind of the same service."""
@@ -55,97 +55,101 @@
     """Unique within its service."""
 
     host: str
-    """IP number."""
+    """IP address."""
 
     port: int
     """TCP port."""
 
     data_centre: str
-    """Where it runs."""
+    """Data centre in which it runs."""
 
     slots: int
-    """Requests that it works on at the same time."""
+    """Maximum number of requests that it works on at the same time."""
 
     draining: bool
-    """An operator is taking it out: it gets no new work."""
+    """Whether an operator is taking it out of service: it gets no new requests."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotStartedRule:
-    """The contract by which a target says that it refused before starting."""
+    """How an answer shows that a target refused a request before it started it."""
 
     status: int
     """HTTP status of such an answer."""
 
     header: str
-    """Header (lower case) that must be present too."""
+    """Name of a header, in lower case, that must be present as well."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A service with its targets and the limits that govern it."""
+    """A service with its targets and limits."""
 
     name: str
     """Unique within the bundle."""
 
     floor_slots: int
-    """Capacity, in slots, below which ejection must never push the service."""
+    """Number of slots that ejections must always leave to the service."""
 
     detection_weight: float
-    """From 0 (spare healthy targets) to 1 (catch failing targets sooner)."""
+    """Sensitivity of failure detection, from 0 (fewer healthy targets are ejected) to 1
+    (failing targets are detected sooner)."""
 
     max_in_flight: int
-    """Requests that one VM holds for this service at a time."""
+    """Maximum requests of this service in flight on one VM."""
 
     max_queue: int
-    """Requests that may wait for a free place on one VM."""
+    """Maximum requests of this service that wait on one VM until fewer than
+    `max_in_flight` are in flight."""
 
     echo_header: str
-    """Header that the target echoes, or empty: guards against crossed answers."""
+    """Header that targets echo in their answers, or empty if they echo none. It shows
+    an answer that belongs to another request."""
 
     probe_path: str
-    """Path asked when a target needs a trial and no caller's work fits."""
+    """Path that is requested to test a target if no caller's request is suitable for
+    it."""
 
     not_started: NotStartedRule
-    """How targets say "refused before starting"."""
+    """How targets answer a request that they refused before starting it."""
 
     kinds: tuple[Kind, ...]
-    """Kinds of work."""
+    """Its kinds of work."""
 
     routes: tuple[Route, ...]
-    """Routes, longest prefix first."""
+    """Its routes, longest prefix first."""
 
     targets: tuple[Target, ...]
-    """Targets."""
+    """Its targets."""
 
     @property
     def slots(self) -> int:
-        """Slots of all targets, draining ones included."""
+        """Total slots of all targets, including those that are draining."""
         return sum(target.slots for target in self.targets)
 
     def find_kind(self, name: str) -> Kind | None:
-        """Return the kind called `name`, if any."""
+        """Return the kind called `name`, or None if there is none."""
         return next((kind for kind in self.kinds if kind.name == name), None)
 
     def find_target(self, name: str) -> Target | None:
-        """Return the target called `name`, if any."""
+        """Return the target called `name`, or None if there is none."""
         return next((target for target in self.targets if target.name == name), None)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Account:
-    """A caller account and its limit."""
+    """An account of callers, and its rate limit."""
 
     name: str
     """Value of the account header that callers send."""
 
     requests_per_second: float
-    """Rate over the whole fleet."""
+    """Rate limit over the whole fleet, in requests per second."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Operator:
-    """Somebody who may sign off bundles."""
+    """A person who may sign off bundles."""
 
     name: str
     """Unique name."""
@@ -156,16 +160,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Operators:
-    """Who signs bundles off, and how many of them it takes."""
+    """The operators who sign off bundles, and how many of them must do so."""
 
     members: tuple[Operator, ...]
     """All operators."""
 
     sign_offs_needed: int
-    """Distinct operators who must sign a bundle."""
+    """Minimum number of different operators who must sign a bundle."""
 
     def find_key(self, name: str) -> bytes | None:
-        """Return the public key of operator `name`, if any."""
+        """Return the public key of operator `name`, or None if there is none."""
         for member in self.members:
             if member.name == name:
                 return member.public_key
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/metrics.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one process: latency histograms and counts, in the usual text form."""
+"""Counters, gauges and latency histograms of one process, for Prometheus."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 from hdrh import histogram
 
-LOWEST_MICROSECONDS = 1
-HIGHEST_MICROSECONDS = 600_000_000
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 600_000_000
 SIGNIFICANT_DIGITS = 2
-MICROSECONDS = 1_000_000.0
+MICROSECONDS_PER_S = 1_000_000.0
 QUANTILES = (0.5, 0.9, 0.99, 0.999)
 
 
 class Metrics:
-    """Counts and latencies, by name and label text."""
+    """Counters, gauges and latencies, by name and label text."""
 
     def __init__(self) -> None:
         self._counts: collections.Counter[tuple[str, str]] = collections.Counter()
@@ -27,28 +27,28 @@
         self._counts[name, labels] += 1
 
     def set_gauge(self, name: str, value: float, labels: str = "") -> None:
-        """Set a gauge."""
+        """Set a gauge to `value`."""
         self._gauges[name, labels] = value
 
     def record(self, name: str, seconds: float, labels: str = "") -> None:
-        """Record a latency."""
-        known = self._latencies.get((name, labels))
-        if known is None:
-            known = histogram.HdrHistogram(
-                LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS
+        """Record a latency in seconds."""
+        latencies = self._latencies.get((name, labels))
+        if latencies is None:
+            latencies = histogram.HdrHistogram(
+                MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
             )
-            self._latencies[name, labels] = known
-        known.record_value(max(LOWEST_MICROSECONDS, int(seconds * MICROSECONDS)))
+            self._latencies[name, labels] = latencies
+        latencies.record_value(max(MIN_LATENCY_US, int(seconds * MICROSECONDS_PER_S)))
 
     def read_count(self, name: str, labels: str = "") -> int:
-        """Return a counter."""
+        """Return the value of a counter; 0 if it was never counted."""
         return self._counts[name, labels]
 
     def format_text(self) -> str:
-        """Return everything in the Prometheus text exposition format."""
+        """Return all metrics in the Prometheus text exposition format."""
         lines: list[str] = []
-        self._format_simple(lines, "counter", dict(self._counts))
-        self._format_simple(lines, "gauge", self._gauges)
+        self._format_values(lines, "counter", dict(self._counts))
+        self._format_values(lines, "gauge", self._gauges)
         named = sorted({name for name, _ in self._latencies})
         for name in named:
             lines.append(f"# TYPE {name} summary")
@@ -59,7 +59,7 @@
                     lines += _format_summary(name, labels, known)
         return "\n".join(lines) + "\n"
 
-    def _format_simple(
+    def _format_values(
         self,
         lines: list[str],
         form: str,
@@ -70,11 +70,11 @@
             if name != last:
                 lines.append(f"# TYPE {name} {form}")
                 last = name
-            lines.append(f"{name}{_wrap(labels)} {value}")
+            lines.append(f"{name}{_enclose(labels)} {value}")
 
 
 def label(**values: str) -> str:
-    """Return label text, with values quoted."""
+    """Return the text of labels, with their values quoted and escaped."""
     pairs = []
     for name, value in values.items():
         quoted = value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
@@ -82,18 +82,20 @@
     return ",".join(pairs)
 
 
-def _format_summary(name: str, labels: str, known: histogram.HdrHistogram) -> list[str]:
+def _format_summary(
+    name: str, labels: str, latencies: histogram.HdrHistogram
+) -> list[str]:
     lines = []
     for quantile in QUANTILES:
-        value = known.get_value_at_percentile(quantile * 100) / MICROSECONDS
+        value = latencies.get_value_at_percentile(quantile * 100) / MICROSECONDS_PER_S
         joined = ",".join(filter(None, [labels, f'quantile="{quantile}"']))
-        lines.append(f"{name}{_wrap(joined)} {value}")
-    total = known.get_total_count()
-    mean = known.get_mean_value() / MICROSECONDS if total else 0.0
-    lines.append(f"{name}_sum{_wrap(labels)} {mean * total}")
-    lines.append(f"{name}_count{_wrap(labels)} {total}")
+        lines.append(f"{name}{_enclose(joined)} {value}")
+    total = latencies.get_total_count()
+    mean = latencies.get_mean_value() / MICROSECONDS_PER_S if total else 0.0
+    lines.append(f"{name}_sum{_enclose(labels)} {mean * total}")
+    lines.append(f"{name}_count{_enclose(labels)} {total}")
     return lines
 
 
-def _wrap(labels: str) -> str:
+def _enclose(labels: str) -> str:
     return f"{{{labels}}}" if labels else ""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/settings_document.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/settings_document.py
@@ -1,4 +1,7 @@
-"""Reads a file of settings, JSON with comments, whole or with all that is wrong."""
+"""Reads settings files, written as JSON with comments.
+
+A file either yields its settings or every finding in it.
+"""
 
 from __future__ import annotations
 
@@ -14,28 +17,48 @@
 Settings = typing.TypeVar("Settings")
 
 Read = collections.abc.Callable[[documents.Reader], Settings]
-"""Returns the settings in a document; findings go to its reader."""
+"""Function that returns the settings in a document, and adds findings to its reader."""
 
 
 def load(
     path: pathlib.Path, read: Read[Settings]
 ) -> expression.Result[Settings, findings.Findings]:
-    """Return the settings in a file, or every finding in it."""
+    """Return the settings in a file, or every finding in it.
+
+    Parameters
+    ----------
+    path : pathlib.Path
+        The file.
+    read : Read
+        Reads the fields of the document.
+    """
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        return expression.Error(_find(str(path), f"cannot be read: {error}"))
+        return expression.Error(_make_findings(str(path), f"cannot be read: {error}"))
     return parse(text, str(path), read)
 
 
 def parse(
-    text: str, place: str, read: Read[Settings]
+    text: str, location: str, read: Read[Settings]
 ) -> expression.Result[Settings, findings.Findings]:
-    """Return the settings in a text; `place` names it in findings."""
+    """Return the settings in a text, or every finding in it.
+
+    Parameters
+    ----------
+    text : str
+        JSON with comments.
+    location : str
+        Name of the document in a finding that concerns the whole text.
+    read : Read
+        Reads the fields of the document.
+    """
     try:
         document = json5.loads(text)
     except ValueError as error:
-        return expression.Error(_find(place, f"not JSON with comments: {error}"))
+        return expression.Error(
+            _make_findings(location, f"not JSON with comments: {error}")
+        )
     collector = documents.Collector()
     reader = documents.Reader(document, "", collector)
     result = read(reader)
@@ -45,5 +68,5 @@
     return expression.Ok(result)
 
 
-def _find(place: str, message: str) -> findings.Findings:
-    return findings.Findings((findings.Finding(place, message),))
+def _make_findings(location: str, message: str) -> findings.Findings:
+    return findings.Findings((findings.Finding(location, message),))
--- a/tests/platform_adapter/test_decoding.py
+++ b/tests/platform_adapter/test_decoding.py
@@ -1,4 +1,4 @@
-"""The platform's records become typed values, or findings with their place."""
+"""The platform's records are decoded to typed values or rejected with findings."""
 
 from __future__ import annotations
 
@@ -89,25 +89,25 @@
     assert found.limits.idle_timeout == 15.0
 
 
-BREAKS: dict[str, tuple[list[typing.Any], object]] = {
+MISTAKES: dict[str, tuple[list[typing.Any], object]] = {
     "no version": (["version"], "zz"),
     "unknown service": (["routes", "rows", 0, 7], "nobody"),
-    "odd kind": (["routes", "rows", 0, 3], "sometimes"),
+    "unknown kind": (["routes", "rows", 0, 3], "sometimes"),
     "row cut short": (["routes", "rows", 1], ["r2"]),
     "no weight": (["routes", "rows", 1, 9], [{"service": "desk", "weight": 0}]),
     "no routes": (["routes"], None),
 }
 
 
-@pytest.mark.parametrize(("path", "value"), BREAKS.values(), ids=BREAKS.keys())
-def test_broken_configuration_is_refused_whole(
+@pytest.mark.parametrize(("path", "value"), MISTAKES.values(), ids=MISTAKES.keys())
+def test_configuration_with_one_mistake_is_rejected_as_a_whole(
     path: list[typing.Any], value: object
 ) -> None:
     document = json.loads(json.dumps(CONFIGURATION))
-    place = document
+    container = document
     for step in path[:-1]:
-        place = place[step]
-    place[path[-1]] = value
+        container = container[step]
+    container[path[-1]] = value
     with pytest.raises(decoding.UndecodableError):
         decoding.decode_configuration(encode(document))
 
@@ -144,13 +144,13 @@
         ("sequence", None),
     ],
 )
-def test_entry_of_another_writer_names_no_target(field: str, value: object) -> None:
+def test_entry_with_one_mistake_is_rejected(field: str, value: object) -> None:
     with pytest.raises(decoding.UndecodableError, match="i-1"):
         decoding.decode_entry("i-1", encode({**ENTRY, field: value}), 1, 0.0)
 
 
 @hypothesis.given(st.binary(max_size=60))
-def test_bytes_that_cannot_be_read_are_refused(data: bytes) -> None:
+def test_arbitrary_bytes_are_rejected(data: bytes) -> None:
     for decode in (
         lambda: decoding.decode_entry("i-1", data, 1, 0.0),
         lambda: decoding.decode_configuration(data),
@@ -159,12 +159,12 @@
             decode()
 
 
-def test_own_record_survives_the_way() -> None:
+def test_vm_record_is_decoded_as_it_was_encoded() -> None:
     member = ports.Member("vm-1", "a", "10.0.0.1", 7660, 99)
     assert decoding.decode_member("vm-1", decoding.encode_member(member)) == member
 
 
 @pytest.mark.parametrize("data", [b"", b"\x01", b"\x84aaaa", b"nonsense"])
-def test_record_of_no_vm_is_refused(data: bytes) -> None:
+def test_malformed_vm_record_is_rejected(data: bytes) -> None:
     with pytest.raises(decoding.UndecodableError):
         decoding.decode_member("vm-1", data)
--- a/tests/platform_adapter/test_store.py
+++ b/tests/platform_adapter/test_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store against the stand-in and its faults."""
+"""The client of the platform's store, tested against the stand-in and its faults."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def anyio_backend() -> str:
-    """Run on the loop that the edge uses."""
+    """Run on the event loop that the proxy uses."""
     return "asyncio"
 
 
@@ -49,7 +49,7 @@
     site.register(target)
 
 
-async def test_targets_are_read_and_followed() -> None:
+async def test_changes_of_targets_are_read_from_the_end_of_the_listing() -> None:
     async with run_store() as (topics, client):
         put_target(topics, "t1")
         page = await client.read_targets()
@@ -63,14 +63,14 @@
         assert found.position == 3
 
 
-async def test_listing_goes_over_many_pages() -> None:
+async def test_targets_are_read_from_all_pages_of_a_listing() -> None:
     async with run_store() as (topics, client):
         for n in range(topic_store_app.PAGE + 20):
             put_target(topics, f"t{n:04}")
         assert len((await client.read_targets()).changes) == topic_store_app.PAGE + 20
 
 
-async def test_wait_ends_with_a_new_configuration() -> None:
+async def test_new_configuration_ends_the_wait_for_one() -> None:
     async with run_store() as (topics, client):
         page = await client.read_configuration()
         assert page.newest is None
@@ -87,7 +87,7 @@
             assert found.newest.version == 7
 
 
-async def test_broken_and_foreign_records_are_passed_over() -> None:
+async def test_malformed_records_and_unknown_keys_are_ignored() -> None:
     async with run_store() as (topics, client):
         data = encoding.encode_configuration(7, [edge_site.make_route()])
         topics.put(words.CONFIGURATION_TOPIC, words.CONFIGURATION_KEY, data)
@@ -100,7 +100,7 @@
         assert (await client.read_targets()).changes == ()
 
 
-async def test_forgotten_history_is_told_apart() -> None:
+async def test_read_from_a_dropped_offset_raises_history_lost() -> None:
     async with run_store() as (topics, client):
         put_target(topics, "t1")
         topics.forget(words.TARGETS_TOPIC)
@@ -118,15 +118,17 @@
         topic_store.Fault.LOST,
     ],
 )
-async def test_every_fault_is_one_error_in_time(fault: topic_store.Fault) -> None:
+async def test_every_fault_raises_store_unavailable_in_time(
+    fault: topic_store.Fault,
+) -> None:
     async with run_store() as (topics, client):
         topics.fault = fault
-        with anyio.fail_after(store.CALL_TIMEOUT + 1.0):
+        with anyio.fail_after(store.CALL_TIMEOUT_S + 1.0):
             with pytest.raises(ports.StoreUnavailableError):
                 await client.read_targets()
 
 
-async def test_entry_of_a_vm_whose_answer_was_lost_may_be_made_again() -> None:
+async def test_vm_may_announce_itself_again_after_a_lost_answer() -> None:
     async with run_store() as (topics, client):
         member = ports.Member("vm-1", "a", "10.0.0.1", 7660, 99)
         topics.fault = topic_store.Fault.LOST
