--- a/tests/dispatch/test_load_replay.py
+++ b/tests/dispatch/test_load_replay.py
@@ -1,7 +1,8 @@
-"""Loads replayed in virtual time: what the dispatcher gains over plain choices.
+"""Simulated loads in virtual time: the dispatcher compared with simple policies.
 
-Each test plays a load pattern with several seeds against the product's decisions and a
-baseline, and compares shares of requests.
+Each test simulates a load with several seeds, and checks shares of its requests against
+a bound or against the least-busy policy, which picks the target with the fewest
+requests in flight.
 """
 
 from __future__ import annotations
@@ -22,50 +23,55 @@
 
 
 def mean(values: collections.abc.Iterable[float]) -> float:
-    found = list(values)
-    return sum(found) / len(found)
+    numbers = list(values)
+    return sum(numbers) / len(numbers)
 
 
 def make_load(share: float, **changes: float) -> loads.Load:
+    """Return a load with a rate of `share` times the capacity of all targets."""
     base = loads.Load(rate=1.0, seconds=12.0)
     load = dataclasses.replace(base, **changes)  # type: ignore[arg-type]
     return dataclasses.replace(load, rate=share * base.capacity)
 
 
-def strike(load: loads.Load, seed: int) -> loads.Result:
+def play_with_strikes(load: loads.Load, seed: int) -> loads.Result:
+    """Play the least-busy policy that avoids a target for 0.7 s after a failure."""
     return load_model.play_least_busy(load, seed, strike=0.7)
 
 
-def test_failing_targets_are_found_out_and_avoided() -> None:
-    # A third of the targets fail three of four requests, at once, and look idle. The
-    # least busy target is then most often a failing one.
+def test_failing_targets_are_detected_and_avoided() -> None:
+    # A third of the targets fail three of four requests, and do so without delay. They
+    # look idle, so the least busy target is most often a failing one.
     load = make_load(0.4)
-    own = play(load_model.play_dispatcher, load)
-    plain = play(load_model.play_least_busy, load)
-    struck = play(strike, load)
-    assert mean(one.served_share for one in own) > 0.965
-    assert mean(one.served_share for one in plain) < 0.8
-    own_failed = mean(one.failed / one.asked for one in own)
-    assert own_failed < 0.5 * mean(one.failed / one.asked for one in struck)
+    results = play(load_model.play_dispatcher, load)
+    least_busy = play(load_model.play_least_busy, load)
+    with_strikes = play(play_with_strikes, load)
+    assert mean(result.served_share for result in results) > 0.965
+    assert mean(result.served_share for result in least_busy) < 0.8
+    failed_share = mean(result.failed / result.asked for result in results)
+    assert failed_share < 0.5 * mean(
+        result.failed / result.asked for result in with_strikes
+    )
 
 
-def test_idempotent_work_hardly_ever_fails() -> None:
-    # Its first attempt finds out about doubtful targets, its last goes to a proven one.
+def test_almost_all_idempotent_requests_are_served() -> None:
+    # Their first attempts test uncertain targets, and their last ones go to targets
+    # that are proven healthy.
     for result in play(load_model.play_dispatcher, make_load(0.4)):
         assert result.served_by_kind["lookup"] > 0.98
 
 
-def test_idempotent_work_that_found_out_about_targets_is_not_left_behind() -> None:
-    # 70% load, a third of the targets failing. The first attempt of a lookup finds out
-    # about a target in doubt for all others; its second one, of a lower rank than
-    # writes, waited behind them until it was too late: 0.960 of the lookups were
-    # served, and 0.975 since they go one rank up.
-    own = play(load_model.play_dispatcher, make_load(0.7))
-    assert mean(one.served_by_kind["lookup"] for one in own) > 0.968
+def test_idempotent_request_that_tested_a_target_is_served_in_its_retry() -> None:
+    # 70% load, and a third of the targets fail. The first attempt of a lookup may test
+    # an uncertain target for all others. Guards against second attempts that wait
+    # behind writes, which have a higher priority, until it is too late: 0.960 of the
+    # lookups are served that way, and 0.975 if second attempts go one priority up.
+    results = play(load_model.play_dispatcher, make_load(0.7))
+    assert mean(result.served_by_kind["lookup"] for result in results) > 0.968
 
 
 def make_sticky_load(kind: loads.Kind, rate: float, count: int) -> loads.Load:
-    """Return lookups alone, at targets that stay good or failing for long."""
+    """Return a load of one kind, whose targets stay good or failing for long."""
     return loads.Load(
         rate=rate,
         seconds=40.0,
@@ -77,45 +83,47 @@
     )
 
 
-def test_retries_are_left_for_those_whose_target_failed_by_surprise() -> None:
-    # Guards against trials of failing targets that spend the retries of a service.
+def test_retries_remain_for_requests_whose_target_failed_unexpectedly() -> None:
+    # Guards against requests that test failing targets until no retries of the service
+    # are left.
     short = loads.Kind("short", 1.0, 0.32, 2, 2, 1.0, 2.0)
-    own = play(load_model.play_dispatcher, make_sticky_load(short, 28.0, 7))
+    results = play(load_model.play_dispatcher, make_sticky_load(short, 28.0, 7))
     long = loads.Kind("long", 1.0, 0.97, 2, 2, 2.5, 4.0)
-    own += play(load_model.play_dispatcher, make_sticky_load(long, 11.0, 8))
-    assert mean(one.served_share for one in own) > 0.977
+    results += play(load_model.play_dispatcher, make_sticky_load(long, 11.0, 8))
+    assert mean(result.served_share for result in results) > 0.977
 
 
-def test_vms_that_send_little_use_their_connections_again() -> None:
-    # Guards against a new connection for nearly each request: 48 VMs share 11 targets
-    # and send each of them a request in twelve seconds.
+def test_vms_with_few_requests_reuse_their_connections() -> None:
+    # Guards against a new connection for nearly each request: 48 VMs share 11 targets,
+    # and each VM sends a request to each target every 12 s.
     write = loads.Kind("write", 1.0, 0.24, 1, 1, 1.0, 2.5)
     load = make_sticky_load(write, 45.0, 11)
     load = dataclasses.replace(load, vms=48)
-    own = play(load_model.play_dispatcher, load)
-    assert mean(one.opened / one.asked for one in own) < 0.35
+    results = play(load_model.play_dispatcher, load)
+    assert mean(result.opened / result.asked for result in results) < 0.35
     unaware = play(load_model.play_dispatcher, dataclasses.replace(load, vms=0))
-    assert mean(one.served_share for one in own) > 0.99 * mean(
-        one.served_share for one in unaware
+    assert mean(result.served_share for result in results) > 0.99 * mean(
+        result.served_share for result in unaware
     )
 
 
-def test_a_quarter_lost_at_high_load_still_serves_most_in_time() -> None:
-    # 80% load, a quarter of the targets gone and a third of the rest failing: more
-    # work than working slots. Waiting for proven slots must not make everybody late.
+def test_most_requests_are_in_time_without_a_quarter_of_the_targets() -> None:
+    # 80% load, a quarter of the targets is gone and a third of the others fails: there
+    # is more work than healthy slots. Waiting for targets that are proven healthy must
+    # not make all requests late.
     load = make_load(0.8, lost_share=0.25)
-    own = play(load_model.play_dispatcher, load)
-    struck = play(strike, load)
-    assert mean(one.in_time_share for one in own) > 0.55
-    assert mean(one.in_time_share for one in own) > 2 * mean(
-        one.in_time_share for one in struck
+    results = play(load_model.play_dispatcher, load)
+    with_strikes = play(play_with_strikes, load)
+    assert mean(result.in_time_share for result in results) > 0.55
+    assert mean(result.in_time_share for result in results) > 2 * mean(
+        result.in_time_share for result in with_strikes
     )
-    assert mean(one.served_by_kind["write"] for one in own) > 0.85
+    assert mean(result.served_by_kind["write"] for result in results) > 0.85
 
 
-def test_overload_is_refused_on_arrival_and_not_later() -> None:
-    # Three times the work that the targets can do. Whoever cannot be served is told
-    # so at once; nobody waits for a refusal.
+def test_overload_is_refused_on_arrival() -> None:
+    # Three times the work that the targets can do. Requests that cannot be served are
+    # refused at once, not after a wait.
     load = make_load(3.0, onset=0.0)
     for result in play(load_model.play_dispatcher, load):
         assert result.refused > 0.5 * result.asked
@@ -124,45 +132,47 @@
         assert result.refused_late < 0.02
 
 
-def test_slow_targets_get_less_of_the_load() -> None:
-    # Three of ten targets take twelve times as long; the others suffice.
+def test_slow_targets_get_a_smaller_share_of_the_load() -> None:
+    # Three of ten targets take twelve times as long; the others have enough slots.
     load = make_load(0.4, slow_share=0.3, slow_factor=12.0, onset=0.0)
-    own = play(load_model.play_dispatcher, load)
-    plain = play(load_model.play_least_busy, load)
-    assert mean(one.in_time_share for one in own) > mean(
-        one.in_time_share for one in plain
+    results = play(load_model.play_dispatcher, load)
+    least_busy = play(load_model.play_least_busy, load)
+    assert mean(result.in_time_share for result in results) > mean(
+        result.in_time_share for result in least_busy
     )
 
 
-def test_nothing_wrong_costs_nothing() -> None:
-    # No target fails: doubt and trials must not take capacity away.
+def test_nearly_all_requests_are_served_when_no_target_fails() -> None:
+    # Failure estimates and tests of targets must not cost capacity when none fails.
     load = make_load(0.8, onset=0.0, error_share=0.0)
     for result in play(load_model.play_dispatcher, load):
         assert result.served_share > 0.99
         assert result.in_time_share > 0.93
 
 
-def test_all_targets_turn_half_away_and_every_retry_is_used() -> None:
-    # Guards against retries that are counted and never sent: each request may go to two
-    # targets, and a fifth of them, with some slack, may go to a second one.
+def test_all_retries_are_used_when_targets_refuse_half_of_the_requests() -> None:
+    # Guards against retries that are counted but never sent. Each request may go to two
+    # targets, and the retry budget allows a second one to a fifth of the requests, with
+    # some slack.
     load = make_load(0.5, shed=0.55, onset=0.0, error_share=0.0)
     slack_share = 23.0 / (10.0 * load.rate)
-    most = 0.45 * (1 + 0.2 + slack_share)
+    max_served_share = 0.45 * (1 + 0.2 + slack_share)
     for result in play(load_model.play_dispatcher, load):
-        assert result.served_share > 0.95 * most
+        assert result.served_share > 0.95 * max_served_share
 
 
-def test_burst_before_targets_turn_work_away_leaves_its_retries() -> None:
-    # A burst of 1.8 times the usual, then half of what is sent is turned away: what the
-    # burst has earned may be spent for as long as it counts.
+def test_retries_earned_by_a_burst_are_used_after_it() -> None:
+    # Targets refuse half of the requests from the start; a burst of 1.8 times the usual
+    # rate adds to the retry budget, and that may be spent as long as the burst counts.
     load = make_load(0.4, burst=1.8, burst_from=0.0, burst_until=5.0, shed=0.55)
     load = dataclasses.replace(load, seconds=15.0, onset=0.0, error_share=0.0)
-    own = play(load_model.play_dispatcher, load)
-    assert mean(one.served_share for one in own) > 0.538
+    results = play(load_model.play_dispatcher, load)
+    assert mean(result.served_share for result in results) > 0.538
 
 
-def test_limits_are_kept_at_high_load_and_lift() -> None:
-    # A quarter of the targets name 2 requests a second, and most slots are needed.
+def test_rate_limits_of_targets_are_kept_at_high_load_and_end() -> None:
+    # A quarter of the targets announce a limit of 2 requests per second while most
+    # slots are needed.
     load = make_load(0.8, limit_share=0.25, limit_until=9.0)
     for result in play(load_model.play_dispatcher, load):
         assert result.busiest_limited <= 1.5 * load.limit * 4.0 + 5
