--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -74,7 +74,7 @@
 
 
 def grant_of(decisions: list[messages.Decision], ticket: str) -> messages.Grant:
-    [found] = [decision for decision in decisions if decision.ticket == ticket]
+    [found] = [candidate for candidate in decisions if candidate.ticket == ticket]
     assert isinstance(found, messages.Grant)
     return found
 
--- a/tests/dispatch/test_load_replay.py
+++ b/tests/dispatch/test_load_replay.py
@@ -46,12 +46,10 @@
     results = play(load_model.play_dispatcher, load)
     least_busy = play(load_model.play_least_busy, load)
     with_strikes = play(play_with_strikes, load)
-    assert mean(result.served_share for result in results) > 0.965
-    assert mean(result.served_share for result in least_busy) < 0.8
-    failed_share = mean(result.failed / result.asked for result in results)
-    assert failed_share < 0.5 * mean(
-        result.failed / result.asked for result in with_strikes
-    )
+    assert mean(each.served_share for each in results) > 0.965
+    assert mean(each.served_share for each in least_busy) < 0.8
+    failed_share = mean(each.failed / each.asked for each in results)
+    assert failed_share < 0.5 * mean(each.failed / each.asked for each in with_strikes)
 
 
 def test_almost_all_idempotent_requests_are_served() -> None:
@@ -67,7 +65,7 @@
     # behind writes, which have a higher priority, until it is too late: 0.960 of the
     # lookups are served that way, and 0.975 if second attempts go one priority up.
     results = play(load_model.play_dispatcher, make_load(0.7))
-    assert mean(result.served_by_kind["lookup"] for result in results) > 0.968
+    assert mean(each.served_by_kind["lookup"] for each in results) > 0.968
 
 
 def make_sticky_load(kind: loads.Kind, rate: float, count: int) -> loads.Load:
@@ -90,7 +88,7 @@
     results = play(load_model.play_dispatcher, make_sticky_load(short, 28.0, 7))
     long = loads.Kind("long", 1.0, 0.97, 2, 2, 2.5, 4.0)
     results += play(load_model.play_dispatcher, make_sticky_load(long, 11.0, 8))
-    assert mean(result.served_share for result in results) > 0.977
+    assert mean(each.served_share for each in results) > 0.977
 
 
 def test_vms_with_few_requests_reuse_their_connections() -> None:
@@ -100,10 +98,10 @@
     load = make_sticky_load(write, 45.0, 11)
     load = dataclasses.replace(load, vms=48)
     results = play(load_model.play_dispatcher, load)
-    assert mean(result.opened / result.asked for result in results) < 0.35
+    assert mean(each.opened / each.asked for each in results) < 0.35
     unaware = play(load_model.play_dispatcher, dataclasses.replace(load, vms=0))
-    assert mean(result.served_share for result in results) > 0.99 * mean(
-        result.served_share for result in unaware
+    assert mean(each.served_share for each in results) > 0.99 * mean(
+        each.served_share for each in unaware
     )
 
 
@@ -114,11 +112,11 @@
     load = make_load(0.8, lost_share=0.25)
     results = play(load_model.play_dispatcher, load)
     with_strikes = play(play_with_strikes, load)
-    assert mean(result.in_time_share for result in results) > 0.55
-    assert mean(result.in_time_share for result in results) > 2 * mean(
-        result.in_time_share for result in with_strikes
+    assert mean(each.in_time_share for each in results) > 0.55
+    assert mean(each.in_time_share for each in results) > 2 * mean(
+        each.in_time_share for each in with_strikes
     )
-    assert mean(result.served_by_kind["write"] for result in results) > 0.85
+    assert mean(each.served_by_kind["write"] for each in results) > 0.85
 
 
 def test_overload_is_refused_on_arrival() -> None:
@@ -137,8 +135,8 @@
     load = make_load(0.4, slow_share=0.3, slow_factor=12.0, onset=0.0)
     results = play(load_model.play_dispatcher, load)
     least_busy = play(load_model.play_least_busy, load)
-    assert mean(result.in_time_share for result in results) > mean(
-        result.in_time_share for result in least_busy
+    assert mean(each.in_time_share for each in results) > mean(
+        each.in_time_share for each in least_busy
     )
 
 
@@ -167,7 +165,7 @@
     load = make_load(0.4, burst=1.8, burst_from=0.0, burst_until=5.0, shed=0.55)
     load = dataclasses.replace(load, seconds=15.0, onset=0.0, error_share=0.0)
     results = play(load_model.play_dispatcher, load)
-    assert mean(result.served_share for result in results) > 0.538
+    assert mean(each.served_share for each in results) > 0.538
 
 
 def test_rate_limits_of_targets_are_kept_at_high_load_and_end() -> None:
