--- a/packages/zinniastand-ctl/src/zinniastand_ctl/explain/causes.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/explain/causes.py
@@ -9,16 +9,20 @@
 import dataclasses
 import enum
 
-KNOWN_FAILURE_PROBABILITY = 0.3
-"""Estimated failure probability from which a target was known to be failing when it was
-chosen. From this value on, work that may run only once waits for a better target."""
+MIN_EXPECTED_FAILURE_PROBABILITY = 0.3
+"""A failure counts as expected if the target was chosen with at least this estimated
+failure probability. From this value on, work that may run only once waits for a better
+target."""
 
 SLOW_FACTOR = 2.0
 """An attempt counts as slow if it lasts longer than its expected duration times this
 factor."""
 
 MIN_ERROR_STATUS = 400
+"""Lowest HTTP status code of an error."""
+
 OWN_SERVER_ERRORS = frozenset({502, 503, 504})
+"""Status codes of errors that the proxy itself answers with."""
 
 
 class Result(enum.StrEnum):
@@ -31,7 +35,7 @@
     """A complete answer of a target, later than the route's objective."""
 
     REFUSED = "refused"
-    """A 503 which says that the request was not executed."""
+    """A 503 answer, which says that the request was not executed."""
 
     FAILED = "failed"
     """An error, or no answer before the deadline."""
@@ -214,7 +218,7 @@
         return Cause.RETRY_FAILED
     return (
         Cause.EXPECTED_FAILURE
-        if last.failure_probability >= KNOWN_FAILURE_PROBABILITY
+        if last.failure_probability >= MIN_EXPECTED_FAILURE_PROBABILITY
         else Cause.UNEXPECTED_FAILURE
     )
 
