--- a/packages/zinniastand-proxy/src/zinniastand_proxy/admin_app.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/admin_app.py
@@ -19,7 +19,7 @@
 
     Parameters
     ----------
-    tools : conductor.Tools
+    tools : conductor.Dependencies
         Metrics, time line and time.
     callers : caller_app.CallerApp
         The callers' side.
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        tools: conductor.Tools,
+        tools: conductor.Dependencies,
         callers: caller_app.CallerApp,
         joined: fleet.Fleet,
         table: service_table.ServiceTable,
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/answers.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/answers.py
@@ -38,7 +38,7 @@
     """The whole body."""
 
 
-def refuse(refusal: outcomes.Refusal, detail: str, now: float) -> Answer:
+def make_problem_answer(refusal: outcomes.Refusal, detail: str, now: float) -> Answer:
     """Return the answer of the proxy's own, with a body after RFC 9457."""
     status = outcomes.find_status(refusal.reason)
     problem: dict[str, object] = {
@@ -63,8 +63,8 @@
     return Answer(status, tuple(headers), json.dumps(problem).encode())
 
 
-def refuse_shape(status: int, detail: str, now: float) -> Answer:
+def make_bad_request_answer(status: int, detail: str, now: float) -> Answer:
     """Return the answer to a request that is not well formed."""
     refusal = outcomes.Refusal(outcomes.Outcome.NOT_RUN, outcomes.Reason.BAD_REQUEST)
-    answer = refuse(refusal, detail, now)
+    answer = make_problem_answer(refusal, detail, now)
     return dataclasses.replace(answer, status=status)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/caller_app.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/caller_app.py
@@ -55,7 +55,7 @@
 
     Parameters
     ----------
-    tools : conductor.Tools
+    dependencies : conductor.Dependencies
         What every request needs.
     table : service_table.ServiceTable
         The bundle in force.
@@ -65,11 +65,11 @@
 
     def __init__(
         self,
-        tools: conductor.Tools,
+        dependencies: conductor.Dependencies,
         table: service_table.ServiceTable,
         window: keys.Window,
     ) -> None:
-        self._tools = tools
+        self._dependencies = dependencies
         self._table = table
         self._window = window
         self._gates: dict[str, gate.Gate] = {}
@@ -89,15 +89,15 @@
         if scope["type"] != "http":
             return
         self._in_flight += 1
-        started = self._tools.timer.now()
+        started = self._dependencies.timer.now()
         try:
             await self._serve(scope, receive, send, started)
         except _GoneError:
-            self._tools.metrics.count("zinniastand_callers_gone_total")
+            self._dependencies.metrics.count("zinniastand_callers_gone_total")
         finally:
             self._in_flight -= 1
-        took = self._tools.timer.now() - started
-        self._tools.metrics.record("zinniastand_request_seconds", took)
+        took = self._dependencies.timer.now() - started
+        self._dependencies.metrics.record("zinniastand_request_seconds", took)
 
     async def _serve(
         self, scope: Scope, receive: Receive, send: Send, started: float
@@ -150,7 +150,7 @@
         deadline: float,
         receive: Receive,
     ) -> answers.Answer:
-        now = self._tools.timer.now()
+        now = self._dependencies.timer.now()
         claim = None
         if match.kind.work is services.Work.AT_MOST_ONCE:
             made = self._make_claim(request, match, deadline, now)
@@ -159,13 +159,13 @@
             claim = made.ok
         door = self._find_gate(match.service)
         if not await door.enter(match.kind.weight, deadline):
-            now = self._tools.timer.now()
+            now = self._dependencies.timer.now()
             return self._refuse(outcomes.Reason.OVERLOADED, now + OVERLOAD_PAUSE)
-        entered = self._tools.timer.now()
+        entered = self._dependencies.timer.now()
         try:
             return await self._conduct(request, match, deadline, claim, receive)
         finally:
-            door.leave(self._tools.timer.now() - entered)
+            door.leave(self._dependencies.timer.now() - entered)
 
     async def _conduct(
         self,
@@ -182,7 +182,7 @@
                 pass
 
         run = conductor.Conductor(
-            self._tools,
+            self._dependencies,
             self._table.routers[match.service],
             match.kind,
             request,
@@ -193,7 +193,7 @@
         )
         reply = await run.run()
         if reply.answer is not None:
-            self._tools.metrics.count("zinniastand_answers_total")
+            self._dependencies.metrics.count("zinniastand_answers_total")
             return reply.answer
         if reply.refusal is None:
             raise _GoneError
@@ -213,7 +213,7 @@
         if read.is_error():
             return expression.Error(read.error)
         claim = conductor.make_claim(
-            self._tools,
+            self._dependencies,
             read.ok.digest,
             read.ok.made_at,
             request.fingerprint(),
@@ -226,7 +226,7 @@
         door = self._table.routers[service].admission
         known = self._gates.get(service)
         if known is None or known.door is not door:
-            known = self._gates[service] = gate.Gate(door, self._tools.timer)
+            known = self._gates[service] = gate.Gate(door, self._dependencies.timer)
         return known
 
     def _note_refusal(
@@ -236,7 +236,9 @@
         if refusal.outcome is not outcomes.Outcome.NOT_RUN:
             kind = timeline.EventKind.REQUEST_UNKNOWN
         detail = f"{match.service}/{match.kind.name}: {refusal.reason}"
-        self._tools.events.record(kind, request_id, detail, self._tools.timer.now())
+        self._dependencies.events.record(
+            kind, request_id, detail, self._dependencies.timer.now()
+        )
 
     def _refuse(
         self, reason: outcomes.Reason, retry_at: float | None = None
@@ -246,12 +248,14 @@
 
     def _refuse_with(self, refusal: outcomes.Refusal) -> answers.Answer:
         label = f'outcome="{refusal.outcome}",reason="{refusal.reason}"'
-        self._tools.metrics.count("zinniastand_refusals_total", label)
-        return answers.refuse(refusal, "", self._tools.timer.now())
+        self._dependencies.metrics.count("zinniastand_refusals_total", label)
+        return answers.make_problem_answer(refusal, "", self._dependencies.timer.now())
 
     async def _send_fault(self, send: Send, status: int, detail: str) -> None:
-        self._tools.metrics.count("zinniastand_bad_requests_total")
-        answer = answers.refuse_shape(status, detail, self._tools.timer.now())
+        self._dependencies.metrics.count("zinniastand_bad_requests_total")
+        answer = answers.make_bad_request_answer(
+            status, detail, self._dependencies.timer.now()
+        )
         await self._send(send, answer, is_head=False)
 
     async def _send(self, send: Send, answer: answers.Answer, is_head: bool) -> None:
@@ -276,7 +280,7 @@
                     raise _GoneError
                 chunk = message.get("body", b"")
                 size += len(chunk)
-                if size > self._tools.max_body_bytes:
+                if size > self._dependencies.max_body_bytes:
                     raise _BodyError(413, "the body is over the bound")
                 chunks.append(chunk)
                 if not message.get("more_body", False):
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/claims_service.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/claims_service.py
@@ -201,7 +201,7 @@
 
     Parameters
     ----------
-    own : str
+    vm : str
         Name of this VM.
     log : platform_log.Log
         The platform's log.
@@ -219,7 +219,7 @@
 
     def __init__(
         self,
-        own: str,
+        vm: str,
         log: platform_log.Log,
         timer: clock.Clock,
         group: anyio.abc.TaskGroup,
@@ -227,7 +227,7 @@
         slices: int,
         wait: float,
     ) -> None:
-        self._own = own
+        self._vm = vm
         self._log = log
         self._timer = timer
         self._group = group
@@ -239,7 +239,7 @@
         self._appenders: dict[int, str] = {}
         self._picked_at = -1
 
-    def use_peers(self, peers: Peers) -> None:
+    def set_peers(self, peers: Peers) -> None:
         """Name the way to other VMs; without it each VM appends for itself."""
         self._peers = peers
 
@@ -252,7 +252,7 @@
         """Return the verdict on a claim."""
         number = keys.find_slice(claim.key_digest, self._slices)
         appender = self._pick_appender(number)
-        if appender != self._own and self._peers is not None:
+        if appender != self._vm and self._peers is not None:
             verdict = await self._seek_by_peer(appender, claim)
             if verdict is not None:
                 return verdict
@@ -274,7 +274,7 @@
         """Put an outcome on the log, through the VM that appends for the slice."""
         number = keys.find_slice(record.key_digest, self._slices)
         appender = self._pick_appender(number)
-        if appender != self._own and self._peers is not None:
+        if appender != self._vm and self._peers is not None:
             if await self._peers.ask_settle(appender, claim_records.pack([record])):
                 return
         self._find_driver(number).settle(record)
@@ -327,14 +327,14 @@
 
     def _pick_appender(self, number: int) -> str:
         if self._peers is None:
-            return self._own
+            return self._vm
         revision = self._peers.read_revision()
         if revision != self._picked_at:
             self._picked_at = revision
             self._appenders.clear()
         appender = self._appenders.get(number)
         if appender is None:
-            names = [self._own, *self._peers.list_alive()]
+            names = [self._vm, *self._peers.list_alive()]
             appender = rendezvous.pick(f"slice/{number}", names)[0]
             self._appenders[number] = appender
         return appender
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/conductor.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/conductor.py
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tools:
+class Dependencies:
     """What every request needs, made once."""
 
     vm: str
@@ -78,7 +78,7 @@
 
     Parameters
     ----------
-    tools : Tools
+    dependencies : Dependencies
         What every request needs.
     routing : router.Router
         Router of the request's service.
@@ -98,7 +98,7 @@
 
     def __init__(
         self,
-        tools: Tools,
+        dependencies: Dependencies,
         routing: router.Router,
         kind: services.Kind,
         request: incoming.Request,
@@ -107,7 +107,7 @@
         claim: claim_records.Claim | None,
         wait_gone: collections.abc.Callable[[], collections.abc.Awaitable[None]],
     ) -> None:
-        self._tools = tools
+        self._dependencies = dependencies
         self._wait_gone = wait_gone
         self._watch_scope: anyio.CancelScope | None = None
         self._routing = routing
@@ -119,7 +119,7 @@
             request_id,
             routing.service,
             claim.start_deadline if claim else None,
-            tools.max_body_bytes,
+            dependencies.max_body_bytes,
         )
         self._scopes: dict[int, anyio.CancelScope] = {}
         self._answers: dict[int, answers.Answer] = {}
@@ -131,13 +131,13 @@
 
     async def run(self) -> Reply:
         """Return what the caller gets, by the deadline."""
-        watch_at = self._tools.timer.now() + WATCH_AFTER
-        self._act(self._plan.start(self._tools.timer.now()))
+        watch_at = self._dependencies.timer.now() + WATCH_AFTER
+        self._act(self._plan.start(self._dependencies.timer.now()))
         while self._reply is None:
             wake_at = self._find_wake_time()
             if self._watch_scope is None:
                 wake_at = min(wake_at, watch_at)
-            now = self._tools.timer.now()
+            now = self._dependencies.timer.now()
             with anyio.move_on_at(clock.convert_deadline(wake_at, now)):
                 await self._changed.wait()
             self._changed = anyio.Event()
@@ -147,7 +147,7 @@
         return self._reply
 
     def _wake(self, watch_at: float) -> None:
-        now = self._tools.timer.now()
+        now = self._dependencies.timer.now()
         self._count_late(now)
         if self._reply is not None:
             return
@@ -155,7 +155,7 @@
             self._act(self._plan.wake(now))
         if now >= watch_at and self._watch_scope is None:
             self._watch_scope = anyio.CancelScope()
-            self._tools.group.start_soon(self._watch, self._watch_scope)
+            self._dependencies.group.start_soon(self._watch, self._watch_scope)
 
     async def _watch(self, scope: anyio.CancelScope) -> None:
         """Watch for the caller's going away.
@@ -165,7 +165,7 @@
         with scope:
             await self._wait_gone()
             if self._reply is None:
-                self._act(self._plan.abandon(self._tools.timer.now()))
+                self._act(self._plan.abandon(self._dependencies.timer.now()))
                 self._finish(Reply(None, None))
 
     def _act(self, actions: list[attempt_actions.Action]) -> None:
@@ -176,10 +176,10 @@
                 case attempt_actions.Cancel():
                     self._scopes[action.attempt].cancel()
                 case attempt_actions.SeekClaim():
-                    self._tools.group.start_soon(self._seek, action.claim)
+                    self._dependencies.group.start_soon(self._seek, action.claim)
                 case attempt_actions.Settle():
-                    self._tools.group.start_soon(
-                        self._tools.claims.settle, action.record
+                    self._dependencies.group.start_soon(
+                        self._dependencies.claims.settle, action.record
                     )
                 case attempt_actions.Relay():
                     self._finish(Reply(self._answers[action.attempt], None))
@@ -211,16 +211,18 @@
         subject = baselines.Subject(name, self._kind.name)
         overdue_after = self._routing.health.find_overdue_after(subject)
         if overdue_after is not None:
-            self._overdue_at[send.attempt] = self._tools.timer.now() + overdue_after
+            self._overdue_at[send.attempt] = (
+                self._dependencies.timer.now() + overdue_after
+            )
         if send.attempt > 1:
-            self._tools.metrics.count("zinniastand_repeats_total")
-        self._tools.group.start_soon(self._attempt, send, scope)
+            self._dependencies.metrics.count("zinniastand_repeats_total")
+        self._dependencies.group.start_soon(self._attempt, send, scope)
 
     async def _seek(self, claim: claim_records.Claim) -> None:
-        started = self._tools.timer.now()
-        verdict = await self._tools.claims.seek(claim)
-        now = self._tools.timer.now()
-        self._tools.metrics.record("zinniastand_claim_seconds", now - started)
+        started = self._dependencies.timer.now()
+        verdict = await self._dependencies.claims.seek(claim)
+        now = self._dependencies.timer.now()
+        self._dependencies.metrics.record("zinniastand_claim_seconds", now - started)
         match verdict:
             case claimer.Granted():
                 self._act(self._plan.take_grant(now))
@@ -231,18 +233,18 @@
     async def _attempt(
         self, send: attempt_actions.Send, scope: anyio.CancelScope
     ) -> None:
-        started = self._tools.timer.now()
+        started = self._dependencies.timer.now()
         name = send.target.name
         result: exchange.Result | None = None
         try:
             with scope:
-                result = await self._tools.exchanger.exchange(send, self._task)
+                result = await self._dependencies.exchanger.exchange(send, self._task)
         finally:
             self._routing.end(name)
             self._overdue_at.pop(send.attempt, None)
         if result is None:
             return
-        now = self._tools.timer.now()
+        now = self._dependencies.timer.now()
         self._observe(send, result, now - started, now)
         if result.answer is not None:
             self._answers[send.attempt] = result.answer
@@ -304,11 +306,11 @@
         self, kind: timeline.EventKind, target: str, detail: str, now: float
     ) -> None:
         subject = f"{self._routing.service.name}/{target}"
-        self._tools.events.record(kind, subject, detail, now)
+        self._dependencies.events.record(kind, subject, detail, now)
 
 
 def make_claim(
-    tools: Tools,
+    dependencies: Dependencies,
     key_digest: bytes,
     key_made_at: float,
     fingerprint: bytes,
@@ -320,8 +322,8 @@
     return claim_records.Claim(
         key_digest=key_digest,
         claim_id=os.urandom(CLAIM_ID_BYTES),
-        holder=tools.vm,
-        incarnation=tools.incarnation,
+        holder=dependencies.vm,
+        incarnation=dependencies.incarnation,
         start_deadline=round(start_deadline, 3),
         key_made_at=round(key_made_at, 3),
         fingerprint=fingerprint,
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/daemon.py
@@ -148,7 +148,7 @@
             config.claim_slices,
             config.claim_wait,
         )
-        claims.use_peers(joined)
+        claims.set_peers(joined)
         joined.use_claims(claims)
         return joined, claims
 
@@ -158,8 +158,8 @@
         pool: connections.Connections,
         claims: claims_service.ClaimsService,
         group: anyio.abc.TaskGroup,
-    ) -> conductor.Tools:
-        return conductor.Tools(
+    ) -> conductor.Dependencies:
+        return conductor.Dependencies(
             vm=own.vm,
             incarnation=own.incarnation,
             timer=self._timer,
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/fleet.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/fleet.py
@@ -187,7 +187,7 @@
 
     def _reconfigure(self) -> None:
         now = self._timer.now()
-        self._table.follow(self._core.config.chain.bundle, now)
+        self._table.apply_bundle(self._core.config.chain.bundle, now)
         self._core.evidence.use_routers(self._table.routers)
         self._core.evidence.apply_ejections(now)
 
@@ -208,7 +208,7 @@
             now = self._timer.now()
             self._act(self._core.tick(now))
             vms = self._core.members.watch().vms
-            self._table.follow_fleet(vms, now)
+            self._table.set_vm_count(vms, now)
 
     async def _read_config(self) -> None:
         """Follow the configuration stream.
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/service_table.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/service_table.py
@@ -24,9 +24,9 @@
         self._generator = generator
         self._bundle: bundles.Bundle | None = None
         self._accounts: dict[str, budgets.RateBudget] = {}
-        self._vms = 1
+        self._vm_count = 1
 
-    def follow(self, bundle: bundles.Bundle, now: float) -> None:
+    def apply_bundle(self, bundle: bundles.Bundle, now: float) -> None:
         """Bring everything up to a new bundle; work under way goes on."""
         self._bundle = bundle
         self.routes.follow(bundle)
@@ -41,11 +41,11 @@
                 routing.replace_service(service, now)
         self._accounts.clear()
 
-    def follow_fleet(self, vms: int, now: float) -> None:
+    def set_vm_count(self, vm_count: int, now: float) -> None:
         """Take in how many VMs share each account's rate."""
-        if vms == self._vms:
+        if vm_count == self._vm_count:
             return
-        self._vms = vms
+        self._vm_count = vm_count
         for name, budget in self._accounts.items():
             rate = self._find_rate(name)
             if rate is not None:
@@ -76,5 +76,5 @@
         The balancer spreads a caller's requests evenly only on average; the burst
         lets a VM take more than its share for a moment.
         """
-        share = rate / self._vms
+        share = rate / self._vm_count
         return share, max(LEAST_BURST, 2.0 * share)
