--- a/packages/zinniastand-proxy/src/zinniastand_proxy/answers.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/answers.py
@@ -1,4 +1,4 @@
-"""Answers to callers: a target's whole answer, or one of the proxy's own."""
+"""Answers to callers: a target's complete answer, or a problem document."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 OUTCOME_HEADER = b"x-outcome"
 REASON_HEADER = b"x-outcome-reason"
-PROBLEM_TYPE = "urn:zinniastand:problem:"
+PROBLEM_TYPE_PREFIX = "urn:zinniastand:problem:"
 
 TITLES = {
     outcomes.Outcome.NOT_RUN: "The request was not run",
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """An HTTP answer, whole."""
+    """A complete HTTP answer."""
 
     status: int
     """HTTP status."""
@@ -35,14 +35,29 @@
     """End-to-end headers, names in lower case."""
 
     body: bytes
-    """The whole body."""
+    """The complete body."""
 
 
 def make_problem_answer(refusal: outcomes.Refusal, detail: str, now: float) -> Answer:
-    """Return the answer of the proxy's own, with a body after RFC 9457."""
+    """Return an answer that the proxy makes itself, with an RFC 9457 problem body.
+
+    Parameters
+    ----------
+    refusal : outcomes.Refusal
+        Outcome and reason to report.
+    detail : str
+        Explanation for the caller, or empty for the outcome's default text.
+    now : float
+        Unix seconds, from which ``Retry-After`` counts.
+
+    Returns
+    -------
+    Answer
+        Problem document as JSON, with the outcome and reason in headers too.
+    """
     status = outcomes.find_status(refusal.reason)
     problem: dict[str, object] = {
-        "type": PROBLEM_TYPE + refusal.reason,
+        "type": PROBLEM_TYPE_PREFIX + refusal.reason,
         "title": TITLES[refusal.outcome],
         "status": status,
         "detail": detail or DETAILS[refusal.outcome],
@@ -64,7 +79,17 @@
 
 
 def make_bad_request_answer(status: int, detail: str, now: float) -> Answer:
-    """Return the answer to a request that is not well formed."""
+    """Return the answer to a malformed request.
+
+    Parameters
+    ----------
+    status : int
+        HTTP status; replaces the default status of the reason ``bad-request``.
+    detail : str
+        What is wrong with the request.
+    now : float
+        Unix seconds.
+    """
     refusal = outcomes.Refusal(outcomes.Outcome.NOT_RUN, outcomes.Reason.BAD_REQUEST)
     answer = make_problem_answer(refusal, detail, now)
     return dataclasses.replace(answer, status=status)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/claims_service.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/claims_service.py
@@ -1,4 +1,8 @@
-"""Claims on the log: one driver per slice, and the VM that should append for it."""
+"""Claims on the platform's log: one driver per slice, and the VM that appends for it.
+
+Keys are spread over slices, each with a stream of its own on the log. For each slice
+one VM appends on behalf of all, so that claims share batches.
+"""
 
 from __future__ import annotations
 
@@ -18,39 +22,48 @@
 
 from . import clock, platform_log
 
-READ_WAIT = 0.25
-RETRY_PAUSE = 0.05
-OUTAGE_PAUSE = 1.0
-PEER_SHARE = 0.3
-HORIZON_FACTOR = 1.5
+READ_WAIT_S = 0.25
+"""Longest wait of one read for a new entry."""
+
+RETRY_DELAY_S = 0.05
+"""Delay after a failed read, or an append whose effect is unknown."""
+
+OUTAGE_RETRY_INTERVAL_S = 1.0
+"""Interval at which outcomes that the log has not taken are appended again."""
+
+PEER_TIMEOUT_SHARE = 0.3
+"""Share of the time to the start deadline that the appending VM gets to answer."""
+
+HORIZON_WINDOWS = 1.5
+"""How long the ledger remembers a key, in lengths of the key window."""
 
 Verdict = claimer.Granted | claimer.Denied
 
 
 class Peers(typing.Protocol):
-    """How a VM asks another to append for it."""
+    """Requests to other VMs to append claims and outcomes."""
 
     def list_alive(self) -> list[str]:
         """Return the names of the other VMs that are up."""
         ...
 
     def read_revision(self) -> int:
-        """Return a number that changes with the members."""
+        """Return a number that changes whenever the members of the fleet change."""
         ...
 
     async def ask_claim(
         self, vm: str, claim: claim_records.Claim
     ) -> peer_messages.ClaimAnswered | None:
-        """Return another VM's verdict, or None where it gives none."""
+        """Return another VM's verdict on a claim, or None if it gives none."""
         ...
 
     async def ask_settle(self, vm: str, data: bytes) -> bool:
-        """Hand outcomes to another VM; return whether it took them."""
+        """Send packed outcomes to another VM and return whether it accepted them."""
         ...
 
 
 class _Pending:
-    """A claim that waits for its verdict."""
+    """A claim whose verdict is awaited."""
 
     def __init__(self) -> None:
         self.verdict: Verdict | None = None
@@ -58,7 +71,7 @@
 
 
 class SliceDriver:
-    """Drives the claimer of one slice against the log.
+    """Executes the actions of one slice's claimer on the log.
 
     Parameters
     ----------
@@ -67,13 +80,13 @@
     log : platform_log.Log
         The platform's log.
     timer : clock.Clock
-        The time.
+        Source of the current time.
     group : anyio.abc.TaskGroup
-        Where appends and reads run.
+        Task group in which appends and reads run.
     horizon : float
         Seconds for which the ledger remembers a key.
     wait : float
-        Seconds that a claim may wait for company.
+        Seconds that a claim may wait to share an append with others.
     """
 
     def __init__(
@@ -95,37 +108,37 @@
         self._wait = wait
         self._pending: dict[bytes, _Pending] = {}
         self._is_reading = False
-        self._flush_due = False
+        self._is_flush_scheduled = False
 
     @property
     def is_settled(self) -> bool:
-        """Whether every outcome is on the log."""
+        """Whether every outcome has been appended to the log."""
         return self._claimer.is_settled
 
     async def seek(self, claim: claim_records.Claim) -> Verdict:
-        """Return the verdict on a claim, at its start deadline at the latest."""
+        """Append a claim and return the verdict, at its start deadline at the latest."""
         pending = self._pending.setdefault(claim.claim_id, _Pending())
-        self._act(self._claimer.seek(claim, self._timer.now()))
-        self._flush_later()
+        self._execute(self._claimer.seek(claim, self._timer.now()))
+        self._schedule_flush()
         until = clock.convert_deadline(claim.start_deadline, self._timer.now())
         with anyio.move_on_at(until):
             await pending.event.wait()
-        self._act(self._claimer.lapse(self._timer.now()))
+        self._execute(self._claimer.lapse(self._timer.now()))
         self._pending.pop(claim.claim_id, None)
         if pending.verdict is None:
             return claimer.Denied(claim, claimer.Denial.LAPSED, None)
         return pending.verdict
 
     def settle(self, record: claim_records.Record) -> None:
-        """Put an outcome on the log."""
-        self._act(self._claimer.settle(record, self._timer.now()))
-        self._flush_later()
+        """Append an outcome to the log."""
+        self._execute(self._claimer.settle(record, self._timer.now()))
+        self._schedule_flush()
 
     def retry(self) -> None:
-        """Try again what an outage left behind."""
-        self._act(self._claimer.retry(self._timer.now()))
+        """Append again what an outage of the log kept from it."""
+        self._execute(self._claimer.retry(self._timer.now()))
 
-    def _act(self, actions: list[claimer.Action]) -> None:
+    def _execute(self, actions: list[claimer.Action]) -> None:
         for action in actions:
             match action:
                 case claimer.Append():
@@ -133,41 +146,41 @@
                 case claimer.Read():
                     self._start_reading()
                 case claimer.Granted() | claimer.Denied():
-                    self._announce(action)
+                    self._deliver(action)
 
-    def _announce(self, verdict: Verdict) -> None:
+    def _deliver(self, verdict: Verdict) -> None:
         pending = self._pending.get(verdict.claim.claim_id)
         if pending is not None and pending.verdict is None:
             pending.verdict = verdict
             pending.event.set()
 
-    def _flush_later(self) -> None:
+    def _schedule_flush(self) -> None:
         if self._claimer.is_settled:
             return
-        if self._wait > 0 and not self._flush_due:
-            self._flush_due = True
+        if self._wait > 0 and not self._is_flush_scheduled:
+            self._is_flush_scheduled = True
             self._group.start_soon(self._flush)
 
     async def _flush(self) -> None:
         await anyio.sleep(self._wait)
-        self._flush_due = False
-        self._act(self._claimer.lapse(self._timer.now()))
+        self._is_flush_scheduled = False
+        self._execute(self._claimer.lapse(self._timer.now()))
 
     async def _append(self, action: claimer.Append) -> None:
         try:
             offset = await self._log.append(self._stream, action.data)
         except platform_log.LogRefusedError:
-            self._act(self._claimer.take_refused(action.batch, self._timer.now()))
+            self._execute(self._claimer.take_refused(action.batch, self._timer.now()))
             return
         except platform_log.LogUncertainError:
             actions = self._claimer.take_uncertain(action.batch, self._timer.now())
-            await anyio.sleep(RETRY_PAUSE)
-            self._act(actions)
-            self._act(self._claimer.lapse(self._timer.now()))
+            await anyio.sleep(RETRY_DELAY_S)
+            self._execute(actions)
+            self._execute(self._claimer.lapse(self._timer.now()))
             return
         now = self._timer.now()
-        self._act(self._claimer.take_appended(action.batch, offset, now))
-        self._flush_later()
+        self._execute(self._claimer.take_appended(action.batch, offset, now))
+        self._schedule_flush()
 
     def _start_reading(self) -> None:
         if not self._is_reading:
@@ -175,51 +188,51 @@
             self._group.start_soon(self._read)
 
     async def _read(self) -> None:
-        """Read until no claim waits for a verdict."""
+        """Read the stream until no claim waits for a verdict."""
         try:
             while self._claimer.is_seeking:
                 await self._read_page()
-                self._act(self._claimer.lapse(self._timer.now()))
+                self._execute(self._claimer.lapse(self._timer.now()))
         finally:
             self._is_reading = False
 
     async def _read_page(self) -> None:
         start = self._claimer.next_offset
         try:
-            page = await self._log.read(self._stream, start, READ_WAIT)
+            page = await self._log.read(self._stream, start, READ_WAIT_S)
         except platform_log.LogRefusedError:
-            await anyio.sleep(RETRY_PAUSE)
+            await anyio.sleep(RETRY_DELAY_S)
             return
         self._claimer.skip_to(page.offset)
         for index, data in enumerate(page.entries):
             now = self._timer.now()
-            self._act(self._claimer.take_entry(page.offset + index, data, now))
+            self._execute(self._claimer.take_entry(page.offset + index, data, now))
 
 
 class ClaimsService:
-    """Seeks claims, through the VM that should append for the slice if it answers.
+    """Seeks claims, through the VM that appends for the slice if it answers.
 
     Parameters
     ----------
-    vm : str
+    own_vm : str
         Name of this VM.
     log : platform_log.Log
         The platform's log.
     timer : clock.Clock
-        The time.
+        Source of the current time.
     group : anyio.abc.TaskGroup
-        Where appends and reads run.
+        Task group in which appends and reads run.
     window : float
-        Seconds for which a key may be used.
+        Seconds after its creation in which a key may be used.
     slices : int
-        Streams over which claims are spread.
+        Number of slices over which keys are spread.
     wait : float
-        Seconds that a claim may wait for company.
+        Seconds that a claim may wait to share an append with others.
     """
 
     def __init__(
         self,
-        vm: str,
+        own_vm: str,
         log: platform_log.Log,
         timer: clock.Clock,
         group: anyio.abc.TaskGroup,
@@ -227,36 +240,41 @@
         slices: int,
         wait: float,
     ) -> None:
-        self._vm = vm
+        self._own_vm = own_vm
         self._log = log
         self._timer = timer
         self._group = group
-        self._horizon = window * HORIZON_FACTOR
+        self._horizon = window * HORIZON_WINDOWS
         self._slices = slices
         self._wait = wait
         self._drivers: dict[int, SliceDriver] = {}
         self._peers: Peers | None = None
         self._appenders: dict[int, str] = {}
-        self._picked_at = -1
+        self._appenders_revision = -1
 
     def set_peers(self, peers: Peers) -> None:
-        """Name the way to other VMs; without it each VM appends for itself."""
+        """Set the access to other VMs; without it this VM appends everything itself."""
         self._peers = peers
 
     @property
     def is_settled(self) -> bool:
-        """Whether every outcome is on the log."""
+        """Whether every outcome has been appended to the log."""
         return all(driver.is_settled for driver in self._drivers.values())
 
     async def seek(self, claim: claim_records.Claim) -> Verdict:
-        """Return the verdict on a claim."""
+        """Return the verdict on a claim of this VM.
+
+        If the appending VM does not answer in time, this VM appends the claim itself.
+        """
         number = keys.find_slice(claim.key_digest, self._slices)
         appender = self._pick_appender(number)
-        if appender != self._vm and self._peers is not None:
-            verdict = await self._seek_by_peer(appender, claim)
+        if appender != self._own_vm and self._peers is not None:
+            verdict = await self._seek_through_peer(appender, claim)
             if verdict is not None:
                 return verdict
-            return self._doubt(await self._find_driver(number).seek(claim))
+            return self._allow_for_peer_append(
+                await self._find_driver(number).seek(claim)
+            )
         return await self._find_driver(number).seek(claim)
 
     async def seek_for_peer(
@@ -271,42 +289,42 @@
                 return peer_messages.ClaimAnswered(claim.claim_id, reason, entry)
 
     async def settle(self, record: claim_records.Record) -> None:
-        """Put an outcome on the log, through the VM that appends for the slice."""
+        """Append an outcome, through the VM that appends for the slice if it answers."""
         number = keys.find_slice(record.key_digest, self._slices)
         appender = self._pick_appender(number)
-        if appender != self._vm and self._peers is not None:
+        if appender != self._own_vm and self._peers is not None:
             if await self._peers.ask_settle(appender, claim_records.pack([record])):
                 return
         self._find_driver(number).settle(record)
 
     def settle_for_peer(self, records: tuple[claim_records.Record, ...]) -> None:
-        """Put another VM's outcomes on the log."""
+        """Append another VM's outcomes to the log."""
         for record in records:
             number = keys.find_slice(record.key_digest, self._slices)
             self._find_driver(number).settle(record)
 
     async def run(self) -> None:
-        """Try again, from time to time, what an outage left behind."""
+        """Retry periodically what an outage of the log kept from it."""
         while True:
-            await anyio.sleep(OUTAGE_PAUSE)
+            await anyio.sleep(OUTAGE_RETRY_INTERVAL_S)
             for driver in self._drivers.values():
                 if not driver.is_settled:
                     driver.retry()
 
-    async def _seek_by_peer(
+    async def _seek_through_peer(
         self, appender: str, claim: claim_records.Claim
     ) -> Verdict | None:
-        """Return the verdict that the appender gives, or None to go on alone.
+        """Return the appending VM's verdict, or None if it gives none in time.
 
-        Only part of the time is given to it. The claim that goes to the log a second
-        time has the same id, so it still counts once.
+        It gets only part of the time, so that this VM can still append the claim
+        itself. The second copy on the log has the same id, so it counts once.
         """
         if self._peers is None:
             return None
         now = self._timer.now()
-        patience = PEER_SHARE * (claim.start_deadline - now)
+        peer_timeout = PEER_TIMEOUT_SHARE * (claim.start_deadline - now)
         answered = None
-        with anyio.move_on_after(max(0.0, patience)):
+        with anyio.move_on_after(max(0.0, peer_timeout)):
             answered = await self._peers.ask_claim(appender, claim)
         if answered is None:
             return None
@@ -314,11 +332,11 @@
             return claimer.Granted(claim)
         return claimer.Denied(claim, answered.denial, answered.entry)
 
-    def _doubt(self, verdict: Verdict) -> Verdict:
-        """Return the verdict of our own driver after a peer gave none.
+    def _allow_for_peer_append(self, verdict: Verdict) -> Verdict:
+        """Adjust this VM's own verdict, after a peer was asked and gave none.
 
-        The log refused our append, but the peer's may have landed: the claim then has
-        to be released, or its key would stay blocked.
+        Although the log refused this VM's append, the peer's may have succeeded. The
+        claim is then unsettled and has to be released, or its key would stay blocked.
         """
         if isinstance(verdict, claimer.Denied):
             if verdict.reason is claimer.Denial.LOG_DOWN:
@@ -327,14 +345,14 @@
 
     def _pick_appender(self, number: int) -> str:
         if self._peers is None:
-            return self._vm
+            return self._own_vm
         revision = self._peers.read_revision()
-        if revision != self._picked_at:
-            self._picked_at = revision
+        if revision != self._appenders_revision:
+            self._appenders_revision = revision
             self._appenders.clear()
         appender = self._appenders.get(number)
         if appender is None:
-            names = [self._vm, *self._peers.list_alive()]
+            names = [self._own_vm, *self._peers.list_alive()]
             appender = rendezvous.pick(f"slice/{number}", names)[0]
             self._appenders[number] = appender
         return appender
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/connections.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/connections.py
@@ -1,8 +1,9 @@
-"""Connections to targets: one object each, so that a silent one can be told apart.
+"""Connections to targets, each an object of its own.
 
-`httpcore` is the engine under `httpx`. It is used without `httpx` on this one path,
-because the client and its pool cost more than everything else together (see
-docs/COST.md), and because the pool hides which connection carries a request.
+A caller of this module can therefore tell a connection that has gone silent from a
+target that has. `httpcore`, the transport of `httpx`, is used directly on this path,
+because the `httpx` client and its pool cost more than the rest of the path together
+(see docs/COST.md), and because the pool hides which connection carries a request.
 """
 
 from __future__ import annotations
@@ -15,17 +16,21 @@
 
 from zinniastand_core import attempt_actions, services
 
-PROVED_FOR = 1.0
-IDLE_FOR = 30.0
-CONNECT_TIMEOUT = 0.5
+PROVED_DURATION_S = 1.0
+"""How long a connection counts as working after a complete answer."""
+
+IDLE_TIMEOUT_S = 30.0
+"""How long an unused connection is kept."""
+
+CONNECT_TIMEOUT_S = 0.5
 
 
 class NoConnectionError(Exception):
-    """No connection could be made, so the target saw nothing of the request."""
+    """No connection was established, so the target received nothing of the request."""
 
 
 class NoFreeConnectionError(Exception):
-    """Every connection that this VM may have to the target is in use."""
+    """All connections that this VM may have to the target are in use."""
 
 
 class Connection:
@@ -34,85 +39,92 @@
     Parameters
     ----------
     http : httpcore.AsyncHTTP11Connection
-        The connection itself.
+        The underlying HTTP/1.1 connection.
     now : float
-        Unix seconds.
+        Unix seconds at which it was opened.
     """
 
     def __init__(self, http: httpcore.AsyncHTTP11Connection, now: float) -> None:
         self.http = http
         self.is_new = True
-        self.proved_until = now + PROVED_FOR
-        self.idle_until = now + IDLE_FOR
+        self.proved_until = now + PROVED_DURATION_S
+        self.idle_until = now + IDLE_TIMEOUT_S
 
-    def prove(self, now: float) -> None:
-        """Take in that a whole answer has come back on it."""
+    def record_whole_answer(self, now: float) -> None:
+        """Record that a complete answer arrived on it, and extend its use."""
         self.is_new = False
-        self.proved_until = now + PROVED_FOR
-        self.idle_until = now + IDLE_FOR
+        self.proved_until = now + PROVED_DURATION_S
+        self.idle_until = now + IDLE_TIMEOUT_S
 
 
 class TargetConnections:
-    """All connections of this VM to one target.
+    """This VM's connections to one target.
 
     Parameters
     ----------
     target : services.Target
         The target.
-    most : int
-        Most connections at a time.
+    max_connections : int
+        Greatest number of connections at a time.
     """
 
-    def __init__(self, target: services.Target, most: int) -> None:
+    def __init__(self, target: services.Target, max_connections: int) -> None:
         self._target = target
-        self._most = most
+        self._max_connections = max_connections
         self._idle: collections.deque[Connection] = collections.deque()
-        self._open = 0
+        self._open_count = 0
         self._origin = httpcore.Origin(b"http", target.host.encode(), target.port)
-        # httpcore types this name as an error that is raised where anyio is missing.
+        # For the type checker, httpcore declares this name as its substitute without anyio.
         self._backend = typing.cast(
             "httpcore.AsyncNetworkBackend", httpcore.AnyIOBackend()
         )
 
     @property
     def open_count(self) -> int:
-        """Connections in use or idle."""
-        return self._open
+        """Number of open connections, in use or idle."""
+        return self._open_count
 
-    async def take(
+    async def acquire(
         self, freshness: attempt_actions.Freshness, now: float
     ) -> Connection:
-        """Return a connection that may carry a request.
+        """Return a connection for one request: an idle one, or else a new one.
+
+        Parameters
+        ----------
+        freshness : attempt_actions.Freshness
+            Whether an idle connection will do, and how recently it must have worked.
+        now : float
+            Unix seconds.
 
         Raises
         ------
         NoConnectionError
-            If a new one cannot be made.
+            If a new connection cannot be established.
         NoFreeConnectionError
-            If all that are allowed are in use.
+            If as many as allowed are in use already.
         """
         if freshness is not attempt_actions.Freshness.NEW:
-            pooled = self._take_idle(freshness, now)
+            pooled = self._acquire_idle(freshness, now)
             if pooled is not None:
                 return pooled
         return await self._connect(now)
 
-    def give_back(self, connection: Connection, now: float) -> None:
-        """Keep a connection that has just carried a whole answer."""
+    def release(self, connection: Connection, now: float) -> None:
+        """Return a connection to the pool after a complete answer."""
         if not connection.http.is_idle():
-            self._open -= 1
+            self._open_count -= 1
             return
-        connection.prove(now)
+        connection.record_whole_answer(now)
         self._idle.append(connection)
 
     async def discard(self, connection: Connection) -> None:
-        """Close a connection that can no longer be trusted."""
-        self._open -= 1
+        """Close a connection whose state is unknown or that is no longer needed."""
+        self._open_count -= 1
         with anyio.CancelScope(shield=True):
             await connection.http.aclose()
 
     async def close_idle(self, now: float) -> None:
-        """Close connections that nothing has used for a while."""
+        """Close connections that have been idle for `IDLE_TIMEOUT_S` seconds."""
         while self._idle and self._idle[0].idle_until <= now:
             await self.discard(self._idle.popleft())
 
@@ -121,14 +133,14 @@
         while self._idle:
             await self.discard(self._idle.popleft())
 
-    def _take_idle(
+    def _acquire_idle(
         self, freshness: attempt_actions.Freshness, now: float
     ) -> Connection | None:
         while self._idle:
             connection = self._idle[-1]
-            # Work that may not run twice goes only where an answer came moments ago:
-            # a connection that has silently gone dead would swallow it, and nobody
-            # could tell whether it ran.
+            # Work that must not run twice uses only a connection that has just carried
+            # an answer: on a connection that failed silently the request would be lost,
+            # and whether it ran would be unknown.
             if (
                 freshness is attempt_actions.Freshness.PROVED
                 and connection.proved_until <= now
@@ -136,60 +148,62 @@
                 return None
             self._idle.pop()
             if connection.http.has_expired() or connection.http.is_closed():
-                self._open -= 1
+                self._open_count -= 1
                 continue
             return connection
         return None
 
     async def _connect(self, now: float) -> Connection:
-        if self._open >= self._most:
+        if self._open_count >= self._max_connections:
             if not self._idle:
                 raise NoFreeConnectionError
             await self.discard(self._idle.popleft())
-        self._open += 1
+        self._open_count += 1
         try:
             stream = await self._backend.connect_tcp(
-                self._target.host, self._target.port, timeout=CONNECT_TIMEOUT
+                self._target.host, self._target.port, timeout=CONNECT_TIMEOUT_S
             )
         except (httpcore.ConnectError, httpcore.ConnectTimeout, OSError) as error:
-            self._open -= 1
+            self._open_count -= 1
             raise NoConnectionError(str(error)) from error
         except BaseException:
-            self._open -= 1
+            self._open_count -= 1
             raise
         http = httpcore.AsyncHTTP11Connection(
-            self._origin, stream, keepalive_expiry=IDLE_FOR
+            self._origin, stream, keepalive_expiry=IDLE_TIMEOUT_S
         )
         return Connection(http, now)
 
 
 class Connections:
-    """Connections to all targets of all services.
+    """This VM's connections to all targets of all services.
 
     Parameters
     ----------
-    most_per_target : int
-        Most connections to one target at a time.
+    max_per_target : int
+        Greatest number of connections to one target at a time.
     """
 
-    def __init__(self, most_per_target: int) -> None:
-        self._most = most_per_target
+    def __init__(self, max_per_target: int) -> None:
+        self._max_connections = max_per_target
         self._targets: dict[tuple[str, int], TargetConnections] = {}
 
     def find(self, target: services.Target) -> TargetConnections:
-        """Return the connections to a target."""
+        """Return the connections to a target; targets with one address share them."""
         address = (target.host, target.port)
-        known = self._targets.get(address)
-        if known is None:
-            known = self._targets[address] = TargetConnections(target, self._most)
-        return known
+        connections_to_target = self._targets.get(address)
+        if connections_to_target is None:
+            connections_to_target = self._targets[address] = TargetConnections(
+                target, self._max_connections
+            )
+        return connections_to_target
 
     def count_open(self) -> int:
         """Return the number of connections over all targets."""
         return sum(target.open_count for target in self._targets.values())
 
     async def close_idle(self, now: float) -> None:
-        """Close connections that nothing has used for a while."""
+        """Close connections that have been idle for `IDLE_TIMEOUT_S` seconds."""
         for address, target in list(self._targets.items()):
             await target.close_idle(now)
             if target.open_count == 0:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/exchange.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt: a request sent on one connection, and its answer checked whole."""
+"""One attempt: sends a request on one connection and validates the whole answer."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 from . import answers, clock, connections, incoming
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Task:
-    """What is to be sent, apart from where to."""
+    """What all attempts of a request have in common."""
 
     request: incoming.Request
     """The caller's request."""
 
     request_id: bytes
-    """Names it towards the target, and in the answer."""
+    """Identifies the request to the target, which may echo it in the answer."""
 
     service: services.Service
-    """Whose contract the answer is read by."""
+    """Service whose rules for answers apply."""
 
     start_deadline: float | None
-    """Unix seconds after which the target must not start it."""
+    """Unix seconds after which the target must not start the work, if limited."""
 
     max_body_bytes: int
-    """Largest answer body that is taken."""
+    """Largest answer body that is accepted."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -41,30 +41,30 @@
     """How an attempt ended."""
 
     answer: answers.Answer | None
-    """The whole answer, if there is one."""
+    """The complete answer, or None if the attempt failed."""
 
     failure: attempt_actions.Failure | None
-    """Otherwise, how it failed."""
+    """How the attempt failed, or None after an answer."""
 
     was_pooled: bool
     """Whether the connection had been used before."""
 
     is_leaving: bool = False
-    """Whether the target said that it is leaving."""
+    """Whether the target announced that it is leaving."""
 
     detail: str = ""
-    """For the time line."""
+    """Explanation for the time line."""
 
 
 class Exchanger:
-    """Sends attempts.
+    """Sends attempts to targets.
 
     Parameters
     ----------
     pool : connections.Connections
         Connections to targets.
     timer : clock.Clock
-        The time.
+        Source of the current time.
     """
 
     def __init__(self, pool: connections.Connections, timer: clock.Clock) -> None:
@@ -72,14 +72,14 @@
         self._timer = timer
 
     async def exchange(self, send: attempt_actions.Send, task: Task) -> Result:
-        """Send the request once and return how it ended, never raising.
+        """Send the request once and return how the attempt ended.
 
-        Being cancelled closes the connection, which tells the target that the answer
-        is no longer wanted.
+        Failures are returned, not raised. Cancellation closes the connection, which
+        shows the target that the answer is no longer needed.
         """
         target = self._pool.find(send.target)
         try:
-            connection = await target.take(send.freshness, self._timer.now())
+            connection = await target.acquire(send.freshness, self._timer.now())
         except connections.NoFreeConnectionError:
             return Result(None, attempt_actions.Failure.BUSY, False)
         except connections.NoConnectionError as error:
@@ -96,7 +96,7 @@
             if result.answer is None and result.failure is not _REFUSED:
                 await target.discard(connection)
             else:
-                target.give_back(connection, self._timer.now())
+                target.release(connection, self._timer.now())
             return result
         return Result(None, attempt_actions.Failure.OVERDUE, was_pooled)
 
@@ -105,7 +105,7 @@
 
 
 class _Sender:
-    """One request on one connection."""
+    """Sends one request on one connection."""
 
     def __init__(
         self, connection: connections.Connection, task: Task, send: attempt_actions.Send
@@ -193,7 +193,7 @@
         headers = [
             (name, value)
             for name, value in request.headers
-            if name not in incoming.OWN_HEADERS
+            if name not in incoming.REPLACED_HEADERS
         ]
         headers.append((incoming.REQUEST_ID_HEADER, self._task.request_id))
         headers.append((b"x-request-deadline-ms", _to_ms(self._send.deadline)))
@@ -211,17 +211,18 @@
 def _has_stated_end(
     status: int, headers: collections.abc.Mapping[bytes, bytes], method: str
 ) -> bool:
-    """Return whether a cut answer could be told from a whole one."""
+    """Return whether a truncated answer could be distinguished from a complete one."""
     if method == "HEAD" or status in (204, 304):
         return True
     return b"content-length" in headers or b"transfer-encoding" in headers
 
 
 def _to_ms(deadline: float) -> bytes:
-    return str(int(deadline * MILLISECONDS)).encode()
+    return str(int(deadline * MS_PER_S)).encode()
 
 
 def _describe_hop(request: incoming.Request) -> bytes:
+    """Return the value of ``Forwarded`` (RFC 7239) for the caller."""
     client = request.client
     if ":" in client:
         client = f'"[{client}]"'
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/gate.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/gate.py
@@ -1,4 +1,4 @@
-"""The gate of each service: requests wait here for `core.admission` to let them in."""
+"""Wait queue in front of each service, decided by `zinniastand_core.admission`."""
 
 from __future__ import annotations
 
@@ -11,53 +11,73 @@
 from . import clock
 
 
-class _Waiting:
+class _Waiter:
+    """A request that waits for admission."""
+
     def __init__(self) -> None:
         self.event = anyio.Event()
         self.entry = admission.Entry.QUEUED
 
 
 class Gate:
-    """The door of one service, for coroutines.
+    """Lets coroutines wait for admission to one service.
+
+    The admission control decides; the gate wakes the coroutines that it admits or
+    refuses.
 
     Parameters
     ----------
-    door : admission.Admission
-        The decisions.
+    admission_control : admission.Admission
+        Decides which requests may run.
     timer : clock.Clock
-        The time.
+        Source of the current time.
     """
 
-    def __init__(self, door: admission.Admission, timer: clock.Clock) -> None:
-        self.door = door
+    def __init__(
+        self, admission_control: admission.Admission, timer: clock.Clock
+    ) -> None:
+        self.admission_control = admission_control
         self._timer = timer
         self._numbers = itertools.count(1)
-        self._waiting: dict[int, _Waiting] = {}
+        self._waiters: dict[int, _Waiter] = {}
 
     async def enter(self, weight: float, deadline: float) -> bool:
-        """Return whether the request may run, once that is decided."""
+        """Wait for admission and return whether the request may run.
+
+        Parameters
+        ----------
+        weight : float
+            Value of an answer in time, relative to other requests.
+        deadline : float
+            Unix seconds until which the request waits.
+
+        Returns
+        -------
+        bool
+            False if it was refused or still queued at the deadline.
+        """
         now = self._timer.now()
         ticket = admission.Ticket(next(self._numbers), weight, deadline)
-        waiting = self._waiting[ticket.number] = _Waiting()
-        self._announce(self.door.enter(ticket, now))
-        if waiting.entry is admission.Entry.QUEUED:
+        waiter = self._waiters[ticket.number] = _Waiter()
+        self._notify(self.admission_control.enter(ticket, now))
+        if waiter.entry is admission.Entry.QUEUED:
             try:
                 with anyio.move_on_at(clock.convert_deadline(deadline, now)):
-                    await waiting.event.wait()
+                    await waiter.event.wait()
             finally:
-                self.door.withdraw(ticket.number)
-                del self._waiting[ticket.number]
+                self.admission_control.withdraw(ticket.number)
+                del self._waiters[ticket.number]
         else:
-            del self._waiting[ticket.number]
-        return waiting.entry is admission.Entry.ADMITTED
+            del self._waiters[ticket.number]
+        return waiter.entry is admission.Entry.ADMITTED
 
     def leave(self, duration: float) -> None:
-        """Take in that an admitted request ended."""
-        self._announce(self.door.leave(duration, self._timer.now()))
+        """Record that an admitted request ended after `duration` seconds."""
+        self._notify(self.admission_control.leave(duration, self._timer.now()))
 
-    def _announce(self, verdicts: list[admission.Verdict]) -> None:
+    def _notify(self, verdicts: list[admission.Verdict]) -> None:
         for verdict in verdicts:
-            waiting = self._waiting.get(verdict.ticket.number)
-            if waiting is not None and verdict.entry is not admission.Entry.QUEUED:
-                waiting.entry = verdict.entry
-                waiting.event.set()
+            waiter = self._waiters.get(verdict.ticket.number)
+            if waiter is not None and verdict.entry is not admission.Entry.QUEUED:
+                waiter.entry = verdict.entry
+                waiter.event.set()
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/platform_log.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/platform_log.py
@@ -1,4 +1,4 @@
-"""The platform's append-only log, as the daemon sees it."""
+"""Client interface of the platform's append-only log, and its HTTP implementation."""
 
 from __future__ import annotations
 
@@ -10,35 +10,38 @@
 
 from zinniastand_core import codec
 
-APPEND_TIMEOUT = 2.0
-READ_MARGIN = 2.0
+APPEND_TIMEOUT_S = 2.0
+READ_MARGIN_S = 2.0
+"""Time for the answer to a long poll, beyond the time that the log may wait."""
+
 NOT_APPENDED_HEADER = "x-not-appended"
+"""Set by the log on answers to appends that certainly had no effect."""
 
 
 class LogRefusedError(Exception):
-    """The log certainly did nothing."""
+    """The log did not do what was requested, and this is certain."""
 
 
 class LogUncertainError(Exception):
-    """The log may or may not have done what it was asked."""
+    """The log may or may not have appended the entry."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Page:
-    """Consecutive entries of a stream."""
+    """Consecutive entries that a read returned."""
 
     offset: int
-    """Offset of the first entry, or the next one to be written if there is none."""
+    """Offset of the first entry; without entries, the offset of the next append."""
 
     entries: tuple[bytes, ...]
-    """The entries."""
+    """Entries in the order of the stream."""
 
 
 class Log(typing.Protocol):
-    """An append-only log of streams with offsets."""
+    """An append-only log; each stream numbers its entries by offset."""
 
     async def append(self, stream: str, data: bytes) -> int:
-        """Return the offset of the new entry.
+        """Append an entry to a stream and return its offset.
 
         Raises
         ------
@@ -50,10 +53,9 @@
         ...
 
     async def read(self, stream: str, offset: int, wait: float) -> Page:
-        """Return entries from `offset`, waiting up to `wait` seconds for one.
+        """Return entries from `offset`, waiting up to `wait` seconds for the first.
 
-        The page begins later than `offset` where the log no longer keeps that far
-        back.
+        The page begins after `offset` if the log no longer retains older entries.
 
         Raises
         ------
@@ -64,23 +66,23 @@
 
 
 class HttpLog:
-    """The log behind its HTTP interface.
+    """Client of a log that is served over HTTP.
 
     Parameters
     ----------
     url : str
-        Base URL.
+        Base URL of the log.
     """
 
     def __init__(self, url: str) -> None:
-        self._client = httpx.AsyncClient(base_url=url, timeout=APPEND_TIMEOUT)
+        self._client = httpx.AsyncClient(base_url=url, timeout=APPEND_TIMEOUT_S)
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Close all connections to the log."""
         await self._client.aclose()
 
     async def append(self, stream: str, data: bytes) -> int:
-        """Return the offset of the new entry; see `Log.append`."""
+        """Append an entry and return its offset; see `Log.append`."""
         try:
             response = await self._client.post(f"/streams/{stream}", content=data)
         except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout) as error:
@@ -100,7 +102,7 @@
         query = {"offset": str(offset), "wait_ms": str(round(wait * 1000))}
         try:
             response = await self._client.get(
-                f"/streams/{stream}", params=query, timeout=wait + READ_MARGIN
+                f"/streams/{stream}", params=query, timeout=wait + READ_MARGIN_S
             )
         except httpx.HTTPError as error:
             raise LogRefusedError(str(error)) from error
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/service_table.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/service_table.py
@@ -1,4 +1,4 @@
-"""What this VM runs by: the bundle in force, its routes, and a router per service."""
+"""Routes, routers and account rate limits of the bundle in force."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 
 from zinniastand_core import budgets, bundles, route_table, router
 
-LEAST_BURST = 2.0
+MIN_BURST_REQUESTS = 2.0
+"""Smallest burst of an account on one VM, in requests."""
 
 
 class ServiceTable:
-    """Routers and limits that follow the bundle.
+    """Keeps routes, routers and account limits in step with the bundle in force.
 
     Parameters
     ----------
     generator : random.Random
-        Source of randomness.
+        Source of randomness for the routers.
     """
 
     def __init__(self, generator: random.Random) -> None:
@@ -27,7 +28,18 @@
         self._vm_count = 1
 
     def apply_bundle(self, bundle: bundles.Bundle, now: float) -> None:
-        """Bring everything up to a new bundle; work under way goes on."""
+        """Apply a new bundle without interrupting requests in flight.
+
+        Routers of services that remain are kept, with all that they have learnt about
+        their targets; account budgets start again.
+
+        Parameters
+        ----------
+        bundle : bundles.Bundle
+            The accepted configuration.
+        now : float
+            Unix seconds.
+        """
         self._bundle = bundle
         self.routes.follow(bundle)
         current = {service.name: service for service in bundle.services}
@@ -42,7 +54,15 @@
         self._accounts.clear()
 
     def set_vm_count(self, vm_count: int, now: float) -> None:
-        """Take in how many VMs share each account's rate."""
+        """Set how many VMs share each account's rate.
+
+        Parameters
+        ----------
+        vm_count : int
+            Number of VMs that are up, this one included.
+        now : float
+            Unix seconds.
+        """
         if vm_count == self._vm_count:
             return
         self._vm_count = vm_count
@@ -54,7 +74,13 @@
     def find_account_budget(
         self, account: str, now: float
     ) -> budgets.RateBudget | None:
-        """Return this VM's share of an account's rate, or None without a limit."""
+        """Return the budget for this VM's share of an account's rate.
+
+        Returns
+        -------
+        budgets.RateBudget or None
+            None if the account has no rate limit.
+        """
         budget = self._accounts.get(account)
         if budget is None:
             rate = self._find_rate(account)
@@ -71,10 +97,10 @@
         return found.requests_per_second if found else None
 
     def _share(self, rate: float) -> tuple[float, float]:
-        """Return this VM's rate and burst.
+        """Return this VM's rate in requests a second, and its burst in requests.
 
-        The balancer spreads a caller's requests evenly only on average; the burst
-        lets a VM take more than its share for a moment.
+        The balancer spreads a caller's requests evenly only on average. The burst, two
+        seconds' worth, lets a VM briefly accept more than its share.
         """
         share = rate / self._vm_count
-        return share, max(LEAST_BURST, 2.0 * share)
+        return share, max(MIN_BURST_REQUESTS, 2.0 * share)
