--- a/packages/zinniastand-proxy/src/zinniastand_proxy/caller_app.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/caller_app.py
@@ -24,11 +24,18 @@
 Receive = collections.abc.Callable[[], collections.abc.Awaitable[typing.Any]]
 Send = collections.abc.Callable[[typing.Any], collections.abc.Awaitable[None]]
 
-CLOCK_ERROR = 5.0
+MAX_CLOCK_ERROR_S = 5.0
+"""Greatest error of a caller's clock that the age of a key allows for."""
+
 REQUEST_ID_BYTES = 8
-BODY_LIMIT = 10.0
-BUNDLE_PAUSE = 1.0
-OVERLOAD_PAUSE = 0.5
+BODY_TIMEOUT_S = 10.0
+"""Time in which the complete body of a request must arrive."""
+
+NO_BUNDLE_RETRY_DELAY_S = 1.0
+"""Delay for ``Retry-After`` while no configuration is in force."""
+
+OVERLOAD_RETRY_DELAY_S = 0.5
+"""Delay for ``Retry-After`` when admission refuses a request."""
 
 KEY_REASONS = {
     keys.KeyFault.MISSING: outcomes.Reason.KEY_MISSING,
@@ -38,12 +45,12 @@
 }
 
 
-class _GoneError(Exception):
-    """The caller went away before its request was whole."""
+class _CallerDisconnectedError(Exception):
+    """The caller disconnected before it could be answered."""
 
 
 class _BodyError(Exception):
-    """The body is too large or too slow."""
+    """The request's body is too large or arrives too slowly."""
 
     def __init__(self, status: int, detail: str) -> None:
         super().__init__(detail)
@@ -51,16 +58,16 @@
 
 
 class CallerApp:
-    """Takes requests of callers and answers each of them once.
+    """Accepts callers' requests and answers each of them once.
 
     Parameters
     ----------
     dependencies : conductor.Dependencies
-        What every request needs.
+        Collaborators and settings that all requests share.
     table : service_table.ServiceTable
-        The bundle in force.
+        Routes, routers and limits of the bundle in force.
     window : keys.Window
-        How old a key may be.
+        Range of ages in which a key is valid.
     """
 
     def __init__(
@@ -78,7 +85,7 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that have not been answered yet."""
+        """Number of requests that have not been answered yet."""
         return self._in_flight
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
@@ -92,12 +99,12 @@
         started = self._dependencies.timer.now()
         try:
             await self._serve(scope, receive, send, started)
-        except _GoneError:
+        except _CallerDisconnectedError:
             self._dependencies.metrics.count("zinniastand_callers_gone_total")
         finally:
             self._in_flight -= 1
-        took = self._dependencies.timer.now() - started
-        self._dependencies.metrics.record("zinniastand_request_seconds", took)
+        duration = self._dependencies.timer.now() - started
+        self._dependencies.metrics.record("zinniastand_request_seconds", duration)
 
     async def _serve(
         self, scope: Scope, receive: Receive, send: Send, started: float
@@ -109,30 +116,32 @@
         target = incoming.find_target(scope)
         match incoming.check_head(method, target, headers):
             case expression.Result(tag="error", error=incoming.Fault() as fault):
-                await self._send_fault(send, fault.status, fault.detail)
+                await self._send_bad_request(send, fault.status, fault.detail)
                 return
             case _:
                 pass
         try:
             body = await self._read_body(receive)
         except _BodyError as error:
-            await self._send_fault(send, error.status, str(error))
+            await self._send_bad_request(send, error.status, str(error))
             return
         match incoming.build(scope, headers, body):
             case expression.Result(tag="ok", ok=incoming.Request() as request):
                 answer = await self._handle(request, receive, started)
                 await self._send(send, answer, is_head=method == "HEAD")
             case expression.Result(error=fault):
-                await self._send_fault(send, fault.status, fault.detail)
+                await self._send_bad_request(send, fault.status, fault.detail)
 
     async def _handle(
         self, request: incoming.Request, receive: Receive, started: float
     ) -> answers.Answer:
         if not self._table.routers:
-            return self._refuse(outcomes.Reason.NO_BUNDLE, started + BUNDLE_PAUSE)
+            return self._make_refusal(
+                outcomes.Reason.NO_BUNDLE, started + NO_BUNDLE_RETRY_DELAY_S
+            )
         match = self._table.routes.find(request.method, request.path)
         if match is None:
-            return self._refuse(outcomes.Reason.NO_ROUTE)
+            return self._make_refusal(outcomes.Reason.NO_ROUTE)
         limit = match.kind.time_limit
         if request.timeout is not None:
             limit = min(limit, request.timeout)
@@ -140,7 +149,7 @@
         budget = self._table.find_account_budget(request.account, started)
         if budget is not None and not budget.spend(started):
             retry_at = budget.find_refill_time(started)
-            return self._refuse(outcomes.Reason.OVER_LIMIT, retry_at)
+            return self._make_refusal(outcomes.Reason.OVER_LIMIT, retry_at)
         return await self._admit(request, match, deadline, receive)
 
     async def _admit(
@@ -155,19 +164,21 @@
         if match.kind.work is services.Work.AT_MOST_ONCE:
             made = self._make_claim(request, match, deadline, now)
             if made.is_error():
-                return self._refuse(KEY_REASONS[made.error])
+                return self._make_refusal(KEY_REASONS[made.error])
             claim = made.ok
-        door = self._find_gate(match.service)
-        if not await door.enter(match.kind.weight, deadline):
+        service_gate = self._find_gate(match.service)
+        if not await service_gate.enter(match.kind.weight, deadline):
             now = self._dependencies.timer.now()
-            return self._refuse(outcomes.Reason.OVERLOADED, now + OVERLOAD_PAUSE)
+            return self._make_refusal(
+                outcomes.Reason.OVERLOADED, now + OVERLOAD_RETRY_DELAY_S
+            )
         entered = self._dependencies.timer.now()
         try:
-            return await self._conduct(request, match, deadline, claim, receive)
+            return await self._run_request(request, match, deadline, claim, receive)
         finally:
-            door.leave(self._dependencies.timer.now() - entered)
+            service_gate.leave(self._dependencies.timer.now() - entered)
 
-    async def _conduct(
+    async def _run_request(
         self,
         request: incoming.Request,
         match: route_table.Match,
@@ -177,7 +188,7 @@
     ) -> answers.Answer:
         request_id = os.urandom(REQUEST_ID_BYTES).hex().encode()
 
-        async def _wait_gone() -> None:
+        async def _wait_disconnected() -> None:
             while (await receive())["type"] != "http.disconnect":
                 pass
 
@@ -189,16 +200,16 @@
             request_id,
             deadline,
             claim,
-            _wait_gone,
+            _wait_disconnected,
         )
         reply = await run.run()
         if reply.answer is not None:
             self._dependencies.metrics.count("zinniastand_answers_total")
             return reply.answer
         if reply.refusal is None:
-            raise _GoneError
-        self._note_refusal(request_id.decode(), match, reply.refusal)
-        return self._refuse_with(reply.refusal)
+            raise _CallerDisconnectedError
+        self._record_refusal(request_id.decode(), match, reply.refusal)
+        return self._make_refusal_answer(reply.refusal)
 
     def _make_claim(
         self,
@@ -223,13 +234,15 @@
         return expression.Ok(claim)
 
     def _find_gate(self, service: str) -> gate.Gate:
-        door = self._table.routers[service].admission
+        admission_control = self._table.routers[service].admission
         known = self._gates.get(service)
-        if known is None or known.door is not door:
-            known = self._gates[service] = gate.Gate(door, self._dependencies.timer)
+        if known is None or known.admission_control is not admission_control:
+            known = self._gates[service] = gate.Gate(
+                admission_control, self._dependencies.timer
+            )
         return known
 
-    def _note_refusal(
+    def _record_refusal(
         self, request_id: str, match: route_table.Match, refusal: outcomes.Refusal
     ) -> None:
         kind = timeline.EventKind.REQUEST_NOT_RUN
@@ -240,18 +253,18 @@
             kind, request_id, detail, self._dependencies.timer.now()
         )
 
-    def _refuse(
+    def _make_refusal(
         self, reason: outcomes.Reason, retry_at: float | None = None
     ) -> answers.Answer:
         refusal = outcomes.Refusal(outcomes.Outcome.NOT_RUN, reason, retry_at)
-        return self._refuse_with(refusal)
+        return self._make_refusal_answer(refusal)
 
-    def _refuse_with(self, refusal: outcomes.Refusal) -> answers.Answer:
+    def _make_refusal_answer(self, refusal: outcomes.Refusal) -> answers.Answer:
         label = f'outcome="{refusal.outcome}",reason="{refusal.reason}"'
         self._dependencies.metrics.count("zinniastand_refusals_total", label)
         return answers.make_problem_answer(refusal, "", self._dependencies.timer.now())
 
-    async def _send_fault(self, send: Send, status: int, detail: str) -> None:
+    async def _send_bad_request(self, send: Send, status: int, detail: str) -> None:
         self._dependencies.metrics.count("zinniastand_bad_requests_total")
         answer = answers.make_bad_request_answer(
             status, detail, self._dependencies.timer.now()
@@ -263,7 +276,8 @@
         if not is_head:
             headers.append((b"content-length", str(len(answer.body)).encode()))
         if self.is_stopping:
-            # A caller must not send its next request into a connection about to close.
+            # Keeps the caller from sending its next request on a connection that is
+            # about to close.
             headers.append((b"connection", b"close"))
         start = {"status": answer.status, "headers": headers}
         await send({"type": "http.response.start", **start})
@@ -273,11 +287,11 @@
     async def _read_body(self, receive: Receive) -> bytes:
         chunks: list[bytes] = []
         size = 0
-        with anyio.move_on_after(BODY_LIMIT):
+        with anyio.move_on_after(BODY_TIMEOUT_S):
             while True:
                 message = await receive()
                 if message["type"] == "http.disconnect":
-                    raise _GoneError
+                    raise _CallerDisconnectedError
                 chunk = message.get("body", b"")
                 size += len(chunk)
                 if size > self._dependencies.max_body_bytes:
@@ -289,7 +303,7 @@
 
 
 async def serve_lifespan(receive: Receive, send: Send) -> None:
-    """Serve an ASGI lifespan scope, which has nothing to set up here."""
+    """Serve an ASGI lifespan scope; there is nothing to set up or close."""
     while True:
         message = await receive()
         await send({"type": message["type"] + ".complete"})
@@ -298,5 +312,5 @@
 
 
 def make_window(length: float) -> keys.Window:
-    """Return the key window for a length in seconds."""
-    return keys.Window(length, CLOCK_ERROR)
+    """Return the key window of `length` seconds."""
+    return keys.Window(length, MAX_CLOCK_ERROR_S)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/claims_service.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/claims_service.py
@@ -116,7 +116,7 @@
         return self._claimer.is_settled
 
     async def seek(self, claim: claim_records.Claim) -> Verdict:
-        """Append a claim and return the verdict, at its start deadline at the latest."""
+        """Append a claim and return the verdict, by the start deadline."""
         pending = self._pending.setdefault(claim.claim_id, _Pending())
         self._execute(self._claimer.seek(claim, self._timer.now()))
         self._schedule_flush()
@@ -289,7 +289,7 @@
                 return peer_messages.ClaimAnswered(claim.claim_id, reason, entry)
 
     async def settle(self, record: claim_records.Record) -> None:
-        """Append an outcome, through the VM that appends for the slice if it answers."""
+        """Append an outcome, through the slice's appending VM if it answers."""
         number = keys.find_slice(record.key_digest, self._slices)
         appender = self._pick_appender(number)
         if appender != self._own_vm and self._peers is not None:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/conductor.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/conductor.py
@@ -1,4 +1,4 @@
-"""Conducts the plan of one request: carries out its actions and reports back."""
+"""Runs one request: executes the actions of its plan and reports their results."""
 
 from __future__ import annotations
 
@@ -25,23 +25,27 @@
 from . import answers, claims_service, clock, exchange, incoming, metrics
 
 CLAIM_ID_BYTES = 12
-START_SHARE = 0.5
-WATCH_AFTER = 0.05
-LEAST_SERVER_ERROR = 500
+START_DEADLINE_SHARE = 0.5
+"""Share of the time to the deadline in which a claimed request may start."""
+
+DISCONNECT_WATCH_DELAY_S = 0.05
+"""How long a request runs before its caller is watched for a disconnect."""
+
+MIN_SERVER_ERROR_STATUS = 500
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dependencies:
-    """What every request needs, made once."""
+    """Collaborators and settings that all requests share."""
 
     vm: str
     """Name of this VM."""
 
     incarnation: int
-    """Of this VM."""
+    """Incarnation of this VM."""
 
     timer: clock.Clock
-    """The time."""
+    """Source of the current time."""
 
     exchanger: exchange.Exchanger
     """Sends attempts."""
@@ -50,36 +54,39 @@
     """Seeks claims."""
 
     group: anyio.abc.TaskGroup
-    """Where attempts run."""
+    """Task group in which attempts, claims and disconnect watches run."""
 
     metrics: metrics.Metrics
-    """Counts and latencies."""
+    """Counters and latencies."""
 
     events: timeline.Timeline
-    """The time line."""
+    """Time line of this VM's events."""
 
     max_body_bytes: int
-    """Largest answer body."""
+    """Largest body of a request or an answer."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """What the caller gets."""
+    """How a request ended.
+
+    Both fields are None if the caller disconnected first.
+    """
 
     answer: answers.Answer | None
-    """A target's whole answer."""
+    """A target's complete answer, if there is one."""
 
     refusal: outcomes.Refusal | None
-    """Otherwise, what the proxy says itself."""
+    """Why the proxy answers itself, if it does."""
 
 
 class Conductor:
-    """Runs one request.
+    """Runs one request until its caller can be answered.
 
     Parameters
     ----------
     dependencies : Dependencies
-        What every request needs.
+        Collaborators and settings that all requests share.
     routing : router.Router
         Router of the request's service.
     kind : services.Kind
@@ -87,13 +94,13 @@
     request : incoming.Request
         The request.
     request_id : bytes
-        Its name.
+        Identifies the request to targets.
     deadline : float
-        Unix seconds at which its answer is worth nothing.
+        Unix seconds after which an answer is useless.
     claim : claim_records.Claim or None
-        The claim to seek.
-    wait_gone : callable
-        Returns when the caller has gone away.
+        The claim to seek before the first attempt, for at-most-once work.
+    wait_disconnected : callable
+        Returns when the caller has disconnected.
     """
 
     def __init__(
@@ -105,10 +112,12 @@
         request_id: bytes,
         deadline: float,
         claim: claim_records.Claim | None,
-        wait_gone: collections.abc.Callable[[], collections.abc.Awaitable[None]],
+        wait_disconnected: collections.abc.Callable[
+            [], collections.abc.Awaitable[None]
+        ],
     ) -> None:
         self._dependencies = dependencies
-        self._wait_gone = wait_gone
+        self._wait_disconnected = wait_disconnected
         self._watch_scope: anyio.CancelScope | None = None
         self._routing = routing
         self._kind = kind
@@ -125,22 +134,22 @@
         self._answers: dict[int, answers.Answer] = {}
         self._targets: dict[int, str] = {}
         self._overdue_at: dict[int, float] = {}
-        self._counted_late: set[int] = set()
+        self._recorded_overdue: set[int] = set()
         self._reply: Reply | None = None
-        self._changed = anyio.Event()
+        self._state_changed = anyio.Event()
 
     async def run(self) -> Reply:
-        """Return what the caller gets, by the deadline."""
-        watch_at = self._dependencies.timer.now() + WATCH_AFTER
-        self._act(self._plan.start(self._dependencies.timer.now()))
+        """Run the request and return how it ended, by the deadline."""
+        watch_at = self._dependencies.timer.now() + DISCONNECT_WATCH_DELAY_S
+        self._execute(self._plan.start(self._dependencies.timer.now()))
         while self._reply is None:
             wake_at = self._find_wake_time()
             if self._watch_scope is None:
                 wake_at = min(wake_at, watch_at)
             now = self._dependencies.timer.now()
             with anyio.move_on_at(clock.convert_deadline(wake_at, now)):
-                await self._changed.wait()
-            self._changed = anyio.Event()
+                await self._state_changed.wait()
+            self._state_changed = anyio.Event()
             self._wake(watch_at)
         if self._watch_scope is not None:
             self._watch_scope.cancel()
@@ -148,35 +157,38 @@
 
     def _wake(self, watch_at: float) -> None:
         now = self._dependencies.timer.now()
-        self._count_late(now)
+        self._record_overdue(now)
         if self._reply is not None:
             return
         if now >= self._plan.find_wake_time():
-            self._act(self._plan.wake(now))
+            self._execute(self._plan.wake(now))
         if now >= watch_at and self._watch_scope is None:
             self._watch_scope = anyio.CancelScope()
-            self._dependencies.group.start_soon(self._watch, self._watch_scope)
+            self._dependencies.group.start_soon(
+                self._watch_disconnect, self._watch_scope
+            )
 
-    async def _watch(self, scope: anyio.CancelScope) -> None:
-        """Watch for the caller's going away.
+    async def _watch_disconnect(self, scope: anyio.CancelScope) -> None:
+        """Abandon the request if its caller disconnects.
 
-        It begins late, because most requests are over before it is worth its cost.
+        The watch starts late, because it costs more than it gains for short requests,
+        and most requests are short.
         """
         with scope:
-            await self._wait_gone()
+            await self._wait_disconnected()
             if self._reply is None:
-                self._act(self._plan.abandon(self._dependencies.timer.now()))
+                self._execute(self._plan.abandon(self._dependencies.timer.now()))
                 self._finish(Reply(None, None))
 
-    def _act(self, actions: list[attempt_actions.Action]) -> None:
+    def _execute(self, actions: list[attempt_actions.Action]) -> None:
         for action in actions:
             match action:
                 case attempt_actions.Send():
-                    self._start(action)
+                    self._start_attempt(action)
                 case attempt_actions.Cancel():
                     self._scopes[action.attempt].cancel()
                 case attempt_actions.SeekClaim():
-                    self._dependencies.group.start_soon(self._seek, action.claim)
+                    self._dependencies.group.start_soon(self._seek_claim, action.claim)
                 case attempt_actions.Settle():
                     self._dependencies.group.start_soon(
                         self._dependencies.claims.settle, action.record
@@ -189,22 +201,22 @@
     def _find_wake_time(self) -> float:
         return min([self._plan.find_wake_time(), *self._overdue_at.values()])
 
-    def _count_late(self, now: float) -> None:
-        """Count attempts that are late already, without waiting for their end.
+    def _record_overdue(self, now: float) -> None:
+        """Record attempts that are overdue as slow, without waiting for their end.
 
-        A target that hangs gives no answer to judge; its silence has to speak.
+        A target that hangs gives no answer whose latency could be judged.
         """
         for attempt in [n for n, at in self._overdue_at.items() if at <= now]:
             del self._overdue_at[attempt]
-            self._counted_late.add(attempt)
+            self._recorded_overdue.add(attempt)
             name = self._targets[attempt]
             self._routing.observe(name, self._kind.name, evidence.Sign.SLOW, now)
 
     def _finish(self, reply: Reply) -> None:
         self._reply = reply
-        self._changed.set()
+        self._state_changed.set()
 
-    def _start(self, send: attempt_actions.Send) -> None:
+    def _start_attempt(self, send: attempt_actions.Send) -> None:
         scope = self._scopes[send.attempt] = anyio.CancelScope()
         name = self._targets[send.attempt] = send.target.name
         self._routing.start(name, is_first=send.attempt == 1)
@@ -216,21 +228,21 @@
             )
         if send.attempt > 1:
             self._dependencies.metrics.count("zinniastand_repeats_total")
-        self._dependencies.group.start_soon(self._attempt, send, scope)
+        self._dependencies.group.start_soon(self._run_attempt, send, scope)
 
-    async def _seek(self, claim: claim_records.Claim) -> None:
+    async def _seek_claim(self, claim: claim_records.Claim) -> None:
         started = self._dependencies.timer.now()
         verdict = await self._dependencies.claims.seek(claim)
         now = self._dependencies.timer.now()
         self._dependencies.metrics.record("zinniastand_claim_seconds", now - started)
         match verdict:
             case claimer.Granted():
-                self._act(self._plan.take_grant(now))
+                self._execute(self._plan.take_grant(now))
             case claimer.Denied():
-                self._act(self._plan.take_denial(verdict, now))
-        self._changed.set()
+                self._execute(self._plan.take_denial(verdict, now))
+        self._state_changed.set()
 
-    async def _attempt(
+    async def _run_attempt(
         self, send: attempt_actions.Send, scope: anyio.CancelScope
     ) -> None:
         started = self._dependencies.timer.now()
@@ -245,29 +257,31 @@
         if result is None:
             return
         now = self._dependencies.timer.now()
-        self._observe(send, result, now - started, now)
+        self._record_result(send, result, now - started, now)
         if result.answer is not None:
             self._answers[send.attempt] = result.answer
             actions = self._plan.take_answer(send.attempt, result.answer.status, now)
         else:
             failure = result.failure or attempt_actions.Failure.SILENT
             actions = self._plan.take_failure(send.attempt, failure, now)
-        self._act(actions)
-        self._changed.set()
+        self._execute(actions)
+        self._state_changed.set()
 
-    def _observe(
+    def _record_result(
         self,
         send: attempt_actions.Send,
         result: exchange.Result,
-        took: float,
+        duration: float,
         now: float,
     ) -> None:
         name, kind = send.target.name, self._kind.name
         if result.is_leaving:
-            self._note_leaving(name, now)
+            self._record_leaving(name, now)
         if result.answer is not None:
-            was_counted = send.attempt in self._counted_late
-            self._observe_answer(name, result.answer, took, was_counted, now)
+            was_recorded_overdue = send.attempt in self._recorded_overdue
+            self._record_answer(
+                name, result.answer, duration, was_recorded_overdue, now
+            )
             return
         if result.failure in (
             attempt_actions.Failure.REFUSED,
@@ -276,33 +290,38 @@
             self._routing.take_shed(name, now)
             return
         if result.failure is attempt_actions.Failure.SILENT and result.was_pooled:
-            # The connection is the first suspect; the repeat on a new one will tell.
-            self._note(timeline.EventKind.CONNECTION_SILENT, name, result.detail, now)
+            # The connection may have failed rather than the target; a repeat on a new
+            # connection shows which.
+            self._record_event(
+                timeline.EventKind.CONNECTION_SILENT, name, result.detail, now
+            )
             return
         self._routing.observe(name, kind, evidence.Sign.ERROR, now)
 
-    def _observe_answer(
+    def _record_answer(
         self,
         name: str,
         answer: answers.Answer,
-        took: float,
-        was_counted: bool,
+        duration: float,
+        was_recorded_overdue: bool,
         now: float,
     ) -> None:
         kind = self._kind.name
-        if answer.status >= LEAST_SERVER_ERROR:
+        if answer.status >= MIN_SERVER_ERROR_STATUS:
             self._routing.observe(name, kind, evidence.Sign.ERROR, now)
             return
-        sign = self._routing.health.judge_latency(baselines.Subject(name, kind), took)
-        if not was_counted:
+        sign = self._routing.health.judge_latency(
+            baselines.Subject(name, kind), duration
+        )
+        if not was_recorded_overdue:
             self._routing.observe(name, kind, sign, now)
         self._routing.admission.take_success()
 
-    def _note_leaving(self, name: str, now: float) -> None:
+    def _record_leaving(self, name: str, now: float) -> None:
         self._routing.take_leaving(name, now)
-        self._note(timeline.EventKind.TARGET_LEAVING, name, "it said so", now)
+        self._record_event(timeline.EventKind.TARGET_LEAVING, name, "it said so", now)
 
-    def _note(
+    def _record_event(
         self, kind: timeline.EventKind, target: str, detail: str, now: float
     ) -> None:
         subject = f"{self._routing.service.name}/{target}"
@@ -317,8 +336,25 @@
     deadline: float,
     now: float,
 ) -> claim_records.Claim:
-    """Return a new claim, which may start in the first part of the time left."""
-    start_deadline = now + START_SHARE * (deadline - now)
+    """Return a new claim on a key.
+
+    Parameters
+    ----------
+    dependencies : Dependencies
+        Names the VM that holds the claim.
+    key_digest : bytes
+        Digest of the key.
+    key_made_at : float
+        Unix seconds at which the key was made.
+    fingerprint : bytes
+        Digest of the request.
+    deadline : float
+        Unix seconds after which an answer is useless. The work must start in the first
+        half of the time that is left, so that it can end in time.
+    now : float
+        Unix seconds.
+    """
+    start_deadline = now + START_DEADLINE_SHARE * (deadline - now)
     return claim_records.Claim(
         key_digest=key_digest,
         claim_id=os.urandom(CLAIM_ID_BYTES),
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/connections.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/connections.py
@@ -74,7 +74,7 @@
         self._idle: collections.deque[Connection] = collections.deque()
         self._open_count = 0
         self._origin = httpcore.Origin(b"http", target.host.encode(), target.port)
-        # For the type checker, httpcore declares this name as its substitute without anyio.
+        # httpcore declares this name with the type of its substitute without anyio.
         self._backend = typing.cast(
             "httpcore.AsyncNetworkBackend", httpcore.AnyIOBackend()
         )
@@ -185,7 +185,7 @@
     """
 
     def __init__(self, max_per_target: int) -> None:
-        self._max_connections = max_per_target
+        self._max_per_target = max_per_target
         self._targets: dict[tuple[str, int], TargetConnections] = {}
 
     def find(self, target: services.Target) -> TargetConnections:
@@ -194,7 +194,7 @@
         connections_to_target = self._targets.get(address)
         if connections_to_target is None:
             connections_to_target = self._targets[address] = TargetConnections(
-                target, self._max_connections
+                target, self._max_per_target
             )
         return connections_to_target
 
