--- a/packages/zinniastand-proxy/src/zinniastand_proxy/caller_app.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/caller_app.py
@@ -89,7 +89,7 @@
         return self._in_flight
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one ASGI scope."""
+        """Serve one ASGI scope: a request, or the lifespan of the server."""
         if scope["type"] == "lifespan":
             await serve_lifespan(receive, send)
             return
@@ -162,21 +162,21 @@
         now = self._dependencies.timer.now()
         claim = None
         if match.kind.work is services.Work.AT_MOST_ONCE:
-            made = self._make_claim(request, match, deadline, now)
-            if made.is_error():
-                return self._make_refusal(KEY_REASONS[made.error])
-            claim = made.ok
+            claim_result = self._make_claim(request, match, deadline, now)
+            if claim_result.is_error():
+                return self._make_refusal(KEY_REASONS[claim_result.error])
+            claim = claim_result.ok
         service_gate = self._find_gate(match.service)
         if not await service_gate.enter(match.kind.weight, deadline):
             now = self._dependencies.timer.now()
             return self._make_refusal(
                 outcomes.Reason.OVERLOADED, now + OVERLOAD_RETRY_DELAY_S
             )
-        entered = self._dependencies.timer.now()
+        admitted_at = self._dependencies.timer.now()
         try:
             return await self._run_request(request, match, deadline, claim, receive)
         finally:
-            service_gate.leave(self._dependencies.timer.now() - entered)
+            service_gate.leave(self._dependencies.timer.now() - admitted_at)
 
     async def _run_request(
         self,
@@ -218,15 +218,15 @@
         deadline: float,
         now: float,
     ) -> expression.Result[claim_records.Claim, keys.KeyFault]:
-        read = keys.read_key(
+        key_result = keys.read_key(
             request.key, request.account, match.service, self._window, now
         )
-        if read.is_error():
-            return expression.Error(read.error)
+        if key_result.is_error():
+            return expression.Error(key_result.error)
         claim = conductor.make_claim(
             self._dependencies,
-            read.ok.digest,
-            read.ok.made_at,
+            key_result.ok.digest,
+            key_result.ok.made_at,
             request.fingerprint(),
             deadline,
             now,
@@ -234,13 +234,14 @@
         return expression.Ok(claim)
 
     def _find_gate(self, service: str) -> gate.Gate:
+        """Return the gate of a service, a new one if its router was replaced."""
         admission_control = self._table.routers[service].admission
-        known = self._gates.get(service)
-        if known is None or known.admission_control is not admission_control:
-            known = self._gates[service] = gate.Gate(
+        existing = self._gates.get(service)
+        if existing is None or existing.admission_control is not admission_control:
+            existing = self._gates[service] = gate.Gate(
                 admission_control, self._dependencies.timer
             )
-        return known
+        return existing
 
     def _record_refusal(
         self, request_id: str, match: route_table.Match, refusal: outcomes.Refusal
@@ -285,6 +286,15 @@
         await send({"type": "http.response.body", "body": body})
 
     async def _read_body(self, receive: Receive) -> bytes:
+        """Return the complete body.
+
+        Raises
+        ------
+        _CallerDisconnectedError
+            If the caller disconnects first.
+        _BodyError
+            If the body is too large or arrives too slowly.
+        """
         chunks: list[bytes] = []
         size = 0
         with anyio.move_on_after(BODY_TIMEOUT_S):
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/claims_service.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/claims_service.py
@@ -266,23 +266,23 @@
 
         If the appending VM does not answer in time, this VM appends the claim itself.
         """
-        number = keys.find_slice(claim.key_digest, self._slices)
-        appender = self._pick_appender(number)
+        slice_number = keys.find_slice(claim.key_digest, self._slices)
+        appender = self._pick_appender(slice_number)
         if appender != self._own_vm and self._peers is not None:
             verdict = await self._seek_through_peer(appender, claim)
             if verdict is not None:
                 return verdict
             return self._allow_for_peer_append(
-                await self._find_driver(number).seek(claim)
+                await self._find_driver(slice_number).seek(claim)
             )
-        return await self._find_driver(number).seek(claim)
+        return await self._find_driver(slice_number).seek(claim)
 
     async def seek_for_peer(
         self, claim: claim_records.Claim
     ) -> peer_messages.ClaimAnswered:
-        """Return the verdict on another VM's claim."""
-        number = keys.find_slice(claim.key_digest, self._slices)
-        match await self._find_driver(number).seek(claim):
+        """Return the verdict on another VM's claim, for which this VM appends."""
+        slice_number = keys.find_slice(claim.key_digest, self._slices)
+        match await self._find_driver(slice_number).seek(claim):
             case claimer.Granted():
                 return peer_messages.ClaimAnswered(claim.claim_id, None, None)
             case claimer.Denied(reason=reason, entry=entry):
@@ -290,18 +290,18 @@
 
     async def settle(self, record: claim_records.Record) -> None:
         """Append an outcome, through the slice's appending VM if it answers."""
-        number = keys.find_slice(record.key_digest, self._slices)
-        appender = self._pick_appender(number)
+        slice_number = keys.find_slice(record.key_digest, self._slices)
+        appender = self._pick_appender(slice_number)
         if appender != self._own_vm and self._peers is not None:
             if await self._peers.ask_settle(appender, claim_records.pack([record])):
                 return
-        self._find_driver(number).settle(record)
+        self._find_driver(slice_number).settle(record)
 
     def settle_for_peer(self, records: tuple[claim_records.Record, ...]) -> None:
         """Append another VM's outcomes to the log."""
         for record in records:
-            number = keys.find_slice(record.key_digest, self._slices)
-            self._find_driver(number).settle(record)
+            slice_number = keys.find_slice(record.key_digest, self._slices)
+            self._find_driver(slice_number).settle(record)
 
     async def run(self) -> None:
         """Retry periodically what an outage of the log kept from it."""
@@ -343,25 +343,31 @@
                 return claimer.Denied(verdict.claim, claimer.Denial.UNSETTLED, None)
         return verdict
 
-    def _pick_appender(self, number: int) -> str:
+    def _pick_appender(self, slice_number: int) -> str:
+        """Return the VM that appends for a slice.
+
+        VMs that know the same members pick the same one. The choice is kept until the
+        members change.
+        """
         if self._peers is None:
             return self._own_vm
         revision = self._peers.read_revision()
         if revision != self._appenders_revision:
             self._appenders_revision = revision
             self._appenders.clear()
-        appender = self._appenders.get(number)
+        appender = self._appenders.get(slice_number)
         if appender is None:
             names = [self._own_vm, *self._peers.list_alive()]
-            appender = rendezvous.pick(f"slice/{number}", names)[0]
-            self._appenders[number] = appender
+            appender = rendezvous.pick(f"slice/{slice_number}", names)[0]
+            self._appenders[slice_number] = appender
         return appender
 
-    def _find_driver(self, number: int) -> SliceDriver:
-        driver = self._drivers.get(number)
+    def _find_driver(self, slice_number: int) -> SliceDriver:
+        """Return the driver of a slice, creating it on first use."""
+        driver = self._drivers.get(slice_number)
         if driver is None:
-            driver = self._drivers[number] = SliceDriver(
-                f"claims-{number}",
+            driver = self._drivers[slice_number] = SliceDriver(
+                f"claims-{slice_number}",
                 self._log,
                 self._timer,
                 self._group,
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/conductor.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/conductor.py
@@ -48,10 +48,10 @@
     """Source of the current time."""
 
     exchanger: exchange.Exchanger
-    """Sends attempts."""
+    """Sends attempts to targets."""
 
     claims: claims_service.ClaimsService
-    """Seeks claims."""
+    """Seeks claims and settles their outcomes."""
 
     group: anyio.abc.TaskGroup
     """Task group in which attempts, claims and disconnect watches run."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/connections.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/connections.py
@@ -136,6 +136,7 @@
     def _acquire_idle(
         self, freshness: attempt_actions.Freshness, now: float
     ) -> Connection | None:
+        """Return an idle connection that is fresh enough, or None without one."""
         while self._idle:
             connection = self._idle[-1]
             # Work that must not run twice uses only a connection that has just carried
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/exchange.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/exchange.py
@@ -21,7 +21,7 @@
     """What all attempts of a request have in common."""
 
     request: incoming.Request
-    """The caller's request."""
+    """The caller's request, which every attempt repeats."""
 
     request_id: bytes
     """Identifies the request to the target, which may echo it in the answer."""
@@ -140,9 +140,10 @@
             return self._fail(attempt_actions.Failure.CUT, error)
         if body is None:
             return self._fail(attempt_actions.Failure.CUT, "answer body over the bound")
-        return self._judge(response, body)
+        return self._validate(response, body)
 
     async def _read_body(self, response: httpcore.Response) -> bytes | None:
+        """Return the complete body, or None if it exceeds the limit."""
         chunks: list[bytes] = []
         size = 0
         stream = typing.cast("collections.abc.AsyncIterable[bytes]", response.stream)
@@ -154,22 +155,28 @@
         await response.aclose()
         return b"".join(chunks)
 
-    def _judge(self, response: httpcore.Response, body: bytes) -> Result:
+    def _validate(self, response: httpcore.Response, body: bytes) -> Result:
+        """Return the result of a received answer, which may be invalid or a refusal."""
         headers = [(name.lower(), value) for name, value in response.headers]
-        found = dict(headers)
-        leaving = b"close" in found.get(b"connection", b"").lower()
-        if not _has_stated_end(response.status, found, self._task.request.method):
+        values_by_name = dict(headers)
+        leaving = b"close" in values_by_name.get(b"connection", b"").lower()
+        if not _has_stated_end(
+            response.status, values_by_name, self._task.request.method
+        ):
             return self._fail(
                 attempt_actions.Failure.CUT, "the answer does not say its end"
             )
         echo = self._task.service.echo_header.encode()
-        if echo and found.get(echo) != self._task.request_id:
+        if echo and values_by_name.get(echo) != self._task.request_id:
             return self._fail(
                 attempt_actions.Failure.CUT, "the answer is not to this request"
             )
-        rule = self._task.service.not_started
-        if response.status == rule.status and rule.header.encode() in found:
-            detail = found[rule.header.encode()].decode("latin-1")
+        not_started_rule = self._task.service.not_started
+        if (
+            response.status == not_started_rule.status
+            and not_started_rule.header.encode() in values_by_name
+        ):
+            detail = values_by_name[not_started_rule.header.encode()].decode("latin-1")
             return Result(
                 None,
                 attempt_actions.Failure.REFUSED,
@@ -177,9 +184,9 @@
                 is_leaving=detail == "leaving",
                 detail=detail,
             )
-        kept = incoming.keep_end_to_end(headers)
-        kept = tuple(item for item in kept if item[0] != b"content-length")
-        answer = answers.Answer(response.status, kept, body)
+        end_to_end = incoming.keep_end_to_end(headers)
+        end_to_end = tuple(item for item in end_to_end if item[0] != b"content-length")
+        answer = answers.Answer(response.status, end_to_end, body)
         return Result(answer, None, self._was_pooled, is_leaving=leaving)
 
     def _fail(self, failure: attempt_actions.Failure, error: object) -> Result:
--- a/tests/proxy/test_incoming.py
+++ b/tests/proxy/test_incoming.py
@@ -1,4 +1,4 @@
-"""Heads of requests: what two readers could understand differently is refused."""
+"""Validation of requests, request heads and settings from outside."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @hypothesis.given(st.text(max_size=8), st.binary(max_size=30), HEADERS)
-def test_no_head_brings_the_checks_down(
+def test_any_head_is_accepted_or_rejected_without_an_exception(
     method: str, target: bytes, headers: list[tuple[bytes, bytes]]
 ) -> None:
     checked = incoming.check_head(method, target, headers)
@@ -35,7 +35,9 @@
         [(b"host", b"a"), (b"host", b"b")],
     ],
 )
-def test_refuses_heads_with_two_readings(headers: list[tuple[bytes, bytes]]) -> None:
+def test_head_that_parsers_could_interpret_differently_is_rejected(
+    headers: list[tuple[bytes, bytes]],
+) -> None:
     assert incoming.check_head("POST", b"/x", headers).is_error()
 
 
@@ -53,11 +55,12 @@
         b"\x16\x03\x01\x02\x00\x01\x00",
     ],
 )
-async def test_bytes_that_are_no_request_never_reach_the_application(
+async def test_malformed_bytes_never_reach_the_application(
     head: bytes,
 ) -> None:
-    # A caller, or somebody between, sends bytes that another reader might take for
-    # one request and a half. The listener refuses them and stays up.
+    # Guards against request smuggling: a caller or a hop in between sends bytes that
+    # another parser might split into requests differently. The listener has to reject
+    # them and keep serving.
     reached: list[str] = []
 
     async def app(scope: dict, receive: object, send: object) -> None:
@@ -89,5 +92,5 @@
         max_leaves=10,
     )
 )
-def test_no_settings_bring_the_reader_down(value: object) -> None:
+def test_settings_of_any_other_shape_are_reported_as_errors(value: object) -> None:
     assert settings.parse(json5.dumps(value), "x").is_error()
--- a/tests/proxy/test_whole_path.py
+++ b/tests/proxy/test_whole_path.py
@@ -1,4 +1,7 @@
-"""The whole path over real sockets: log, bundle, daemons, targets, callers."""
+"""Requests through a complete site over real sockets.
+
+Log, VM list, targets and daemons run in one process and are connected by sockets.
+"""
 
 from __future__ import annotations
 
@@ -36,168 +39,174 @@
 
 @contextlib.asynccontextmanager
 async def run_site(vms: int):
-    """Run a site with a number of ready daemons."""
+    """Run a site with `vms` daemons, all ready for requests."""
     async with anyio.create_task_group() as group:
-        place = site.Site(group)
-        await place.start_platform()
-        await place.start_targets([PLAN])
-        place.publish()
+        running_site = site.Site(group)
+        await running_site.start_platform()
+        await running_site.start_targets([PLAN])
+        running_site.publish()
         for number in range(vms):
-            await place.start_daemon(f"vm-{number + 1}", f"dc-{number % 2 + 1}")
+            await running_site.start_daemon(f"vm-{number + 1}", f"dc-{number % 2 + 1}")
         async with httpx.AsyncClient(timeout=10) as client:
-            for process in place.daemons.values():
-                await wait_ready(client, process)
-            yield place, client
-        for process in place.daemons.values():
-            process.stop()
+            for proxy_daemon in running_site.daemons.values():
+                await wait_ready(client, proxy_daemon)
+            yield running_site, client
+        for proxy_daemon in running_site.daemons.values():
+            proxy_daemon.stop()
         group.cancel_scope.cancel()
 
 
-async def wait_ready(client: httpx.AsyncClient, process: daemon.Daemon) -> None:
-    """Wait until a daemon takes requests."""
+async def wait_ready(client: httpx.AsyncClient, proxy_daemon: daemon.Daemon) -> None:
+    """Wait until a daemon reports that it is ready."""
     with anyio.fail_after(20):
         while True:
-            page = await client.get(f"http://127.0.0.1:{process.admin_port}/ready")
+            page = await client.get(f"http://127.0.0.1:{proxy_daemon.admin_port}/ready")
             if page.status_code == 200:
                 return
             await anyio.sleep(0.02)
 
 
-def url_of(process: daemon.Daemon, path: str) -> str:
-    """Return the callers' URL of a daemon."""
-    return f"http://127.0.0.1:{process.caller_port}{path}"
+def url_of(proxy_daemon: daemon.Daemon, path: str) -> str:
+    """Return the URL of a path on a daemon's listener for callers."""
+    return f"http://127.0.0.1:{proxy_daemon.caller_port}{path}"
 
 
-async def order(
-    client: httpx.AsyncClient, process: daemon.Daemon, key: str, name: str
+async def send_order(
+    client: httpx.AsyncClient, proxy_daemon: daemon.Daemon, key: str, name: str
 ) -> httpx.Response:
-    """Send at-most-once work."""
+    """Send an at-most-once request under a key."""
     headers = {"idempotency-key": key, "x-work-name": name}
-    return await client.post(url_of(process, "/orders"), headers=headers, content=b"x")
+    return await client.post(
+        url_of(proxy_daemon, "/orders"), headers=headers, content=b"x"
+    )
 
 
-async def test_answers_idempotent_work_whole() -> None:
-    async with run_site(1) as (place, client):
-        process = place.daemons["vm-1"]
+async def test_idempotent_request_gets_the_complete_answer() -> None:
+    async with run_site(1) as (running_site, client):
+        proxy_daemon = running_site.daemons["vm-1"]
         headers = {"x-work-name": "a"}
-        answer = await client.get(url_of(process, "/items/1?b=2"), headers=headers)
+        answer = await client.get(url_of(proxy_daemon, "/items/1?b=2"), headers=headers)
         assert answer.status_code == 200
         assert answer.text == "done:a:"
 
 
-async def test_runs_a_key_once_though_sent_to_two_vms() -> None:
-    # A caller repeats an order through the balancer, and the copy reaches another
-    # VM. Both VMs claim the key on the log; the log's order lets one of them send.
-    # The other caller is told that the work ran, or may have.
-    async with run_site(2) as (place, client):
+async def test_key_sent_to_two_vms_runs_once() -> None:
+    # Guards against running an at-most-once request twice: a caller repeats it through
+    # the balancer and the copy reaches another VM. Both VMs claim the key; only the
+    # claim that comes first on the log may be sent. The others get 409, since the work
+    # ran or may have run.
+    async with run_site(2) as (running_site, client):
         key = str(uuid6.uuid7())
         replies: list[httpx.Response] = []
 
         async def send(vm: str) -> None:
-            replies.append(await order(client, place.daemons[vm], key, "a"))
+            replies.append(await send_order(client, running_site.daemons[vm], key, "a"))
 
         async with anyio.create_task_group() as group:
             for vm in ("vm-1", "vm-2", "vm-1", "vm-2"):
                 group.start_soon(send, vm)
-        assert place.ledger.count("a") == 1
+        assert running_site.ledger.count("a") == 1
         statuses = sorted(reply.status_code for reply in replies)
         assert statuses == [200, 409, 409, 409]
         outcomes = {r.headers["x-outcome"] for r in replies if r.status_code == 409}
         assert outcomes <= {"unknown", "done"}
 
 
-async def test_refuses_keys_without_an_age() -> None:
-    async with run_site(1) as (place, client):
-        process = place.daemons["vm-1"]
-        reply = await order(client, process, str(uuid.uuid4()), "a")
+async def test_key_without_a_timestamp_is_rejected() -> None:
+    async with run_site(1) as (running_site, client):
+        proxy_daemon = running_site.daemons["vm-1"]
+        reply = await send_order(client, proxy_daemon, str(uuid.uuid4()), "a")
         assert reply.status_code == 400
         assert reply.json()["reason"] == "key-malformed"
         assert reply.headers["x-outcome"] == "not-run"
-        assert place.ledger.count("a") == 0
+        assert running_site.ledger.count("a") == 0
 
 
-async def test_says_not_run_while_the_log_is_down() -> None:
-    # The log refuses appends for hours. An order cannot be claimed, so it is refused
-    # at once, truthfully, with a time to come back; lookups go on as before.
-    async with run_site(1) as (place, client):
-        process = place.daemons["vm-1"]
-        place.log.is_down = True
-        reply = await order(client, process, str(uuid6.uuid7()), "a")
+async def test_at_most_once_request_is_not_run_while_the_log_is_down() -> None:
+    # During an outage of the log no key can be claimed. An at-most-once request has to
+    # get "not-run" and a Retry-After at once; idempotent requests need no claim and
+    # succeed.
+    async with run_site(1) as (running_site, client):
+        proxy_daemon = running_site.daemons["vm-1"]
+        running_site.log.is_down = True
+        reply = await send_order(client, proxy_daemon, str(uuid6.uuid7()), "a")
         assert reply.status_code == 503
         assert reply.headers["x-outcome"] == "not-run"
         assert int(reply.headers["retry-after"]) > 0
-        assert place.ledger.count("a") == 0
-        lookup = await client.get(url_of(process, "/items/1"))
+        assert running_site.ledger.count("a") == 0
+        lookup = await client.get(url_of(proxy_daemon, "/items/1"))
         assert lookup.status_code == 200
 
 
-async def test_settles_a_lost_append_answer_by_reading() -> None:
-    # The append takes effect and its answer is lost. The VM reads the stream, finds
-    # its claim first, and sends the work once.
-    async with run_site(1) as (place, client):
-        place.log.loses_answers = True
-        reply = await order(client, place.daemons["vm-1"], str(uuid6.uuid7()), "a")
+async def test_claim_whose_append_answer_is_lost_is_settled_by_reading() -> None:
+    # The append succeeds but its answer is lost. The VM has to read the stream, find
+    # that its claim is the first for the key, and send the request once.
+    async with run_site(1) as (running_site, client):
+        running_site.log.loses_answers = True
+        reply = await send_order(
+            client, running_site.daemons["vm-1"], str(uuid6.uuid7()), "a"
+        )
         assert reply.status_code == 200
-        assert place.ledger.count("a") == 1
+        assert running_site.ledger.count("a") == 1
 
 
-async def test_never_passes_a_cut_or_crossed_answer() -> None:
-    # Every target cuts its answers short, or answers somebody else's request. The
-    # proxy checks the whole answer before its first byte, so the caller never sees
-    # one; for an order it says "unknown", for the work did run.
-    async with run_site(1) as (place, client):
-        process = place.daemons["vm-1"]
+async def test_truncated_or_crossed_answer_never_reaches_the_caller() -> None:
+    # Every target truncates its answers, or sends the answer to another request. The
+    # proxy validates the complete answer before it sends the first byte, so the caller
+    # gets 502 instead. For at-most-once work the outcome is "unknown", since it ran.
+    async with run_site(1) as (running_site, client):
+        proxy_daemon = running_site.daemons["vm-1"]
         for fault in (target.Fault.CUT, target.Fault.CROSSED):
-            for worker in place.targets.values():
-                worker.mood = target.Mood(fault)
+            for target_vm in running_site.targets.values():
+                target_vm.mood = target.Mood(fault)
             name = fault.value
-            reply = await order(client, process, str(uuid6.uuid7()), name)
+            reply = await send_order(client, proxy_daemon, str(uuid6.uuid7()), name)
             assert reply.status_code == 502
             assert reply.headers["x-outcome"] == "unknown"
-            assert place.ledger.count(name) == 1
-            lookup = await client.get(url_of(process, "/items/1"))
+            assert running_site.ledger.count(name) == 1
+            lookup = await client.get(url_of(proxy_daemon, "/items/1"))
             assert lookup.status_code == 502
 
 
 @pytest.mark.parametrize("announced_by", ["operator", "list", "target"])
-async def test_a_leaving_target_gets_nothing_new(announced_by: str) -> None:
-    # A target is going to leave, and only one source says so. Three seconds later no
-    # VM sends it anything, and every request is still answered.
-    async with run_site(2) as (place, client):
+async def test_leaving_target_gets_no_new_requests(announced_by: str) -> None:
+    # Only one source announces that a target is leaving. After three seconds no VM may
+    # send it a request, and all requests still have to succeed.
+    async with run_site(2) as (running_site, client):
         name = "desk-2"
-        leaving = place.targets[name]
+        leaving = running_site.targets[name]
         if announced_by == "operator":
-            place.document["services"]["desk"]["targets"][1]["draining"] = True
-            place.publish()
+            running_site.document["services"]["desk"]["targets"][1]["draining"] = True
+            running_site.publish()
         elif announced_by == "list":
-            address = f"127.0.0.1:{place.ports[name]}"
-            place.listing.vms.append(
+            address = f"127.0.0.1:{running_site.ports[name]}"
+            running_site.listing.vms.append(
                 {"role": "target", "state": "leaving", "address": address}
             )
         else:
             leaving.is_leaving = True
-        await send_lookups(place, client, 20)
+        await send_lookups(running_site, client, 20)
         await anyio.sleep(3.0)
         before = len(leaving.received_at)
-        assert await send_lookups(place, client, 40) == {200}
+        assert await send_lookups(running_site, client, 40) == {200}
         assert len(leaving.received_at) == before
 
 
 async def send_lookups(
-    place: site.Site, client: httpx.AsyncClient, count: int
+    running_site: site.Site, client: httpx.AsyncClient, count: int
 ) -> set[int]:
-    """Send lookups to all VMs in turn; return the statuses that came back."""
+    """Send `count` lookups to each VM in turn and return the statuses received."""
     statuses: set[int] = set()
     for _ in range(count):
-        for process in place.daemons.values():
-            reply = await client.get(url_of(process, "/items/1"))
+        for proxy_daemon in running_site.daemons.values():
+            reply = await client.get(url_of(proxy_daemon, "/items/1"))
             statuses.add(reply.status_code)
     return statuses
 
 
-async def test_refuses_requests_that_could_be_read_in_two_ways() -> None:
-    async with run_site(1) as (place, client):
-        url = url_of(place.daemons["vm-1"], "/items/1")
+async def test_ambiguous_invalid_or_oversized_request_is_rejected() -> None:
+    async with run_site(1) as (running_site, client):
+        url = url_of(running_site.daemons["vm-1"], "/items/1")
         doubled = [("x-account", "a"), ("x-account", "b")]
         reply = await client.get(url, headers=doubled)
         assert reply.status_code == 400
@@ -207,19 +216,19 @@
         reply = await client.request("TRACE", url)
         assert reply.status_code in (400, 501)
         large = b"x" * (2 * 1024 * 1024)
-        orders = url_of(place.daemons["vm-1"], "/orders")
+        orders = url_of(running_site.daemons["vm-1"], "/orders")
         reply = await client.post(orders, content=large)
         assert reply.status_code == 413
 
 
-async def test_strips_what_concerns_one_connection_only() -> None:
-    async with run_site(1) as (place, client):
-        url = url_of(place.daemons["vm-1"], "/items/1")
+async def test_hop_by_hop_headers_are_not_forwarded() -> None:
+    async with run_site(1) as (running_site, client):
+        url = url_of(running_site.daemons["vm-1"], "/items/1")
         seen: list[dict[bytes, bytes]] = []
-        worker = place.targets["desk-1"]
-        for other in place.targets.values():
-            other.is_leaving = other is not worker
-        worker.on_headers = seen.append
+        target_vm = running_site.targets["desk-1"]
+        for other in running_site.targets.values():
+            other.is_leaving = other is not target_vm
+        target_vm.on_headers = seen.append
         headers = {"connection": "x-secret", "x-secret": "1", "te": "trailers"}
         await client.get(url, headers=headers)
         names = set(seen[-1])
@@ -228,14 +237,14 @@
         assert b"x-request-deadline-ms" in names
 
 
-async def test_a_vm_joins_through_a_first_peer_without_list_and_log() -> None:
-    # A VM starts while both the log and the platform's list are down. It calls the
-    # peer that its settings name, gets the proven head, and serves.
-    async with run_site(2) as (place, client):
-        place.log.is_down = True
-        process = await place.start_daemon(
+async def test_vm_joins_through_a_first_peer_without_vm_list_and_log() -> None:
+    # A VM starts while both the log and the platform's VM list are down. It has to get
+    # the verified configuration from the peer that its settings name, and serve.
+    async with run_site(2) as (running_site, client):
+        running_site.log.is_down = True
+        proxy_daemon = await running_site.start_daemon(
             "vm-late", list_url="http://127.0.0.1:9", first_peers=["vm-1"]
         )
-        await wait_ready(client, process)
-        reply = await client.get(url_of(process, "/items/1"))
+        await wait_ready(client, proxy_daemon)
+        reply = await client.get(url_of(proxy_daemon, "/items/1"))
         assert reply.status_code == 200
