--- a/tests/proxy/test_whole_path.py
+++ b/tests/proxy/test_whole_path.py
@@ -157,8 +157,8 @@
     async with run_site(1) as (running_site, client):
         proxy_daemon = running_site.daemons["vm-1"]
         for fault in (target.Fault.CUT, target.Fault.CROSSED):
-            for target_vm in running_site.targets.values():
-                target_vm.mood = target.Mood(fault)
+            for stand_in in running_site.targets.values():
+                stand_in.mood = target.Mood(fault)
             name = fault.value
             reply = await send_order(client, proxy_daemon, str(uuid6.uuid7()), name)
             assert reply.status_code == 502
@@ -225,10 +225,10 @@
     async with run_site(1) as (running_site, client):
         url = url_of(running_site.daemons["vm-1"], "/items/1")
         seen: list[dict[bytes, bytes]] = []
-        target_vm = running_site.targets["desk-1"]
+        stand_in = running_site.targets["desk-1"]
         for other in running_site.targets.values():
-            other.is_leaving = other is not target_vm
-        target_vm.on_headers = seen.append
+            other.is_leaving = other is not stand_in
+        stand_in.on_headers = seen.append
         headers = {"connection": "x-secret", "x-secret": "1", "te": "trailers"}
         await client.get(url, headers=headers)
         names = set(seen[-1])
