--- a/packages/zinniastand-proxy/src/zinniastand_proxy/exchange.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt: a request sent on one connection, and its answer checked whole."""
+"""One attempt: sends a request on one connection and validates the whole answer."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 from . import answers, clock, connections, incoming
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Task:
-    """What is to be sent, apart from where to."""
+    """What all attempts of a request have in common."""
 
     request: incoming.Request
-    """The caller's request."""
+    """The caller's request, which every attempt repeats."""
 
     request_id: bytes
-    """Names it towards the target, and in the answer."""
+    """Identifies the request to the target, which may echo it in the answer."""
 
     service: services.Service
-    """Whose contract the answer is read by."""
+    """Service whose rules for answers apply."""
 
     start_deadline: float | None
-    """Unix seconds after which the target must not start it."""
+    """Unix seconds after which the target must not start the work, if limited."""
 
     max_body_bytes: int
-    """Largest answer body that is taken."""
+    """Largest answer body that is accepted."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -41,30 +41,30 @@
     """How an attempt ended."""
 
     answer: answers.Answer | None
-    """The whole answer, if there is one."""
+    """The complete answer, or None if the attempt failed."""
 
     failure: attempt_actions.Failure | None
-    """Otherwise, how it failed."""
+    """How the attempt failed, or None after an answer."""
 
     was_pooled: bool
     """Whether the connection had been used before."""
 
     is_leaving: bool = False
-    """Whether the target said that it is leaving."""
+    """Whether the target announced that it is leaving."""
 
     detail: str = ""
-    """For the time line."""
+    """Explanation for the time line."""
 
 
 class Exchanger:
-    """Sends attempts.
+    """Sends attempts to targets.
 
     Parameters
     ----------
     pool : connections.Connections
         Connections to targets.
     timer : clock.Clock
-        The time.
+        Source of the current time.
     """
 
     def __init__(self, pool: connections.Connections, timer: clock.Clock) -> None:
@@ -72,14 +72,14 @@
         self._timer = timer
 
     async def exchange(self, send: attempt_actions.Send, task: Task) -> Result:
-        """Send the request once and return how it ended, never raising.
+        """Send the request once and return how the attempt ended.
 
-        Being cancelled closes the connection, which tells the target that the answer
-        is no longer wanted.
+        Failures are returned, not raised. Cancellation closes the connection, which
+        shows the target that the answer is no longer needed.
         """
         target = self._pool.find(send.target)
         try:
-            connection = await target.take(send.freshness, self._timer.now())
+            connection = await target.acquire(send.freshness, self._timer.now())
         except connections.NoFreeConnectionError:
             return Result(None, attempt_actions.Failure.BUSY, False)
         except connections.NoConnectionError as error:
@@ -96,7 +96,7 @@
             if result.answer is None and result.failure is not _REFUSED:
                 await target.discard(connection)
             else:
-                target.give_back(connection, self._timer.now())
+                target.release(connection, self._timer.now())
             return result
         return Result(None, attempt_actions.Failure.OVERDUE, was_pooled)
 
@@ -105,7 +105,7 @@
 
 
 class _Sender:
-    """One request on one connection."""
+    """Sends one request on one connection."""
 
     def __init__(
         self, connection: connections.Connection, task: Task, send: attempt_actions.Send
@@ -140,9 +140,10 @@
             return self._fail(attempt_actions.Failure.CUT, error)
         if body is None:
             return self._fail(attempt_actions.Failure.CUT, "answer body over the bound")
-        return self._judge(response, body)
+        return self._validate(response, body)
 
     async def _read_body(self, response: httpcore.Response) -> bytes | None:
+        """Return the complete body, or None if it exceeds the limit."""
         chunks: list[bytes] = []
         size = 0
         stream = typing.cast("collections.abc.AsyncIterable[bytes]", response.stream)
@@ -154,22 +155,28 @@
         await response.aclose()
         return b"".join(chunks)
 
-    def _judge(self, response: httpcore.Response, body: bytes) -> Result:
+    def _validate(self, response: httpcore.Response, body: bytes) -> Result:
+        """Return the result of a received answer, which may be invalid or a refusal."""
         headers = [(name.lower(), value) for name, value in response.headers]
-        found = dict(headers)
-        leaving = b"close" in found.get(b"connection", b"").lower()
-        if not _has_stated_end(response.status, found, self._task.request.method):
+        values_by_name = dict(headers)
+        leaving = b"close" in values_by_name.get(b"connection", b"").lower()
+        if not _has_stated_end(
+            response.status, values_by_name, self._task.request.method
+        ):
             return self._fail(
                 attempt_actions.Failure.CUT, "the answer does not say its end"
             )
         echo = self._task.service.echo_header.encode()
-        if echo and found.get(echo) != self._task.request_id:
+        if echo and values_by_name.get(echo) != self._task.request_id:
             return self._fail(
                 attempt_actions.Failure.CUT, "the answer is not to this request"
             )
-        rule = self._task.service.not_started
-        if response.status == rule.status and rule.header.encode() in found:
-            detail = found[rule.header.encode()].decode("latin-1")
+        not_started_rule = self._task.service.not_started
+        if (
+            response.status == not_started_rule.status
+            and not_started_rule.header.encode() in values_by_name
+        ):
+            detail = values_by_name[not_started_rule.header.encode()].decode("latin-1")
             return Result(
                 None,
                 attempt_actions.Failure.REFUSED,
@@ -177,9 +184,9 @@
                 is_leaving=detail == "leaving",
                 detail=detail,
             )
-        kept = incoming.keep_end_to_end(headers)
-        kept = tuple(item for item in kept if item[0] != b"content-length")
-        answer = answers.Answer(response.status, kept, body)
+        end_to_end = incoming.keep_end_to_end(headers)
+        end_to_end = tuple(item for item in end_to_end if item[0] != b"content-length")
+        answer = answers.Answer(response.status, end_to_end, body)
         return Result(answer, None, self._was_pooled, is_leaving=leaving)
 
     def _fail(self, failure: attempt_actions.Failure, error: object) -> Result:
@@ -193,7 +200,7 @@
         headers = [
             (name, value)
             for name, value in request.headers
-            if name not in incoming.OWN_HEADERS
+            if name not in incoming.REPLACED_HEADERS
         ]
         headers.append((incoming.REQUEST_ID_HEADER, self._task.request_id))
         headers.append((b"x-request-deadline-ms", _to_ms(self._send.deadline)))
@@ -211,17 +218,18 @@
 def _has_stated_end(
     status: int, headers: collections.abc.Mapping[bytes, bytes], method: str
 ) -> bool:
-    """Return whether a cut answer could be told from a whole one."""
+    """Return whether a truncated answer could be distinguished from a complete one."""
     if method == "HEAD" or status in (204, 304):
         return True
     return b"content-length" in headers or b"transfer-encoding" in headers
 
 
 def _to_ms(deadline: float) -> bytes:
-    return str(int(deadline * MILLISECONDS)).encode()
+    return str(int(deadline * MS_PER_S)).encode()
 
 
 def _describe_hop(request: incoming.Request) -> bytes:
+    """Return the value of ``Forwarded`` (RFC 7239) for the caller."""
     client = request.client
     if ":" in client:
         client = f'"[{client}]"'
