--- a/packages/zinniastand-proxy/src/zinniastand_proxy/__init__.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/__init__.py
@@ -1,1 +1,4 @@
-"""The zinniastand daemon: adapters around `zinniastand_core`, wired in `daemon`."""
+"""The zinniastand daemon: I/O adapters around `zinniastand_core`.
+
+`daemon` wires them together.
+"""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/cli.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/cli.py
@@ -1,4 +1,4 @@
-"""The binary ``zinniastand``."""
+"""Command line of the daemon: the program ``zinniastand``."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
     match settings.load(settings_file):
         case expression.Result(tag="ok", ok=config):
             pass
-        case expression.Result(error=found):
-            typer.echo(str(found), err=True)
+        case expression.Result(error=problems):
+            typer.echo(str(problems), err=True)
             raise typer.Exit(EXIT_BAD_INPUT)
     if check:
         typer.echo("settings are fine")
@@ -48,7 +48,9 @@
     try:
         process = daemon.Daemon(config)
     except OSError as error:
-        typer.echo(f"cannot listen: {error}", err=True)
+        typer.echo(
+            f"cannot listen on {config.callers} or {config.admin}: {error}", err=True
+        )
         raise typer.Exit(EXIT_BAD_INPUT) from None
     anyio.run(_run, process, backend="asyncio", backend_options={"use_uvloop": True})
     if process.cut_off:
@@ -70,7 +72,7 @@
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the command line application."""
     app()
 
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/http_app.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/http_app.py
@@ -1,4 +1,4 @@
-"""What all small ASGI applications have in common."""
+"""Base class of the small ASGI applications."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class HttpApp(abc.ABC):
-    """An ASGI application that serves HTTP and has nothing to set up."""
+    """An ASGI application that serves HTTP only and needs no start-up step."""
 
     async def __call__(
         self,
@@ -16,7 +16,7 @@
         receive: caller_app.Receive,
         send: caller_app.Send,
     ) -> None:
-        """Serve one ASGI scope."""
+        """Serve one ASGI scope; scopes other than HTTP and lifespan are ignored."""
         if scope["type"] == "lifespan":
             await caller_app.serve_lifespan(receive, send)
         elif scope["type"] == "http":
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/logs.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines on standard error."""
+"""Logging as JSON lines on standard error."""
 
 from __future__ import annotations
 
@@ -7,15 +7,23 @@
 
 from pythonjsonlogger import json as json_formatter
 
-ROOT = "zinniastand"
-FIELDS = "%(asctime)s %(levelname)s %(name)s %(message)s"
+ROOT_LOGGER = "zinniastand"
+RECORD_FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
 
 
 def set_up(level: str, vm: str) -> None:
-    """Send logs of this process to standard error, one JSON object a line."""
+    """Send this process's logs to standard error, one JSON object per line.
+
+    Parameters
+    ----------
+    level : str
+        Lowest level that is logged; see `settings.LOG_LEVELS`.
+    vm : str
+        Name of this VM, added to every line.
+    """
     handler = logging.StreamHandler(sys.stderr)
     formatter = json_formatter.JsonFormatter(
-        FIELDS,
+        RECORD_FORMAT,
         rename_fields={"asctime": "time", "levelname": "level"},
         static_fields={"vm": vm},
     )
@@ -23,11 +31,11 @@
     root = logging.getLogger()
     root.handlers = [handler]
     root.setLevel(level.upper())
-    # Each line of these is repeated for every request, which the metrics count.
-    for noisy in ("httpx", "httpcore", "hypercorn.access", "websockets"):
-        logging.getLogger(noisy).setLevel(logging.WARNING)
+    # These libraries log a line per request; the metrics count requests already.
+    for library in ("httpx", "httpcore", "hypercorn.access", "websockets"):
+        logging.getLogger(library).setLevel(logging.WARNING)
 
 
 def get_logger(name: str) -> logging.Logger:
-    """Return the logger of one module."""
-    return logging.getLogger(f"{ROOT}.{name}")
+    """Return the daemon's logger with that name."""
+    return logging.getLogger(f"{ROOT_LOGGER}.{name}")
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/settings.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the daemon: JSON with comments, checked whole before anything starts."""
+"""Settings of the daemon: JSON with comments, validated in full before start."""
 
 from __future__ import annotations
 
@@ -13,20 +13,21 @@
 from . import settings_document
 
 LOG_LEVELS = ("debug", "info", "warning", "error")
-DEFAULT_BODY_BYTES = 1024 * 1024
-MILLISECONDS = 1000.0
-WINDOW_MARGIN = 2.0
+DEFAULT_MAX_BODY_BYTES = 1024 * 1024
+MS_PER_S = 1000.0
+RETENTION_PER_KEY_WINDOW = 2.0
+"""Least retention of the log, in key windows."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Address:
-    """Where to listen."""
+    """Address of a listener."""
 
     host: str
-    """IP number."""
+    """IPv4 or IPv6 address, in digits."""
 
     port: int
-    """TCP port; 0 lets the system choose, for tests."""
+    """TCP port; 0 lets the system choose one, as tests do."""
 
     def __str__(self) -> str:
         return (
@@ -38,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tls:
-    """Files of one TLS identity."""
+    """Files of one TLS identity: certificate, key and trusted authority."""
 
     certificate: str
     """Path of the certificate chain, PEM."""
@@ -47,18 +48,18 @@
     """Path of the private key, PEM."""
 
     authority: str
-    """Path of the authority that the other side must be signed by, or empty."""
+    """Path of the authority that must have signed the peer's certificate, or empty."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything that a process is told at start."""
+    """All settings of one daemon process."""
 
     vm: str
     """Name of this VM."""
 
     data_centre: str
-    """Where it runs."""
+    """Name of the data centre that it runs in."""
 
     callers: Address
     """Listener for callers."""
@@ -82,50 +83,74 @@
     """URL of the platform's list of VMs, or empty."""
 
     first_peers: tuple[str, ...]
-    """URLs of peers to call when the list cannot be had."""
+    """Peer URLs to contact while no other VM is known, such as without a VM list."""
 
     trusted: services.Operators
-    """Operators who sign the first bundle."""
+    """Operators whose signatures the first bundle needs."""
 
     callers_tls: Tls | None
-    """TLS towards callers."""
+    """TLS identity of the callers' listener; None for plain HTTP."""
 
     peers_tls: Tls | None
-    """Mutual TLS between VMs."""
+    """Identity for mutual TLS between VMs; None for plain websockets."""
 
     log_level: str
-    """Least level that is logged."""
+    """Lowest level that is logged, of `LOG_LEVELS`."""
 
     max_body_bytes: int
-    """Largest request or answer body that is taken."""
+    """Largest accepted request or answer body, in bytes."""
 
     key_window: float
-    """Seconds for which a key may be used; below the log's retention."""
+    """Seconds for which a key is valid; at most half of the log's retention."""
 
     claim_slices: int
-    """Streams over which claims are spread; the same on every VM."""
+    """Number of log streams that claims are spread over; the same on every VM."""
 
     claim_wait: float
-    """Seconds that a claim may wait for company in one append."""
+    """Seconds that a claim may wait to be batched with others into one append."""
 
     connections_per_target: int
-    """Most connections that this VM keeps to one target."""
+    """Maximum number of connections that this VM keeps to one target."""
 
     stop_limit: float
-    """Seconds that a graceful stop may take at most."""
+    """Maximum duration of a graceful stop, in seconds."""
 
 
 def load(path: pathlib.Path) -> expression.Result[Settings, findings.Findings]:
-    """Return the settings in a file, or every finding in it."""
-    return settings_document.load(path, _read)
+    """Read a settings file.
 
+    Parameters
+    ----------
+    path : pathlib.Path
+        The file, JSON with comments.
 
-def parse(text: str, place: str) -> expression.Result[Settings, findings.Findings]:
-    """Return the settings in a text; `place` names it in findings."""
-    return settings_document.parse(text, place, _read)
+    Returns
+    -------
+    expression.Result
+        The settings, or all findings in the file.
+    """
+    return settings_document.load(path, _read_settings)
 
 
-def _read(reader: documents.Reader) -> Settings:
+def parse(text: str, location: str) -> expression.Result[Settings, findings.Findings]:
+    """Read settings from a text.
+
+    Parameters
+    ----------
+    text : str
+        JSON with comments.
+    location : str
+        Name of the text, such as a file name, for findings.
+
+    Returns
+    -------
+    expression.Result
+        The settings, or all findings in the text.
+    """
+    return settings_document.parse(text, location, _read_settings)
+
+
+def _read_settings(reader: documents.Reader) -> Settings:
     log = reader.read_object("log")
     vm_list = reader.read_object("vm_list", optional=True)
     keys = reader.read_object("keys", optional=True)
@@ -146,28 +171,31 @@
         peers_tls=_read_tls(reader, "peers_tls"),
         log_level=reader.read_choice("log_level", LOG_LEVELS, "info"),
         max_body_bytes=reader.read_integer(
-            "max_body_bytes", DEFAULT_BODY_BYTES, 1024, 1 << 30
+            "max_body_bytes", DEFAULT_MAX_BODY_BYTES, 1024, 1 << 30
         ),
         key_window=keys.read_number("window_s", 3600.0, 1, 1e7),
         claim_slices=keys.read_integer("slices", 8, 1, 4096),
-        claim_wait=keys.read_number("batch_wait_ms", 2.0, 0, 1000) / MILLISECONDS,
+        claim_wait=keys.read_number("batch_wait_ms", 2.0, 0, 1000) / MS_PER_S,
         connections_per_target=reader.read_integer("connections_per_target", 8, 1, 300),
         stop_limit=reader.read_number("stop_limit_s", 30.0, 0.1, 3600),
     )
-    _check_window(result, keys)
+    _check_key_window(result, keys)
     for nested in (log, vm_list, keys, peers):
         nested.refuse_unknown()
     return result
 
 
-def _check_window(result: Settings, keys: documents.Reader) -> None:
-    """Refuse a window in which a key could outlive its records on the log."""
-    if result.key_window * WINDOW_MARGIN > result.log_retention:
+def _check_key_window(result: Settings, keys: documents.Reader) -> None:
+    """Add a finding if a key could still be valid after the log dropped its records.
+
+    A retry with such a key would find no claim and run the work a second time.
+    """
+    if result.key_window * RETENTION_PER_KEY_WINDOW > result.log_retention:
         keys.add(
             "window_s",
-            f"{result.key_window:.0f} s needs a log that keeps records for "
-            f"{WINDOW_MARGIN * result.key_window:.0f} s; it keeps them for "
-            f"{result.log_retention:.0f} s",
+            f"a key window of {result.key_window:.0f} s needs a log retention of "
+            f"at least {RETENTION_PER_KEY_WINDOW * result.key_window:.0f} s; "
+            f"log.retention_s is {result.log_retention:.0f} s",
         )
 
 
@@ -177,7 +205,7 @@
         ipaddress.ip_address(host)
     except ValueError:
         if host:
-            reader.add("host", f"expected an IP number, got {host!r}")
+            reader.add("host", f"expected an IP address, got {host!r}")
     port = reader.read_integer("port", None, 0, sections.MAX_PORT)
     if is_last:
         reader.refuse_unknown()
@@ -187,14 +215,14 @@
 def _read_tls(reader: documents.Reader, name: str) -> Tls | None:
     if not reader.has(name):
         return None
-    inner = reader.read_object(name)
+    section = reader.read_object(name)
     tls = Tls(
-        certificate=inner.read_text("certificate"),
-        key=inner.read_text("key"),
-        authority=inner.read_text("authority", ""),
+        certificate=section.read_text("certificate"),
+        key=section.read_text("key"),
+        authority=section.read_text("authority", ""),
     )
     for field, path in (("certificate", tls.certificate), ("key", tls.key)):
         if path and not pathlib.Path(path).is_file():
-            inner.add(field, f"no such file: {path}")
-    inner.refuse_unknown()
+            section.add(field, f"expected an existing file, got {path!r}")
+    section.refuse_unknown()
     return tls
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/vm_list.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/vm_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving VMs, which lags."""
+"""The platform's list of live and leaving VMs, which may be out of date."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 from zinniastand_core import documents, membership
 
-TIMEOUT = 2.0
+READ_TIMEOUT_S = 2.0
 
 
 class VmListError(Exception):
-    """The list could not be had."""
+    """The list could not be read."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmList:
-    """One reading of the list."""
+    """Contents of the list at one read."""
 
     entry_vms: tuple[membership.Member, ...]
-    """Live VMs that run the daemon."""
+    """Live VMs that run the daemon (role ``entry``)."""
 
     leaving_hosts: tuple[str, ...]
-    """``host:port`` of targets that are leaving."""
+    """``host:port`` of targets in the state ``leaving``."""
 
 
 class VmListSource(typing.Protocol):
-    """Where the list comes from."""
+    """Source of the VM list."""
 
     async def read(self) -> VmList:
         """Return the list.
@@ -36,13 +36,13 @@
         Raises
         ------
         VmListError
-            If it cannot be had.
+            If the list could not be fetched or is malformed.
         """
         ...
 
 
 class HttpVmList:
-    """The list behind its HTTP interface.
+    """Fetches the list over HTTP.
 
     Parameters
     ----------
@@ -52,37 +52,37 @@
 
     def __init__(self, url: str) -> None:
         self._url = url
-        self._client = httpx.AsyncClient(timeout=TIMEOUT)
+        self._client = httpx.AsyncClient(timeout=READ_TIMEOUT_S)
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Close the HTTP client and its connections."""
         await self._client.aclose()
 
     async def read(self) -> VmList:
-        """Return the list; see `VmListSource.read`."""
+        """Fetch the list; see `VmListSource.read`."""
         try:
             response = await self._client.get(self._url)
             document = response.raise_for_status().json()
         except (httpx.HTTPError, ValueError) as error:
             raise VmListError(str(error)) from error
-        return _parse(document)
+        return _parse_document(document)
 
 
-def _parse(document: object) -> VmList:
+def _parse_document(document: object) -> VmList:
     collector = documents.Collector()
     reader = documents.Reader(document, "", collector)
     members: list[membership.Member] = []
-    leaving: list[str] = []
+    leaving_targets: list[str] = []
     for item in reader.read_objects("vms"):
         state = item.read_choice("state", ("live", "leaving"))
         role = item.read_choice("role", ("entry", "target"))
         if role == "target":
             if state == "leaving":
-                leaving.append(item.read_text("address"))
+                leaving_targets.append(item.read_text("address"))
         elif state == "live":
-            name, place = item.read_text("name"), item.read_text("data_centre")
+            name, data_centre = item.read_text("name"), item.read_text("data_centre")
             url = item.read_text("peers_url")
-            members.append(membership.Member(name, place, url, 0))
+            members.append(membership.Member(name, data_centre, url, 0))
     if collector.found:
         raise VmListError(str(collector.collect()))
-    return VmList(tuple(members), tuple(leaving))
+    return VmList(tuple(members), tuple(leaving_targets))
--- a/tests/proxy/test_cli.py
+++ b/tests/proxy/test_cli.py
@@ -1,4 +1,4 @@
-"""The daemon's command line: bad input gives findings, never a traceback."""
+"""Command line of the daemon: bad settings give findings, never a traceback."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from zinniastand_proxy import cli
 
 
-def run(path: pathlib.Path) -> typer.testing.Result:
-    """Check a settings file."""
+def check_settings(path: pathlib.Path) -> typer.testing.Result:
+    """Run the command line with ``--check`` on a settings file."""
     runner = typer.testing.CliRunner()
     return runner.invoke(cli.app, ["--settings", str(path), "--check"])
 
 
-def test_reports_every_finding_with_its_place(tmp_path: pathlib.Path) -> None:
+def test_check_reports_every_finding_with_its_location(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "settings.json"
     path.write_text(
         """{
@@ -25,27 +25,29 @@
         "vm": "", "callers": {"host": "example.org", "port": 99999}, "colour": 1,
         }"""
     )
-    result = run(path)
+    result = check_settings(path)
     assert result.exit_code == 2
-    for place in ("vm:", "callers.host:", "callers.port:", "log:", "colour:"):
-        assert place in result.output
+    for location in ("vm:", "callers.host:", "callers.port:", "log:", "colour:"):
+        assert location in result.output
     assert "Traceback" not in result.output
 
 
 @pytest.mark.parametrize("text", ["", "{", "[1]", "\x00", "nonsense"])
-def test_survives_files_that_are_not_settings(
+def test_malformed_settings_file_gives_findings_and_no_traceback(
     tmp_path: pathlib.Path, text: str
 ) -> None:
     path = tmp_path / "settings.json"
     path.write_text(text)
-    result = run(path)
+    result = check_settings(path)
     assert result.exit_code == 2
     assert "Traceback" not in result.output
 
 
-def test_refuses_a_key_window_that_outlives_the_log(tmp_path: pathlib.Path) -> None:
-    # A key is accepted for ten hours, but the log forgets its claim after one. The
-    # caller's late retry would find no record and run a second time.
+def test_key_window_above_half_of_the_log_retention_is_refused(
+    tmp_path: pathlib.Path,
+) -> None:
+    # Keys would be valid for ten hours, but the log keeps their claims for one hour
+    # only. A late retry would find no record, and its work would run a second time.
     path = tmp_path / "settings.json"
     document = {
         "vm": "vm-1",
@@ -60,9 +62,9 @@
         },
     }
     path.write_text(json.dumps(document))
-    result = run(path)
+    result = check_settings(path)
     assert result.exit_code == 2
     assert "keys.window_s" in result.output
     document["keys"] = {"window_s": 1800}
     path.write_text(json.dumps(document))
-    assert run(path).exit_code == 0
+    assert check_settings(path).exit_code == 0
