--- a/packages/zinniastand-proxy/src/zinniastand_proxy/fleet.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/fleet.py
@@ -1,4 +1,7 @@
-"""The VM's part in the fleet: `core.control` joined to links, log and VM list."""
+"""Connects the control plane of one VM, `control.Control`, to the outside.
+
+The outside is the links to other VMs, the platform's log and the VM list.
+"""
 
 from __future__ import annotations
 
@@ -27,37 +30,46 @@
 )
 
 CONFIG_STREAM = "config"
-TICK = 0.5
-READ_WAIT = 5.0
-ERROR_PAUSE = 0.5
-LIST_PAUSE = 2.0
-APPEND_TRIES = 3
-REFRESH_CHECK = 5.0
+"""Stream of the platform's log that carries the configuration."""
+
+TICK_INTERVAL_S = 0.5
+READ_WAIT_S = 5.0
+"""Seconds that a read of the log waits for new entries."""
+
+ERROR_DELAY_S = 0.5
+LIST_INTERVAL_S = 2.0
+"""Seconds between reads of the VM list, and between contacts of first peers."""
+
+MAX_APPEND_ATTEMPTS = 3
+REFRESH_CHECK_INTERVAL_S = 5.0
 READERS_PER_DATA_CENTRE = 8
-RELAYED_READ_PAUSE = 5.0
+"""VMs of each data centre that wait on the configuration stream."""
+
+RELAYED_READ_INTERVAL_S = 5.0
+"""Seconds between reads by VMs that rely on their peers for configuration."""
 
 _logger = logs.get_logger("fleet")
 
 
 class Fleet:
-    """Drives the control plane of one VM.
+    """Runs the control plane of one VM: feeds it events and executes its actions.
 
     Parameters
     ----------
     config : settings.Settings
         Settings of this VM.
     core : control.Control
-        The decisions.
+        The control plane's state and decisions.
     table : service_table.ServiceTable
-        What follows the bundle.
+        Routers and limits, updated when a bundle comes into force.
     log : platform_log.Log
         The platform's log.
-    listing : vm_list.VmListSource or None
-        The platform's list.
+    vm_list_source : vm_list.VmListSource or None
+        The platform's VM list, if it has one.
     timer : clock.Clock
-        The time.
+        Source of the current time.
     group : anyio.abc.TaskGroup
-        Where everything runs.
+        Task group of the links and of work that messages start.
     """
 
     def __init__(
@@ -66,7 +78,7 @@
         core: control.Control,
         table: service_table.ServiceTable,
         log: platform_log.Log,
-        listing: vm_list.VmListSource | None,
+        vm_list_source: vm_list.VmListSource | None,
         timer: clock.Clock,
         group: anyio.abc.TaskGroup,
     ) -> None:
@@ -74,114 +86,140 @@
         self._core = core
         self._table = table
         self._log = log
-        self._listing = listing
+        self._vm_list_source = vm_list_source
         self._timer = timer
         self._group = group
         self._claims: claims_service.ClaimsService | None = None
-        self._asked: dict[bytes, anyio.Event] = {}
-        self._answered: dict[bytes, peer_messages.ClaimAnswered] = {}
+        self._pending_claims: dict[bytes, anyio.Event] = {}
+        self._claim_answers: dict[bytes, peer_messages.ClaimAnswered] = {}
         self._log_is_up = True
         self.network = peers.PeerNetwork(
-            config.vm, timer, group, self._take_message, config.peers_tls
+            config.vm, timer, group, self._handle_message, config.peers_tls
         )
 
     @property
     def core(self) -> control.Control:
-        """The decisions."""
+        """State and decisions of the control plane."""
         return self._core
 
     @property
     def log_is_up(self) -> bool:
-        """Whether the last reading of the log worked."""
+        """Whether the last read of the log succeeded."""
         return self._log_is_up
 
     def use_claims(self, claims: claims_service.ClaimsService) -> None:
-        """Name who seeks claims for other VMs."""
+        """Set the service that seeks claims on behalf of other VMs."""
         self._claims = claims
 
     async def run(self) -> None:
-        """Read the log and the list, and tick, until cancelled."""
+        """Follow the log and the VM list and run periodic work, until cancelled."""
         async with anyio.create_task_group() as group:
-            group.start_soon(self._read_config)
-            group.start_soon(self._read_list)
-            group.start_soon(self._call_first_peers)
+            group.start_soon(self._follow_config_stream)
+            group.start_soon(self._poll_vm_list)
+            group.start_soon(self._contact_first_peers)
             group.start_soon(self._tick)
-            group.start_soon(self._keep_head)
+            group.start_soon(self._refresh_head)
 
     def announce_leaving(self) -> None:
-        """Tell the fleet that this VM is stopping."""
-        self._act(self._core.leave(self._timer.now()))
+        """Announce to the fleet that this VM is stopping."""
+        self._execute(self._core.leave(self._timer.now()))
 
-    # What `claims_service.Peers` asks for.
+    # Implementation of `claims_service.Peers`.
 
     def list_alive(self) -> list[str]:
         """Return the names of the other VMs that are up."""
         return [member.vm for member in self._core.members.list_alive()]
 
     def read_revision(self) -> int:
-        """Return a number that changes with the members."""
+        """Return a number that changes whenever the set of members changes."""
         return self._core.members.revision
 
     async def ask_claim(
         self, vm: str, claim: claim_records.Claim
     ) -> peer_messages.ClaimAnswered | None:
-        """Return another VM's verdict on a claim."""
-        event = self._asked[claim.claim_id] = anyio.Event()
+        """Ask another VM to seek a claim.
+
+        Waits without a time limit: the caller sets one.
+
+        Parameters
+        ----------
+        vm : str
+            Name of the VM to ask.
+        claim : claim_records.Claim
+            The claim to seek.
+
+        Returns
+        -------
+        peer_messages.ClaimAnswered or None
+            The VM's verdict.
+        """
+        event = self._pending_claims[claim.claim_id] = anyio.Event()
         try:
-            self._tell(vm, peer_messages.ClaimAsked(claim))
+            self._send(vm, peer_messages.ClaimAsked(claim))
             await event.wait()
-            return self._answered.pop(claim.claim_id, None)
+            return self._claim_answers.pop(claim.claim_id, None)
         finally:
-            del self._asked[claim.claim_id]
+            del self._pending_claims[claim.claim_id]
 
     async def ask_settle(self, vm: str, data: bytes) -> bool:
-        """Hand outcomes to another VM; return whether they went out."""
+        """Send outcomes of requests to another VM, to be written to the log.
+
+        Parameters
+        ----------
+        vm : str
+            Name of the VM that appends them.
+        data : bytes
+            Packed records; see `claim_records.pack`.
+
+        Returns
+        -------
+        bool
+            False if there is no link to the VM; True doesn't confirm delivery.
+        """
         if not self.network.is_linked(vm):
             return False
-        self._tell(vm, peer_messages.SettleAsked(data))
+        self._send(vm, peer_messages.SettleAsked(data))
         return True
 
-    # Inside.
-
-    def _take_message(self, sender: str, message: peer_messages.Message) -> None:
+    def _handle_message(self, sender: str, message: peer_messages.Message) -> None:
         match message:
             case peer_messages.ClaimAsked():
                 self._group.start_soon(self._answer_claim, sender, message)
             case peer_messages.ClaimAnswered():
-                event = self._asked.get(message.claim_id)
+                event = self._pending_claims.get(message.claim_id)
                 if event is not None:
-                    self._answered[message.claim_id] = message
+                    self._claim_answers[message.claim_id] = message
                     event.set()
             case peer_messages.SettleAsked():
-                self._take_settle(message)
+                self._handle_settlement(message)
             case _:
                 now = self._timer.now()
-                self._act(self._core.take_message(sender, message, now))
+                self._execute(self._core.take_message(sender, message, now))
 
     async def _answer_claim(
         self, sender: str, message: peer_messages.ClaimAsked
     ) -> None:
         if self._claims is not None:
-            self._tell(sender, await self._claims.seek_for_peer(message.claim))
+            self._send(sender, await self._claims.seek_for_peer(message.claim))
 
-    def _take_settle(self, message: peer_messages.SettleAsked) -> None:
+    def _handle_settlement(self, message: peer_messages.SettleAsked) -> None:
         match claim_records.unpack(message.data):
             case expression.Result(tag="ok", ok=records) if self._claims is not None:
                 self._claims.settle_for_peer(records)
             case _:
                 pass
 
-    def _tell(self, vm: str, message: peer_messages.Message) -> None:
+    def _send(self, vm: str, message: peer_messages.Message) -> None:
         member = self._core.members.find(vm)
-        self.network.tell(vm, member.url if member else "", message)
+        self.network.send_message(vm, member.url if member else "", message)
 
-    def _act(self, actions: list[control_actions.Action]) -> None:
+    def _execute(self, actions: list[control_actions.Action]) -> None:
         for action in actions:
             match action:
                 case control_actions.Tell():
-                    self._tell(action.vm, action.message)
+                    self._send(action.vm, action.message)
                 case control_actions.AppendConfig():
-                    self._group.start_soon(self._append, action.data)
+                    self._group.start_soon(self._append_config, action.data)
                 case control_actions.Reconfigure():
                     self._reconfigure()
 
@@ -191,49 +229,55 @@
         self._core.evidence.use_routers(self._table.routers)
         self._core.evidence.apply_ejections(now)
 
-    async def _append(self, data: bytes) -> None:
-        """Append a record; a second copy is refused by the rule that reads it."""
-        for _ in range(APPEND_TRIES):
+    async def _append_config(self, data: bytes) -> None:
+        """Append a record, with retries while it is uncertain whether it was stored.
+
+        Retries may store it twice. That is harmless: readers refuse the second copy.
+        """
+        for _ in range(MAX_APPEND_ATTEMPTS):
             try:
                 await self._log.append(CONFIG_STREAM, data)
                 return
             except platform_log.LogUncertainError:
-                await anyio.sleep(ERROR_PAUSE)
+                await anyio.sleep(ERROR_DELAY_S)
             except platform_log.LogRefusedError:
                 return
 
     async def _tick(self) -> None:
         while True:
-            await anyio.sleep(TICK)
+            await anyio.sleep(TICK_INTERVAL_S)
             now = self._timer.now()
-            self._act(self._core.tick(now))
+            self._execute(self._core.tick(now))
             vms = self._core.members.watch().vms
             self._table.follow_fleet(vms, now)
 
-    async def _read_config(self) -> None:
-        """Follow the configuration stream.
+    async def _follow_config_stream(self) -> None:
+        """Read the configuration stream and apply its entries.
 
-        In a large fleet only some VMs of each data centre wait on the log; the others
-        hear from peers and look themselves now and then.
+        To limit the load on the log, only `READERS_PER_DATA_CENTRE` VMs of each data
+        centre wait on it. The others receive configuration from peers, and read the
+        log every `RELAYED_READ_INTERVAL_S` seconds in case that fails.
         """
         while True:
-            wait = READ_WAIT
-            if not self._is_reader():
-                await anyio.sleep(RELAYED_READ_PAUSE)
+            wait = READ_WAIT_S
+            if not self._is_config_reader():
+                await anyio.sleep(RELAYED_READ_INTERVAL_S)
                 wait = 0.0
             start = self._core.config.next_offset
             try:
                 page = await self._log.read(CONFIG_STREAM, start, wait)
             except platform_log.LogRefusedError as error:
-                self._note_log(False, str(error))
-                await anyio.sleep(ERROR_PAUSE)
+                self._record_log_state(False, str(error))
+                await anyio.sleep(ERROR_DELAY_S)
                 continue
-            self._note_log(True, "")
+            self._record_log_state(True, "")
             if page.entries:
                 now = self._timer.now()
-                self._act(self._core.take_log_entries(page.offset, page.entries, now))
+                self._execute(
+                    self._core.take_log_entries(page.offset, page.entries, now)
+                )
 
-    def _is_reader(self) -> bool:
+    def _is_config_reader(self) -> bool:
         own = self._core.members.own
         names = [
             member.vm
@@ -245,7 +289,7 @@
             task, [*names, own.vm], READERS_PER_DATA_CENTRE
         )
 
-    def _note_log(self, is_up: bool, detail: str) -> None:
+    def _record_log_state(self, is_up: bool, detail: str) -> None:
         if is_up == self._log_is_up:
             return
         self._log_is_up = is_up
@@ -253,43 +297,43 @@
         self._core.events.record(kind, "log", detail, self._timer.now())
         _logger.warning("log is %s", "up" if is_up else "down")
 
-    async def _read_list(self) -> None:
-        while self._listing is not None:
+    async def _poll_vm_list(self) -> None:
+        while self._vm_list_source is not None:
             try:
-                listed = await self._listing.read()
+                listed_vms = await self._vm_list_source.read()
             except vm_list.VmListError as error:
                 _logger.info("VM list unreadable", extra={"error": str(error)})
             else:
                 now = self._timer.now()
-                self._core.members.take_list(listed.entry_vms, now)
-                self._note_leaving(listed.leaving_hosts, now)
-            await anyio.sleep(LIST_PAUSE)
+                self._core.members.take_list(listed_vms.entry_vms, now)
+                self._mark_leaving_targets(listed_vms.leaving_hosts, now)
+            await anyio.sleep(LIST_INTERVAL_S)
 
-    async def _call_first_peers(self) -> None:
-        """Call the peers that the settings name, as long as no other VM is known."""
+    async def _contact_first_peers(self) -> None:
+        """Contact the peers that the settings name while no other VM is known."""
         members = self._core.members
         while True:
             for url in self._config.first_peers:
                 if url != self._config.peers_url and not members.list_alive():
                     own = peer_messages.Sightings((members.own_sighting,))
-                    asked = peer_messages.MembersAsked()
-                    await self.network.introduce(url, [own, asked])
-            await anyio.sleep(LIST_PAUSE)
+                    request = peer_messages.MembersAsked()
+                    await self.network.introduce(url, [own, request])
+            await anyio.sleep(LIST_INTERVAL_S)
 
-    def _note_leaving(self, addresses: tuple[str, ...], now: float) -> None:
+    def _mark_leaving_targets(self, addresses: tuple[str, ...], now: float) -> None:
         for routing in self._table.routers.values():
             for target in routing.service.targets:
                 if f"{target.host}:{target.port}" in addresses:
                     routing.take_leaving(target.name, now)
 
-    async def _keep_head(self) -> None:
-        """Append the head again before the log forgets it.
+    async def _refresh_head(self) -> None:
+        """Append the head of the configuration again before its retention ends.
 
-        The VM that ranks first does it; if it cannot, the next one finds the head
-        still old at its later look. A second copy changes nothing.
+        The VM that ranks first does so. If it can't, the head is still old when the
+        VM of the next rank checks it, later. A second copy changes nothing.
         """
         while True:
-            await anyio.sleep(REFRESH_CHECK)
+            await anyio.sleep(REFRESH_CHECK_INTERVAL_S)
             snapshot = self._core.find_due_snapshot(self._timer.now())
             if snapshot is not None:
-                await self._append(snapshot)
+                await self._append_config(snapshot)
