--- a/packages/zinniastand-proxy/src/zinniastand_proxy/admin_app.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/admin_app.py
@@ -10,53 +10,58 @@
 
 from . import caller_app, conductor, fleet, http_app, service_table
 
-JSON = b"application/json"
-TEXT = b"text/plain; version=0.0.4"
+JSON_TYPE = b"application/json"
+METRICS_TYPE = b"text/plain; version=0.0.4"
 
 
 class AdminApp(http_app.HttpApp):
-    """Answers ``/live``, ``/ready``, ``/metrics``, ``/events``, ``/bundle`` and so on.
+    """Serves ``/live``, ``/ready``, ``/metrics``, ``/events``, ``/bundle``, ``/fleet``.
 
     Parameters
     ----------
-    tools : conductor.Tools
-        Metrics, time line and time.
+    dependencies : conductor.Tools
+        Metrics, timeline and clock of this VM.
     callers : caller_app.CallerApp
-        The callers' side.
-    joined : fleet.Fleet
-        The fleet's side.
+        Application that serves callers.
+    fleet_control : fleet.Fleet
+        Control plane of this VM.
     table : service_table.ServiceTable
-        The bundle in force.
+        Routers and limits of the bundle in force.
+
+    Attributes
+    ----------
+    is_stopping : bool
+        Whether ``/ready`` reports a stop.
     """
 
     def __init__(
         self,
-        tools: conductor.Tools,
+        dependencies: conductor.Tools,
         callers: caller_app.CallerApp,
-        joined: fleet.Fleet,
+        fleet_control: fleet.Fleet,
         table: service_table.ServiceTable,
     ) -> None:
-        self._tools = tools
+        self._dependencies = dependencies
         self._callers = callers
-        self._fleet = joined
+        self._fleet_control = fleet_control
         self._table = table
         self.is_stopping = False
-        self._pages: dict[str, collections.abc.Callable[[], _Page]] = {
-            "/live": self._show_live,
-            "/ready": self._show_ready,
-            "/metrics": self._show_metrics,
-            "/events": self._show_events,
-            "/bundle": self._show_bundle,
-            "/fleet": self._show_fleet,
+        self._renderers: dict[str, collections.abc.Callable[[], _Page]] = {
+            "/live": self._render_live,
+            "/ready": self._render_ready,
+            "/metrics": self._render_metrics,
+            "/events": self._render_events,
+            "/bundle": self._render_bundle,
+            "/fleet": self._render_fleet,
         }
 
     def explain_unready(self) -> str:
-        """Return why this VM should get no requests, or an empty string."""
+        """Return why this VM should get no requests; empty if it is ready."""
         if self.is_stopping:
             return "stopping"
         if not self._table.routers:
-            log = "up" if self._fleet.log_is_up else "down"
-            peers = len(self._fleet.list_alive())
+            log = "up" if self._fleet_control.log_is_up else "down"
+            peers = len(self._fleet_control.list_alive())
             return f"no bundle yet: the log is {log}, {peers} peers are up"
         return ""
 
@@ -66,54 +71,58 @@
         receive: caller_app.Receive,
         send: caller_app.Send,
     ) -> None:
-        """Serve one request."""
-        show = self._pages.get(scope["path"])
-        page = show() if show else _Page(404, JSON, '{"error": "no such page"}')
+        """Serve one request, whatever its method."""
+        render = self._renderers.get(scope["path"])
+        page = (
+            render() if render else _Page(404, JSON_TYPE, '{"error": "no such page"}')
+        )
         headers = [
-            (b"content-type", page.form),
+            (b"content-type", page.content_type),
             (b"content-length", str(len(page.body)).encode()),
         ]
-        start = {"status": page.status, "headers": headers}
-        await send({"type": "http.response.start", **start})
+        response = {"status": page.status, "headers": headers}
+        await send({"type": "http.response.start", **response})
         await send({"type": "http.response.body", "body": page.body})
 
-    def _show_live(self) -> _Page:
-        return _Page(200, JSON, '{"live": true}')
+    def _render_live(self) -> _Page:
+        return _Page(200, JSON_TYPE, '{"live": true}')
 
-    def _show_ready(self) -> _Page:
+    def _render_ready(self) -> _Page:
         reason = self.explain_unready()
         body = json.dumps({"ready": not reason, "reason": reason})
-        return _Page(503 if reason else 200, JSON, body)
-
-    def _show_metrics(self) -> _Page:
-        found = self._tools.metrics
-        found.set_gauge("zinniastand_in_flight", self._callers.in_flight)
-        found.set_gauge("zinniastand_bundle_version", self._read_version())
-        network = self._fleet.network
-        found.set_gauge("zinniastand_peer_bytes_sent", network.bytes_sent)
-        found.set_gauge("zinniastand_peer_messages_sent", network.messages_sent)
-        return _Page(200, TEXT, found.format_text())
-
-    def _show_events(self) -> _Page:
-        events = [_describe(event) for event in self._tools.events.list_events()]
-        return _Page(200, JSON, json.dumps({"events": events}))
-
-    def _show_bundle(self) -> _Page:
-        chain = self._fleet.core.config.chain
+        return _Page(503 if reason else 200, JSON_TYPE, body)
+
+    def _render_metrics(self) -> _Page:
+        registry = self._dependencies.metrics
+        registry.set_gauge("zinniastand_in_flight", self._callers.in_flight)
+        registry.set_gauge("zinniastand_bundle_version", self._read_version())
+        network = self._fleet_control.network
+        registry.set_gauge("zinniastand_peer_bytes_sent", network.bytes_sent)
+        registry.set_gauge("zinniastand_peer_messages_sent", network.messages_sent)
+        return _Page(200, METRICS_TYPE, registry.format_text())
+
+    def _render_events(self) -> _Page:
+        events = [
+            _describe_event(event) for event in self._dependencies.events.list_events()
+        ]
+        return _Page(200, JSON_TYPE, json.dumps({"events": events}))
+
+    def _render_bundle(self) -> _Page:
+        chain = self._fleet_control.core.config.chain
         body = {
             "version": chain.version,
             "digest": chain.bundle.digest.hex(),
             "proposal_id": chain.head.proposal_id if chain.head else None,
         }
-        return _Page(200, JSON, json.dumps(body))
+        return _Page(200, JSON_TYPE, json.dumps(body))
 
-    def _show_fleet(self) -> _Page:
-        members = self._fleet.core.members
+    def _render_fleet(self) -> _Page:
+        members = self._fleet_control.core.members
         body = {
             "vm": members.own.vm,
             "data_centre": members.own.data_centre,
             "incarnation": members.own.incarnation,
-            "log_is_up": self._fleet.log_is_up,
+            "log_is_up": self._fleet_control.log_is_up,
             "members": [
                 {
                     "vm": sighting.member.vm,
@@ -125,10 +134,10 @@
             ],
             "services": [self._describe_service(name) for name in self._table.routers],
         }
-        return _Page(200, JSON, json.dumps(body))
+        return _Page(200, JSON_TYPE, json.dumps(body))
 
     def _describe_service(self, name: str) -> dict[str, object]:
-        now = self._tools.timer.now()
+        now = self._dependencies.timer.now()
         routing = self._table.routers[name]
         ejected = routing.list_ejected()
         weights = {item.target.name: item.weight for item in routing.weigh(now)}
@@ -153,19 +162,19 @@
         }
 
     def _read_version(self) -> int:
-        return self._fleet.core.config.chain.version
+        return self._fleet_control.core.config.chain.version
 
 
 class _Page:
-    """One page."""
+    """Status, content type and body of one page."""
 
-    def __init__(self, status: int, form: bytes, text: str) -> None:
+    def __init__(self, status: int, content_type: bytes, text: str) -> None:
         self.status = status
-        self.form = form
+        self.content_type = content_type
         self.body = text.encode()
 
 
-def _describe(event: timeline.Event) -> dict[str, typing.Any]:
+def _describe_event(event: timeline.Event) -> dict[str, typing.Any]:
     return {
         "time": event.stamp.time,
         "count": event.stamp.count,
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/clock.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/clock.py
@@ -1,4 +1,4 @@
-"""The time that decisions use: unix seconds that never jump back."""
+"""The clock that decisions use: unix seconds that never go backwards."""
 
 from __future__ import annotations
 
@@ -7,44 +7,58 @@
 
 import anyio
 
-LARGEST_SLEW = 0.01
+MAX_SLEW_RATE = 0.01
+"""Largest correction, in seconds per elapsed second."""
 
 
 class Clock(typing.Protocol):
-    """Where the time comes from."""
+    """Source of the current time."""
 
     def now(self) -> float:
-        """Return unix seconds, never less than before."""
+        """Return unix seconds, never less than an earlier call returned."""
         ...
 
 
 class SystemClock:
-    """Unix time that follows the machine's clock by small steps only.
+    """Unix time that is slewed towards the machine's wall clock, never stepped.
 
-    It is driven by the boot-time clock, which goes on while the machine sleeps. A
-    holder that was paused sees at once, on waking, how late it is; a step of the wall
-    clock, forward or back, moves no deadline.
+    It is driven by the boot-time clock, which keeps running while the machine is
+    suspended. A process that holds a claim and was paused therefore sees at once how
+    late it is, and a step of the wall clock, forward or back, moves no deadline.
     """
 
     def __init__(self) -> None:
         self._base = time.time() - _read_boot_time()
-        self._followed_at = _read_boot_time()
+        self._adjusted_at = _read_boot_time()
 
     def now(self) -> float:
-        """Return unix seconds, never less than before."""
+        """Return unix seconds, never less than an earlier call returned."""
         return self._base + _read_boot_time()
 
-    def follow(self) -> None:
-        """Move a little towards the machine's wall clock; call every few seconds."""
-        elapsed = _read_boot_time() - self._followed_at
-        self._followed_at += elapsed
+    def adjust_to_wall_clock(self) -> None:
+        """Slew towards the machine's wall clock; to be called every few seconds."""
+        elapsed = _read_boot_time() - self._adjusted_at
+        self._adjusted_at += elapsed
         error = time.time() - self.now()
-        most = LARGEST_SLEW * elapsed
-        self._base += max(-most, min(most, error))
+        max_change = MAX_SLEW_RATE * elapsed
+        self._base += max(-max_change, min(max_change, error))
 
 
 def convert_deadline(deadline: float, now: float) -> float:
-    """Return a deadline in the clock of the event loop."""
+    """Convert a deadline from this clock to the clock of the event loop.
+
+    Parameters
+    ----------
+    deadline : float
+        Unix seconds by a `Clock`.
+    now : float
+        Current unix seconds by the same `Clock`.
+
+    Returns
+    -------
+    float
+        Seconds by `anyio.current_time`.
+    """
     return anyio.current_time() + (deadline - now)
 
 
