--- a/tests/proxy/test_processes.py
+++ b/tests/proxy/test_processes.py
@@ -1,4 +1,4 @@
-"""Daemons as separate processes: killed, frozen and stopped."""
+"""Daemons as separate processes that are stopped, killed or frozen."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 pytestmark = pytest.mark.anyio
 
-SLOW = 0.8
-PLAN = site.ServicePlan(
+WORK_TIME_S = 0.8
+SERVICE_PLAN = site.ServicePlan(
     name="desk",
     targets=2,
     slots=8,
-    work_time=SLOW,
+    work_time=WORK_TIME_S,
     floor_slots=2,
     detection_weight=0.5,
     kinds=(
@@ -48,7 +48,7 @@
         self.admin = admin
 
     async def wait_ready(self, client: httpx.AsyncClient) -> None:
-        """Wait until it takes requests."""
+        """Wait until ``/ready`` says that the daemon accepts requests."""
         with anyio.fail_after(30):
             while True:
                 with contextlib.suppress(httpx.HTTPError):
@@ -58,7 +58,7 @@
                 await anyio.sleep(0.05)
 
     async def order(self, client: httpx.AsyncClient, key: str) -> httpx.Response:
-        """Send at-most-once work under the name of its key."""
+        """Send an order, at-most-once work, that targets record under its key."""
         headers = {"idempotency-key": key, "x-work-name": key}
         url = f"http://127.0.0.1:{self.callers}/orders"
         return await client.post(url, headers=headers, content=b"x")
@@ -66,17 +66,20 @@
 
 @contextlib.asynccontextmanager
 async def run_processes(folder: pathlib.Path, count: int):
-    """Run the platform here, and daemons as processes of their own."""
-    async with anyio.create_task_group() as group, httpx.AsyncClient(timeout=20) as c:
-        place = site.Site(group)
-        await place.start_platform()
-        await place.start_targets([PLAN])
-        place.publish()
-        vms = [await start_vm(place, folder, f"vm-{n}") for n in range(count)]
+    """Run the platform in this process and each daemon in a separate one."""
+    async with (
+        anyio.create_task_group() as group,
+        httpx.AsyncClient(timeout=20) as http_client,
+    ):
+        local_site = site.Site(group)
+        await local_site.start_platform()
+        await local_site.start_targets([SERVICE_PLAN])
+        local_site.publish()
+        vms = [await start_vm(local_site, folder, f"vm-{n}") for n in range(count)]
         try:
             for vm in vms:
-                await vm.wait_ready(c)
-            yield place, vms, c
+                await vm.wait_ready(http_client)
+            yield local_site, vms, http_client
         finally:
             for vm in vms:
                 if vm.process.returncode is None:
@@ -85,9 +88,9 @@
             group.cancel_scope.cancel()
 
 
-async def start_vm(place: site.Site, folder: pathlib.Path, name: str) -> Vm:
+async def start_vm(local_site: site.Site, folder: pathlib.Path, name: str) -> Vm:
     """Start a daemon process."""
-    settings = place.make_settings(name)
+    settings = local_site.make_settings(name)
     callers, admin = loopback.find_free_port(), loopback.find_free_port()
     settings["callers"]["port"] = callers
     settings["admin"]["port"] = admin
@@ -100,10 +103,10 @@
     return Vm(process, callers, admin)
 
 
-async def test_a_planned_stop_cuts_off_nobody(tmp_path: pathlib.Path) -> None:
-    # SIGTERM arrives while a request runs, and another request arrives before the
-    # balancer has noticed. Both are answered; then the process exits with 0.
-    async with run_processes(tmp_path, 1) as (_place, (vm,), client):
+async def test_planned_stop_cuts_off_no_request(tmp_path: pathlib.Path) -> None:
+    # SIGTERM arrives while a request runs. Another request arrives afterwards, as the
+    # balancer has not noticed yet. Both are answered, then the process exits with 0.
+    async with run_processes(tmp_path, 1) as (_site, (vm,), client):
         replies: list[int] = []
 
         async def look_up() -> None:
@@ -112,9 +115,9 @@
 
         async with anyio.create_task_group() as group:
             group.start_soon(look_up)
-            await anyio.sleep(SLOW / 4)
+            await anyio.sleep(WORK_TIME_S / 4)
             vm.process.terminate()
-            await anyio.sleep(SLOW / 4)
+            await anyio.sleep(WORK_TIME_S / 4)
             page = await client.get(f"http://127.0.0.1:{vm.admin}/ready")
             assert page.status_code == 503
             group.start_soon(look_up)
@@ -123,41 +126,41 @@
             assert await vm.process.wait() == 0
 
 
-async def test_a_killed_vm_leaves_no_doubled_order(tmp_path: pathlib.Path) -> None:
-    # A VM is killed after it has sent an order. The caller sees its connection break
-    # and repeats the order through another VM, which finds the claim on the log and
-    # says "unknown": the order may have run, and it has, once.
-    async with run_processes(tmp_path, 2) as (place, vms, client):
+async def test_order_of_a_killed_vm_does_not_run_twice(tmp_path: pathlib.Path) -> None:
+    # A VM is killed after it has sent an order to a target. The caller's connection
+    # breaks, and it repeats the order through another VM. That one finds the claim on
+    # the log and answers "unknown", since the order may have run. It has run once.
+    async with run_processes(tmp_path, 2) as (local_site, vms, client):
         key = str(uuid6.uuid7())
-        broken: list[bool] = []
+        broken_connections: list[bool] = []
 
         async def send() -> None:
             try:
                 await vms[0].order(client, key)
             except httpx.HTTPError:
-                broken.append(True)
+                broken_connections.append(True)
 
         async with anyio.create_task_group() as group:
             group.start_soon(send)
             with anyio.fail_after(10):
-                while place.ledger.count(key) == 0:
+                while local_site.ledger.count(key) == 0:
                     await anyio.sleep(0.01)
             vms[0].process.kill()
-        assert broken == [True]
+        assert broken_connections == [True]
         reply = await vms[1].order(client, key)
         assert reply.headers["x-outcome"] == "unknown"
-        assert place.ledger.count(key) == 1
+        assert local_site.ledger.count(key) == 1
 
 
-async def test_a_frozen_holder_does_not_send_when_it_wakes(
+async def test_vm_frozen_past_the_start_deadline_does_not_send(
     tmp_path: pathlib.Path,
 ) -> None:
-    # A VM is frozen while its claim is being appended, until after the start deadline
-    # of three seconds. It wakes up, finds its claim granted, and must not send. The
-    # caller is told "not-run", and a retry with the same key runs once.
-    async with run_processes(tmp_path, 1) as (place, (vm,), client):
+    # A VM is frozen while its claim is being appended, and resumed after the start
+    # deadline of three seconds. Its claim is granted, but it must not send the order
+    # any more. The answer is "not-run", and a retry with the same key runs once.
+    async with run_processes(tmp_path, 1) as (local_site, (vm,), client):
         key = str(uuid6.uuid7())
-        place.log.delay = 0.6
+        local_site.log.delay = 0.6
         replies: list[httpx.Response] = []
 
         async def send() -> None:
@@ -168,12 +171,12 @@
             await anyio.sleep(0.3)
             vm.process.send_signal(signal.SIGSTOP)
             await anyio.sleep(4.0)
-            assert place.ledger.count(key) == 0
+            assert local_site.ledger.count(key) == 0
             vm.process.send_signal(signal.SIGCONT)
         assert replies[0].headers["x-outcome"] == "not-run"
-        assert place.ledger.count(key) == 0
-        place.log.delay = 0.0
+        assert local_site.ledger.count(key) == 0
+        local_site.log.delay = 0.0
         await anyio.sleep(1.5)
-        again = await vm.order(client, key)
-        assert again.status_code == 200
-        assert place.ledger.count(key) == 1
+        retry = await vm.order(client, key)
+        assert retry.status_code == 200
+        assert local_site.ledger.count(key) == 1
