--- a/packages/zinniastand-proxy/src/zinniastand_proxy/vm_list.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/vm_list.py
@@ -83,6 +83,6 @@
             name, data_centre = item.read_text("name"), item.read_text("data_centre")
             url = item.read_text("peers_url")
             members.append(membership.Member(name, data_centre, url, 0))
-    if collector.found:
+    if collector.has_findings:
         raise VmListError(str(collector.collect()))
     return VmList(tuple(members), tuple(leaving_targets))
