--- a/bench/arrivals.py
+++ b/bench/arrivals.py
@@ -318,7 +318,7 @@
         sign = vm.router.health.judge_latency(subject, self.now - state.sent_at)
         if not state.was_counted:
             self._observe(state, sign)
-        vm.router.admission.take_success()
+        vm.router.admission.raise_limit()
         self._act(request, plan.take_answer(send.attempt, 200, self.now))
 
     def _observe(self, state: _Attempt, sign: evidence.Sign) -> None:
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -69,7 +69,7 @@
     bundle = bundles.parse_document(document).ok
     del document
     table = route_table.RouteTable()
-    table.follow(bundle)
+    table.apply_bundle(bundle)
     return bundle, table
 
 
@@ -204,7 +204,7 @@
 def _rebuild(entries: list[bytes]) -> None:
     seeker = claimer.Claimer(claim_ledger.ClaimLedger(3600.0))
     for offset, data in enumerate(entries):
-        seeker.take_entry(offset, data, NOW)
+        seeker.apply_entry(offset, data, NOW)
 
 
 def _run_claims(wait: float) -> tuple[float, float, float]:
@@ -222,7 +222,7 @@
         now = min(next_at, ends_at, flush_at)
         if now == ends_at:
             _, batch = due.pop(0)
-            actions = seeker.take_appended(batch, offset, now)
+            actions = seeker.handle_appended(batch, offset, now)
             offset += 1
         elif now == next_at:
             count += 1
@@ -230,7 +230,7 @@
             asked[_make_claim(count).claim_id] = now
             actions = seeker.seek(_make_claim_at(count, now), now)
         else:
-            actions = seeker.lapse(now)
+            actions = seeker.process_due(now)
         for action in actions:
             if isinstance(action, claimer.Append):
                 size += len(action.data)
--- a/packages/zinniastand-core/src/zinniastand_core/admission.py
+++ b/packages/zinniastand-core/src/zinniastand_core/admission.py
@@ -10,11 +10,11 @@
 import dataclasses
 import enum
 
-LEAST_LIMIT = 1.0
-GROWTH = 1.0
-CUT = 0.85
-CUT_PAUSE = 0.1
-SMOOTHING = 0.1
+MIN_LIMIT = 1.0
+LIMIT_INCREASE = 1.0
+LIMIT_DECREASE_FACTOR = 0.85
+LIMIT_DECREASE_INTERVAL_S = 0.1
+DURATION_SMOOTHING = 0.1
 
 
 class Entry(enum.StrEnum):
@@ -113,7 +113,7 @@
         self._running -= 1
         if self._duration == 0.0:
             self._duration = duration
-        self._duration += SMOOTHING * (duration - self._duration)
+        self._duration += DURATION_SMOOTHING * (duration - self._duration)
         return self.admit_waiting(now)
 
     def withdraw(self, number: int) -> None:
@@ -134,18 +134,18 @@
             verdicts.append(Verdict(self._waiting.pop(0), Entry.ADMITTED))
         return verdicts
 
-    def take_success(self) -> None:
+    def raise_limit(self) -> None:
         """Take in that a target answered: the limit grows slowly."""
-        self._limit = min(self._most, self._limit + GROWTH / self._limit)
+        self._limit = min(self._most, self._limit + LIMIT_INCREASE / self._limit)
 
-    def take_refusal(self, now: float) -> None:
+    def lower_limit(self, now: float) -> None:
         """Take in that a target refused for lack of slots: the limit shrinks.
 
         One cut for a burst of refusals, which all tell of the same overload.
         """
         if now >= self._cut_allowed_at:
-            self._cut_allowed_at = now + CUT_PAUSE
-            self._limit = max(LEAST_LIMIT, self._limit * CUT)
+            self._cut_allowed_at = now + LIMIT_DECREASE_INTERVAL_S
+            self._limit = max(MIN_LIMIT, self._limit * LIMIT_DECREASE_FACTOR)
 
     def _push_out(self, now: float) -> list[Verdict]:
         kept: list[Ticket] = []
--- a/packages/zinniastand-core/src/zinniastand_core/claim_ledger.py
+++ b/packages/zinniastand-core/src/zinniastand_core/claim_ledger.py
@@ -62,7 +62,7 @@
         """Return what is known of a key."""
         return self._entries.get(key_digest)
 
-    def is_dead(self, claim_id: bytes) -> bool:
+    def is_void(self, claim_id: bytes) -> bool:
         """Return whether a claim came second or was released."""
         return claim_id in self._dead
 
--- a/packages/zinniastand-core/src/zinniastand_core/claim_records.py
+++ b/packages/zinniastand-core/src/zinniastand_core/claim_records.py
@@ -10,7 +10,7 @@
 
 from . import codec
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 
 class RecordType(enum.IntEnum):
@@ -117,8 +117,8 @@
                 record.claim_id,
                 record.holder,
                 record.incarnation,
-                round(record.start_deadline * MILLISECONDS),
-                [round(record.key_made_at * MILLISECONDS), record.fingerprint],
+                round(record.start_deadline * MS_PER_S),
+                [round(record.key_made_at * MS_PER_S), record.fingerprint],
             ]
         case Done():
             kind = RecordType.DONE.value
@@ -145,8 +145,8 @@
                 claim_id,
                 holder,
                 incarnation,
-                deadline / MILLISECONDS,
-                made_at / MILLISECONDS,
+                deadline / MS_PER_S,
+                made_at / MS_PER_S,
                 fingerprint,
             )
         case [RecordType.DONE.value, bytes(key), bytes(claim_id), int(status)]:
--- a/packages/zinniastand-core/src/zinniastand_core/claimer.py
+++ b/packages/zinniastand-core/src/zinniastand_core/claimer.py
@@ -145,7 +145,7 @@
             return [Denied(claim, Denial.LAPSED, entry)]
         if entry is not None and entry.claim.claim_id == claim.claim_id:
             return [Granted(claim)]
-        if entry is not None or self._ledger.is_dead(claim.claim_id):
+        if entry is not None or self._ledger.is_void(claim.claim_id):
             return [self._deny_owned(claim, entry)]
         if len(self._waiting) >= MAX_WAITING:
             return [Denied(claim, Denial.OVERLOADED, None)]
@@ -158,7 +158,7 @@
             self._outcomes[record.claim_id] = record
         return self._enqueue(record, now)
 
-    def take_appended(self, batch: int, offset: int, now: float) -> list[Action]:
+    def handle_appended(self, batch: int, offset: int, now: float) -> list[Action]:
         """Take in that an append took effect at `offset`."""
         records = self._in_flight.pop(batch, ())
         if offset == self._next_offset:
@@ -168,7 +168,7 @@
             actions = [Read(self._next_offset)]
         return actions + self._flush_due(now)
 
-    def take_uncertain(self, batch: int, now: float) -> list[Action]:
+    def handle_uncertain(self, batch: int, now: float) -> list[Action]:
         """Take in that an append may or may not have taken effect.
 
         Its records go again: a copy is harmless, because a claim counts once by its
@@ -182,7 +182,7 @@
         self._flush_at = now + self._batch_wait if self._waiting else None
         return [Read(self._next_offset)]
 
-    def take_refused(self, batch: int, now: float) -> list[Action]:
+    def handle_refused(self, batch: int, now: float) -> list[Action]:
         """Take in that an append certainly took no effect.
 
         The claims in it are refused at once, so that their callers can be told
@@ -200,7 +200,7 @@
         self._flush_at = None
         return actions
 
-    def take_entry(self, offset: int, data: bytes, now: float) -> list[Action]:
+    def apply_entry(self, offset: int, data: bytes, now: float) -> list[Action]:
         """Take in the entry at `offset`, as read from the log."""
         if offset < self._next_offset:
             return []
@@ -208,7 +208,7 @@
         # An entry that cannot be read carries nothing: every VM skips it alike.
         return self._apply(records.ok if records.is_ok() else (), offset, now)
 
-    def lapse(self, now: float) -> list[Action]:
+    def process_due(self, now: float) -> list[Action]:
         """Deny claims past their start deadline, and flush what is due.
 
         Only the holder knows whether it sent the work by another path, so only the
--- a/packages/zinniastand-core/src/zinniastand_core/keys.py
+++ b/packages/zinniastand-core/src/zinniastand_core/keys.py
@@ -16,7 +16,7 @@
 KEY_DIGEST_BYTES = 16
 UUID_VERSION = 7
 TIMESTAMP_SHIFT = 80
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
 
 class KeyFault(enum.StrEnum):
@@ -69,7 +69,7 @@
         return expression.Error(KeyFault.MALFORMED)
     if parsed.version != UUID_VERSION:
         return expression.Error(KeyFault.MALFORMED)
-    made_at = (parsed.int >> TIMESTAMP_SHIFT) / MILLISECONDS
+    made_at = (parsed.int >> TIMESTAMP_SHIFT) / MS_PER_S
     if made_at < now - window.length:
         return expression.Error(KeyFault.TOO_OLD)
     if made_at > now + window.clock_error:
--- a/packages/zinniastand-core/src/zinniastand_core/router.py
+++ b/packages/zinniastand-core/src/zinniastand_core/router.py
@@ -190,7 +190,7 @@
         slots, so this VM lets fewer requests in. None where an answer could not come
         in time any more: such a request is refused at once.
         """
-        self.admission.take_refusal(now)
+        self.admission.lower_limit(now)
         typical = self.health.find_typical_latency(kind.name) or 0.0
         resume_at = now + self._generator.uniform(SHED_PAUSE / 2, 2 * SHED_PAUSE)
         return resume_at if resume_at + typical < deadline else None
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/claims_service.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/claims_service.py
@@ -123,7 +123,7 @@
         until = clock.convert_deadline(claim.start_deadline, self._timer.now())
         with anyio.move_on_at(until):
             await pending.event.wait()
-        self._execute(self._claimer.lapse(self._timer.now()))
+        self._execute(self._claimer.process_due(self._timer.now()))
         self._pending.pop(claim.claim_id, None)
         if pending.verdict is None:
             return claimer.Denied(claim, claimer.Denial.LAPSED, None)
@@ -164,22 +164,22 @@
     async def _flush(self) -> None:
         await anyio.sleep(self._wait)
         self._is_flush_scheduled = False
-        self._execute(self._claimer.lapse(self._timer.now()))
+        self._execute(self._claimer.process_due(self._timer.now()))
 
     async def _append(self, action: claimer.Append) -> None:
         try:
             offset = await self._log.append(self._stream, action.data)
         except platform_log.LogRefusedError:
-            self._execute(self._claimer.take_refused(action.batch, self._timer.now()))
+            self._execute(self._claimer.handle_refused(action.batch, self._timer.now()))
             return
         except platform_log.LogUncertainError:
-            actions = self._claimer.take_uncertain(action.batch, self._timer.now())
+            actions = self._claimer.handle_uncertain(action.batch, self._timer.now())
             await anyio.sleep(RETRY_DELAY_S)
             self._execute(actions)
-            self._execute(self._claimer.lapse(self._timer.now()))
+            self._execute(self._claimer.process_due(self._timer.now()))
             return
         now = self._timer.now()
-        self._execute(self._claimer.take_appended(action.batch, offset, now))
+        self._execute(self._claimer.handle_appended(action.batch, offset, now))
         self._schedule_flush()
 
     def _start_reading(self) -> None:
@@ -192,7 +192,7 @@
         try:
             while self._claimer.is_seeking:
                 await self._read_page()
-                self._execute(self._claimer.lapse(self._timer.now()))
+                self._execute(self._claimer.process_due(self._timer.now()))
         finally:
             self._is_reading = False
 
@@ -206,7 +206,7 @@
         self._claimer.skip_to(page.offset)
         for index, data in enumerate(page.entries):
             now = self._timer.now()
-            self._execute(self._claimer.take_entry(page.offset + index, data, now))
+            self._execute(self._claimer.apply_entry(page.offset + index, data, now))
 
 
 class ClaimsService:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/conductor.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/conductor.py
@@ -315,7 +315,7 @@
         )
         if not was_recorded_overdue:
             self._routing.observe(name, kind, sign, now)
-        self._routing.admission.take_success()
+        self._routing.admission.raise_limit()
 
     def _record_leaving(self, name: str, now: float) -> None:
         self._routing.take_leaving(name, now)
--- a/tests/core/test_claimer.py
+++ b/tests/core/test_claimer.py
@@ -29,7 +29,7 @@
     seeker = make_claimer()
     action = append(seeker.seek(make_claim(1), NOW))
     granted = claimer.Granted(make_claim(1))
-    assert seeker.take_appended(action.batch, 0, NOW) == [granted]
+    assert seeker.handle_appended(action.batch, 0, NOW) == [granted]
 
 
 def test_reads_before_it_decides_when_others_append() -> None:
@@ -37,10 +37,10 @@
     # alone would look like success; only the entry before it shows who came first.
     seeker = make_claimer()
     action = append(seeker.seek(make_claim(1), NOW))
-    assert seeker.take_appended(action.batch, 1, NOW) == [claimer.Read(0)]
+    assert seeker.handle_appended(action.batch, 1, NOW) == [claimer.Read(0)]
     rival = claim_records.pack([make_claim(2)])
-    assert seeker.take_entry(0, rival, NOW) == []
-    (denied,) = seeker.take_entry(1, action.data, NOW)
+    assert seeker.apply_entry(0, rival, NOW) == []
+    (denied,) = seeker.apply_entry(1, action.data, NOW)
     assert isinstance(denied, claimer.Denied)
     assert denied.reason is claimer.Denial.OWNED
 
@@ -51,7 +51,7 @@
     for number in range(2, 50):
         claim = make_claim(number)
         assert seeker.seek(claim, NOW) == []
-    actions = seeker.take_appended(first.batch, 0, NOW)
+    actions = seeker.handle_appended(first.batch, 0, NOW)
     assert len(claim_records.unpack(append(actions).data).ok) == 48
 
 
@@ -60,20 +60,20 @@
     # they wait their time, so that the log gets fewer and larger appends.
     seeker = make_claimer(wait=0.05)
     assert seeker.seek(make_claim(1), NOW) == []
-    first = append(seeker.lapse(NOW + 0.05))
+    first = append(seeker.process_due(NOW + 0.05))
     seeker.seek(make_claim(2), NOW + 0.052)
     assert not [
         action
-        for action in seeker.take_appended(first.batch, 0, NOW + 0.055)
+        for action in seeker.handle_appended(first.batch, 0, NOW + 0.055)
         if isinstance(action, claimer.Append)
     ]
-    assert append(seeker.lapse(NOW + 0.102))
+    assert append(seeker.process_due(NOW + 0.102))
 
 
 def test_a_key_cannot_name_two_requests() -> None:
     seeker = make_claimer()
     action = append(seeker.seek(make_claim(1), NOW))
-    seeker.take_appended(action.batch, 0, NOW)
+    seeker.handle_appended(action.batch, 0, NOW)
     (denied,) = seeker.seek(make_claim(2, b"other"), NOW)
     assert isinstance(denied, claimer.Denied)
     assert denied.reason is claimer.Denial.KEY_REUSED
@@ -85,14 +85,14 @@
     # caller learns that the work is done.
     seeker = make_claimer()
     action = append(seeker.seek(make_claim(1), NOW))
-    seeker.take_appended(action.batch, 0, NOW)
+    seeker.handle_appended(action.batch, 0, NOW)
     done = claim_records.Done(b"k" * 16, make_claim(1).claim_id, 200)
     outcome = append(seeker.settle(done, NOW))
-    assert seeker.take_refused(outcome.batch, NOW) == []
+    assert seeker.handle_refused(outcome.batch, NOW) == []
     assert not seeker.is_settled
     again = append(seeker.retry(NOW + 60))
     assert claim_records.unpack(again.data).ok == (done,)
-    seeker.take_appended(again.batch, 1, NOW + 60)
+    seeker.handle_appended(again.batch, 1, NOW + 60)
     assert seeker.is_settled
 
 
@@ -101,9 +101,9 @@
     # the holder has to release it; one that never left is simply refused.
     seeker = make_claimer()
     action = append(seeker.seek(make_claim(1), NOW))
-    seeker.take_uncertain(action.batch, NOW)
-    again = append(seeker.lapse(NOW))
-    (denied,) = seeker.take_refused(again.batch, NOW)
+    seeker.handle_uncertain(action.batch, NOW)
+    again = append(seeker.process_due(NOW))
+    (denied,) = seeker.handle_refused(again.batch, NOW)
     assert isinstance(denied, claimer.Denied)
     assert denied.reason is claimer.Denial.UNSETTLED
 
--- a/tests/machines/claims.py
+++ b/tests/machines/claims.py
@@ -211,11 +211,11 @@
             return
         seeker = self.claimers[append.vm]
         if how == "done":
-            actions = seeker.take_appended(append.batch, offset, self.now)
+            actions = seeker.handle_appended(append.batch, offset, self.now)
         elif how == "refused":
-            actions = seeker.take_refused(append.batch, self.now)
+            actions = seeker.handle_refused(append.batch, self.now)
         else:
-            actions = seeker.take_uncertain(append.batch, self.now)
+            actions = seeker.handle_uncertain(append.batch, self.now)
         self.drive(append.vm, actions)
 
     def deliver(self, vm: int, message: collections.abc.Callable[[], None]) -> None:
@@ -240,7 +240,7 @@
             return
         seeker = self.claimers[vm]
         for offset in range(seeker.next_offset, max(0, len(self.log) - lag)):
-            actions = seeker.take_entry(offset, self.log[offset], self.now)
+            actions = seeker.apply_entry(offset, self.log[offset], self.now)
             self.drive(vm, actions)
 
     # Targets.
@@ -373,7 +373,7 @@
         """Let a VM do what is due."""
         if self.paused[vm]:
             return
-        self.drive(vm, self.claimers[vm].lapse(self.now))
+        self.drive(vm, self.claimers[vm].process_due(self.now))
         self.drive(vm, self.claimers[vm].retry(self.now))
         for request in self.list_open_requests():
             if request.vm == vm and self.now >= request.plan.find_wake_time():
--- a/tests/machines/plants.py
+++ b/tests/machines/plants.py
@@ -77,7 +77,7 @@
 def _trust_acknowledgement(
     seeker: typing.Any, batch: int, offset: int, now: float
 ) -> list[claimer.Action]:
-    return _TAKE_APPENDED(seeker, batch, seeker.next_offset, now)
+    return _HANDLE_APPENDED(seeker, batch, seeker.next_offset, now)
 
 
 def _ignore_base(own: typing.Any, proposal: proposals.Proposal) -> chain.Ruling:
@@ -113,7 +113,7 @@
 
 _SEND_NEXT = attempts.Plan._send_next
 _TAKE_FAILURE = attempts.Plan.take_failure
-_TAKE_APPENDED = claimer.Claimer.take_appended
+_HANDLE_APPENDED = claimer.Claimer.handle_appended
 _APPLY_PROPOSAL = chain.Chain.apply_proposal
 _APPLY_SNAPSHOT = chain.Chain._apply_snapshot
 
@@ -157,7 +157,7 @@
         "an append's answer is taken for ownership",
         claims.ClaimsMachine,
         claimer.Claimer,
-        "take_appended",
+        "handle_appended",
         _trust_acknowledgement,
     ),
     Plant(
--- a/tests/scenarios/test_at_most_once.py
+++ b/tests/scenarios/test_at_most_once.py
@@ -72,7 +72,7 @@
 def _read(driver: Driver, vm: int) -> None:
     seeker = driver.claimers[vm - 1]
     for offset in range(seeker.next_offset, len(driver.log)):
-        actions = seeker.take_entry(offset, driver.log[offset], driver.now)
+        actions = seeker.apply_entry(offset, driver.log[offset], driver.now)
         driver.drive(vm - 1, actions)
 
 
