--- a/packages/zinniastand-core/src/zinniastand_core/admission.py
+++ b/packages/zinniastand-core/src/zinniastand_core/admission.py
@@ -1,8 +1,9 @@
 """Admission to a service on one VM: a concurrency limit and a short weighted queue.
 
-The limit follows what targets refuse: each refused attempt says that the fleet as a
-whole sends more than they have slots. Work that cannot start in time is refused at
-once, so the caller can still use its time elsewhere.
+Additive increase, multiplicative decrease: the limit grows with each answer and
+shrinks when a target refuses an attempt, because a refusal means that the fleet as a
+whole sends more than its targets have slots. A request that cannot finish before its
+deadline is refused at once, so the caller can use the remaining time elsewhere.
 """
 
 from __future__ import annotations
@@ -18,110 +19,157 @@
 
 
 class Entry(enum.StrEnum):
-    """What admission says to a request."""
+    """Result of admission for one request."""
 
     ADMITTED = "admitted"
-    """It may start now."""
+    """The request may start now."""
 
     QUEUED = "queued"
-    """It waits; a later call admits or refuses it."""
+    """The request waits; a later call admits or refuses it."""
 
     REFUSED = "refused"
-    """It cannot start in time."""
+    """The request is not expected to end before its deadline, or the queue is full."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticket:
-    """A request at the door."""
+    """A request that asks for admission."""
 
     number: int
     """Unique on this VM."""
 
     weight: float
-    """Worth of its answer in time."""
+    """Value of an answer within the deadline; heavier requests go first."""
 
     deadline: float
-    """Unix seconds at which its answer is worth nothing."""
+    """Unix seconds after which an answer has no value."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """What became of a ticket."""
+    """The decision on one ticket."""
 
     ticket: Ticket
-    """Which."""
+    """The request concerned."""
 
     entry: Entry
-    """What to do with it."""
+    """The decision."""
 
 
 class Admission:
-    """The door of one service on one VM.
+    """Admission control of one service on one VM.
 
     Parameters
     ----------
     most : int
-        Highest number of requests admitted at a time.
+        Upper bound of the limit on concurrent requests.
     queue : int
-        Requests that may wait.
+        Maximum number of waiting requests.
     """
 
     def __init__(self, most: int, queue: int) -> None:
-        self._most = float(most)
+        self._max_running = float(most)
         self._queue_size = queue
         self._limit = float(most)
         self._running = 0
         self._waiting: list[Ticket] = []
-        self._cut_allowed_at = 0.0
-        self._duration = 0.0
+        self._decrease_allowed_at = 0.0
+        self._mean_duration = 0.0
 
     @property
     def limit(self) -> float:
-        """Requests admitted at a time, for now."""
+        """Current limit on concurrent requests."""
         return self._limit
 
     @property
     def running(self) -> int:
-        """Requests admitted and not ended."""
+        """Number of requests admitted and not ended."""
         return self._running
 
     @property
     def waiting(self) -> int:
-        """Requests in the queue."""
+        """Number of requests in the queue."""
         return len(self._waiting)
 
     def resize(self, most: int, queue: int) -> None:
-        """Follow a new bundle."""
-        self._most = float(most)
-        self._limit = min(self._limit, self._most)
+        """Apply the bounds of a new bundle.
+
+        Parameters
+        ----------
+        most : int
+            Upper bound of the limit on concurrent requests.
+        queue : int
+            Maximum number of waiting requests.
+        """
+        self._max_running = float(most)
+        self._limit = min(self._limit, self._max_running)
         self._queue_size = queue
 
     def enter(self, ticket: Ticket, now: float) -> list[Verdict]:
-        """Rule on a new request; it may push out a lighter one that waits."""
+        """Admit, queue or refuse a new request.
+
+        A queued request may displace one of lower rank that waits already.
+
+        Parameters
+        ----------
+        ticket : Ticket
+            The new request.
+        now : float
+            Unix seconds.
+
+        Returns
+        -------
+        list[Verdict]
+            The decision on `ticket`, and a refusal for each request displaced.
+        """
         if self._running < int(self._limit) and not self._waiting:
             self._running += 1
             return [Verdict(ticket, Entry.ADMITTED)]
         self._waiting.append(ticket)
         self._waiting.sort(key=_rank)
-        verdicts = self._push_out(now)
+        verdicts = self._refuse_excess(now)
         if all(verdict.ticket.number != ticket.number for verdict in verdicts):
             verdicts.append(Verdict(ticket, Entry.QUEUED))
         return verdicts
 
     def leave(self, duration: float, now: float) -> list[Verdict]:
-        """Take in that an admitted request ended after `duration` seconds."""
+        """Record that an admitted request ended, and admit waiting ones.
+
+        Parameters
+        ----------
+        duration : float
+            Seconds from admission to the end of the request.
+        now : float
+            Unix seconds.
+
+        Returns
+        -------
+        list[Verdict]
+            Decisions on requests that were waiting.
+        """
         self._running -= 1
-        if self._duration == 0.0:
-            self._duration = duration
-        self._duration += DURATION_SMOOTHING * (duration - self._duration)
+        if self._mean_duration == 0.0:
+            self._mean_duration = duration
+        self._mean_duration += DURATION_SMOOTHING * (duration - self._mean_duration)
         return self.admit_waiting(now)
 
     def withdraw(self, number: int) -> None:
-        """Forget a waiting request whose caller went away."""
+        """Remove the waiting request `number`, whose caller has disconnected."""
         self._waiting = [t for t in self._waiting if t.number != number]
 
     def admit_waiting(self, now: float) -> list[Verdict]:
-        """Refuse what is too late and admit what there is room for."""
+        """Refuse waiting requests that are too late and admit others up to the limit.
+
+        Parameters
+        ----------
+        now : float
+            Unix seconds.
+
+        Returns
+        -------
+        list[Verdict]
+            Decisions on requests that were waiting; none for those that still wait.
+        """
         verdicts = [
             Verdict(ticket, Entry.REFUSED)
             for ticket in self._waiting
@@ -135,19 +183,25 @@
         return verdicts
 
     def raise_limit(self) -> None:
-        """Take in that a target answered: the limit grows slowly."""
-        self._limit = min(self._most, self._limit + LIMIT_INCREASE / self._limit)
+        """Raise the limit after an answer: by about one per `limit` answers."""
+        self._limit = min(self._max_running, self._limit + LIMIT_INCREASE / self._limit)
 
     def lower_limit(self, now: float) -> None:
-        """Take in that a target refused for lack of slots: the limit shrinks.
+        """Lower the limit after a target refused an attempt for lack of slots.
+
+        Refusals within `LIMIT_DECREASE_INTERVAL_S` of a decrease are ignored, since a
+        burst of refusals stems from the same overload.
 
-        One cut for a burst of refusals, which all tell of the same overload.
+        Parameters
+        ----------
+        now : float
+            Unix seconds.
         """
-        if now >= self._cut_allowed_at:
-            self._cut_allowed_at = now + LIMIT_DECREASE_INTERVAL_S
+        if now >= self._decrease_allowed_at:
+            self._decrease_allowed_at = now + LIMIT_DECREASE_INTERVAL_S
             self._limit = max(MIN_LIMIT, self._limit * LIMIT_DECREASE_FACTOR)
 
-    def _push_out(self, now: float) -> list[Verdict]:
+    def _refuse_excess(self, now: float) -> list[Verdict]:
         kept: list[Ticket] = []
         verdicts: list[Verdict] = []
         for ticket in self._waiting:
@@ -161,9 +215,9 @@
 
     def _is_in_time(self, ticket: Ticket, ahead: int, now: float) -> bool:
         rounds = (ahead + 1) / max(1.0, int(self._limit))
-        return now + (rounds + 1.0) * self._duration < ticket.deadline
+        return now + (rounds + 1.0) * self._mean_duration < ticket.deadline
 
 
 def _rank(ticket: Ticket) -> tuple[float, float, int]:
-    """Heavier kinds first; among equals the one whose deadline comes first."""
+    """Return the sort key: heaviest first, then earliest deadline, then number."""
     return -ticket.weight, ticket.deadline, ticket.number
--- a/packages/zinniastand-core/src/zinniastand_core/claim_ledger.py
+++ b/packages/zinniastand-core/src/zinniastand_core/claim_ledger.py
@@ -1,4 +1,7 @@
-"""Who owns which key: one pure rule over the records of a slice, in log order."""
+"""Owners of keys, derived from the records of one slice in log order.
+
+The rule is deterministic, so every VM that reads the same log finds the same owners.
+"""
 
 from __future__ import annotations
 
@@ -10,27 +13,27 @@
 
 
 class Phase(enum.StrEnum):
-    """How far the work of a key has come."""
+    """Progress of the work of a key."""
 
     CLAIMED = "claimed"
-    """Its holder may have sent it."""
+    """The holder of the claim may have sent the work."""
 
     DONE = "done"
-    """It ran, and its answer came back."""
+    """The work ran, and its complete answer was received."""
 
     UNKNOWN = "unknown"
-    """It was sent, and no whole answer came."""
+    """The work was sent, but no complete answer was received."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry:
-    """What the log says of one key."""
+    """State of one key according to the log."""
 
     claim: claim_records.Claim
     """The claim that owns the key."""
 
     phase: Phase
-    """How far its work has come."""
+    """Progress of the work."""
 
     status: int = 0
     """HTTP status of the answer, where the phase is DONE."""
@@ -39,35 +42,43 @@
 class ClaimLedger:
     """The claims of one slice.
 
-    The first claim of a key owns it for good, unless a release says that its work was
-    never sent. A claim that came second is dead: a later release does not revive it,
-    because whoever appended it has told its caller so.
+    The first claim of a key owns it permanently, unless it is released, which states
+    that its work was never sent. Each later claim is void and stays so even if the
+    owner is released, because its VM has already reported the denial to its caller.
 
     Parameters
     ----------
     horizon : float
-        Seconds after a key was made for which its records are remembered.
+        Seconds for which the records of a key are kept, counted from its making.
     """
 
     def __init__(self, horizon: float) -> None:
         self._horizon = horizon
         self._entries: dict[bytes, Entry] = {}
-        self._dead: dict[bytes, bytes] = {}
+        self._void_claims: dict[bytes, bytes] = {}
         self._expiry: list[tuple[float, bytes, bytes]] = []
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def find(self, key_digest: bytes) -> Entry | None:
-        """Return what is known of a key."""
+        """Return the state of a key, or None without an owner."""
         return self._entries.get(key_digest)
 
     def is_void(self, claim_id: bytes) -> bool:
-        """Return whether a claim came second or was released."""
-        return claim_id in self._dead
+        """Return whether a claim lost to an earlier one or was released."""
+        return claim_id in self._void_claims
 
     def apply(self, record: claim_records.Record, now: float) -> None:
-        """Take in the next record of the log."""
+        """Apply the next record of the log.
+
+        Parameters
+        ----------
+        record : claim_records.Record
+            The record. An outcome of a claim that owns no key is ignored.
+        now : float
+            Unix seconds.
+        """
         match record:
             case claim_records.Claim():
                 self._apply_claim(record)
@@ -79,19 +90,22 @@
                 self._apply_release(record, now)
 
     def forget_expired(self, now: float) -> None:
-        """Drop keys that are past the horizon; such keys are refused anyway."""
+        """Remove keys and void claims past the horizon.
+
+        Nothing is lost: requests with keys that old are refused.
+        """
         while self._expiry and self._expiry[0][0] <= now:
             _, key_digest, claim_id = heapq.heappop(self._expiry)
             entry = self._entries.get(key_digest)
             if entry is not None and entry.claim.claim_id == claim_id:
                 del self._entries[key_digest]
-            self._dead.pop(claim_id, None)
+            self._void_claims.pop(claim_id, None)
 
     def _apply_claim(self, claim: claim_records.Claim) -> None:
-        # An append whose answer was lost is appended again, and its first copy may
-        # land after the release. A claim once dead stays dead, or the key would be
-        # blocked by a holder that has long given up.
-        if claim.claim_id in self._dead:
+        # An append whose answer was lost is repeated, and the first copy may reach the
+        # log after the claim's release. A void claim must stay void: otherwise a holder
+        # that has given up would block the key.
+        if claim.claim_id in self._void_claims:
             return
         owner = self._entries.get(claim.key_digest)
         if owner is not None and owner.claim.claim_id == claim.claim_id:
@@ -99,7 +113,7 @@
         expires_at = claim.key_made_at + self._horizon
         heapq.heappush(self._expiry, (expires_at, claim.key_digest, claim.claim_id))
         if owner is not None:
-            self._dead[claim.claim_id] = claim.key_digest
+            self._void_claims[claim.claim_id] = claim.key_digest
             return
         self._entries[claim.key_digest] = Entry(claim, Phase.CLAIMED)
 
@@ -110,12 +124,12 @@
                 del self._entries[record.key_digest]
             else:
                 return
-        if record.claim_id not in self._dead:
+        if record.claim_id not in self._void_claims:
             expires_at = now + self._horizon
             heapq.heappush(
                 self._expiry, (expires_at, record.key_digest, record.claim_id)
             )
-        self._dead[record.claim_id] = record.key_digest
+        self._void_claims[record.claim_id] = record.key_digest
 
     def _settle(
         self,
--- a/packages/zinniastand-core/src/zinniastand_core/claim_records.py
+++ b/packages/zinniastand-core/src/zinniastand_core/claim_records.py
@@ -1,4 +1,4 @@
-"""Records about at-most-once work, as they stand on the log."""
+"""Log records about at-most-once work, and their encoding."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RecordType(enum.IntEnum):
-    """First field of a packed record."""
+    """Type of a record: the first field of its encoding."""
 
     CLAIM = 1
     DONE = 2
@@ -24,39 +24,42 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claim:
-    """The right to run one piece of work, sought by appending it."""
+    """A request for the sole right to run one piece of work.
+
+    The first claim of a key on the log holds that right.
+    """
 
     key_digest: bytes
-    """Names the work."""
+    """Digest of the idempotency key, which identifies the work."""
 
     claim_id: bytes
-    """Unique; the same claim appended twice counts once."""
+    """Unique id; a claim that is appended twice counts once."""
 
     holder: str
-    """VM that may send the work."""
+    """VM that may send the work if the claim is granted."""
 
     incarnation: int
-    """Of the holder: a replaced VM is somebody else."""
+    """Incarnation of the holder: a replaced VM is not the same holder."""
 
     start_deadline: float
-    """Unix seconds, whole milliseconds; the work may not start after this."""
+    """Unix seconds, in whole milliseconds; the work must not start after this."""
 
     key_made_at: float
-    """Unix seconds; tells when the record may be forgotten."""
+    """Unix seconds at which the key was made; sets when the record expires."""
 
     fingerprint: bytes
-    """Digest of the request, so that a key cannot name two requests."""
+    """Digest of the request, which detects a key used for two requests."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Done:
-    """The work ran, and its answer came back whole."""
+    """The work ran, and its complete answer was received."""
 
     key_digest: bytes
-    """Names the work."""
+    """Digest of the idempotency key, which identifies the work."""
 
     claim_id: bytes
-    """Claim under which it ran."""
+    """Claim under which the work ran."""
 
     status: int
     """HTTP status of the answer."""
@@ -67,33 +70,45 @@
     """The claim's work was never sent and never will be."""
 
     key_digest: bytes
-    """Names the work."""
+    """Digest of the idempotency key, which identifies the work."""
 
     claim_id: bytes
-    """Claim that is given up."""
+    """Claim that is given up by its holder."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unknown:
-    """The work was sent, and no whole answer came."""
+    """The work was sent, but no complete answer was received."""
 
     key_digest: bytes
-    """Names the work."""
+    """Digest of the idempotency key, which identifies the work."""
 
     claim_id: bytes
-    """Claim under which it was sent."""
+    """Claim under which the work was sent."""
 
 
 Record = Claim | Done | Released | Unknown
 
 
 def pack(records: typing.Sequence[Record]) -> bytes:
-    """Return the log entry that carries these records."""
+    """Encode records as one log entry."""
     return codec.encode([_pack_one(record) for record in records])
 
 
 def unpack(data: bytes) -> expression.Result[tuple[Record, ...], str]:
-    """Return the records of a log entry, or why it cannot be read."""
+    """Decode a log entry.
+
+    Parameters
+    ----------
+    data : bytes
+        Content of the entry, untrusted.
+
+    Returns
+    -------
+    expression.Result[tuple[Record, ...], str]
+        The records, or why the entry is malformed. One malformed record rejects the
+        whole entry.
+    """
     match codec.decode(data):
         case expression.Result(tag="ok", ok=list(items)):
             pass
--- a/packages/zinniastand-core/src/zinniastand_core/codec.py
+++ b/packages/zinniastand-core/src/zinniastand_core/codec.py
@@ -1,4 +1,4 @@
-"""Canonical CBOR and digests, and a decoder that never raises."""
+"""Canonical CBOR, digests of values, and a decoder that never raises."""
 
 from __future__ import annotations
 
@@ -14,17 +14,28 @@
 
 
 def encode(value: object) -> bytes:
-    """Return canonical CBOR, the same bytes for equal values."""
+    """Return a value's canonical CBOR, which is the same for equal values."""
     return cbor2.dumps(value, canonical=True)
 
 
 def decode(data: bytes) -> expression.Result[typing.Any, str]:
-    """Return the one value in `data`, or why it is not exactly one value."""
+    """Decode exactly one CBOR value.
+
+    Parameters
+    ----------
+    data : bytes
+        Untrusted input.
+
+    Returns
+    -------
+    expression.Result[typing.Any, str]
+        The value, or why `data` is not exactly one value.
+    """
     stream = io.BytesIO(data)
     try:
         value = cbor2.CBORDecoder(stream).decode()
-    # A hostile record can make the decoder raise nearly anything (recursion,
-    # overflow, bad tags); a reader of the log or of peers must survive all of it.
+    # Hostile input can make the decoder raise almost any exception (recursion,
+    # overflow, bad tags), and must not stop a reader of the log or of peer messages.
     except Exception as error:
         return expression.Error(f"not CBOR: {type(error).__name__}")
     if stream.tell() != len(data):
@@ -33,5 +44,5 @@
 
 
 def digest(value: object) -> bytes:
-    """Return the digest of a value's canonical CBOR, 16 bytes."""
+    """Return the 16-byte digest of a value's canonical CBOR."""
     return hashlib.blake2b(encode(value), digest_size=DIGEST_BYTES).digest()
--- a/packages/zinniastand-core/src/zinniastand_core/keys.py
+++ b/packages/zinniastand-core/src/zinniastand_core/keys.py
@@ -1,7 +1,8 @@
-"""Idempotency keys: their age, their digest and the slice of the log they fall in.
+"""Idempotency keys: age, digest, and the slice of the log that holds their records.
 
-A key is a UUID of version 7, so its age is known without any store. A key older than
-the window may have records that the log no longer keeps; it is refused, never run.
+A key is a UUID version 7, whose timestamp gives its age without a store. The log may
+have dropped the records of a key older than the window, so such a key is refused and
+its work is never run.
 """
 
 from __future__ import annotations
@@ -20,47 +21,72 @@
 
 
 class KeyFault(enum.StrEnum):
-    """Why a key cannot name work."""
+    """Why a key is not accepted."""
 
     MISSING = "missing"
-    """At-most-once work needs a key."""
+    """No key was given, but at-most-once work requires one."""
 
     MALFORMED = "malformed"
-    """Not a UUID of version 7."""
+    """The key is not a UUID version 7."""
 
     TOO_OLD = "too-old"
-    """Made before the window: its records may have expired."""
+    """The key was made before the window; its records may have expired."""
 
     FROM_THE_FUTURE = "from-the-future"
-    """Made later than any clock error explains: it would outlive the window."""
+    """The key's time is further ahead than clock error explains.
+
+    It would be accepted for longer than the log keeps its records.
+    """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Window:
-    """How old a key may be."""
+    """The ages at which a key is accepted."""
 
     length: float
-    """Seconds; below the log's retention less twice the clock error."""
+    """Maximum age in seconds.
+
+    Must be below the log's retention less twice the clock error.
+    """
 
     clock_error: float
-    """Seconds by which two clocks may differ."""
+    """Maximum difference between two clocks, in seconds."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Key:
-    """The name of one piece of at-most-once work."""
+    """Identifies one piece of at-most-once work."""
 
     digest: bytes
-    """Digest of account, service and key text."""
+    """Digest of the account, the service and the UUID's bytes."""
 
     made_at: float
-    """Unix seconds at which the caller made it."""
+    """Unix seconds from the UUID: when the caller made the key."""
 
 
 def read_key(
     text: str | None, account: str, service: str, window: Window, now: float
 ) -> expression.Result[Key, KeyFault]:
-    """Return the key in an ``Idempotency-Key`` header, or why it cannot be taken."""
+    """Parse the value of an ``Idempotency-Key`` header.
+
+    Parameters
+    ----------
+    text : str | None
+        The value, quoted or not, or None without the header.
+    account : str
+        Account of the caller; accounts don't share keys.
+    service : str
+        Name of the service; services don't share keys.
+    window : Window
+        The ages at which a key is accepted.
+    now : float
+        Unix seconds.
+
+    Returns
+    -------
+    expression.Result[Key, KeyFault]
+        The key, or why it is not accepted.
+    """
     if not text:
         return expression.Error(KeyFault.MISSING)
     try:
@@ -81,5 +107,5 @@
 
 
 def find_slice(digest: bytes, slices: int) -> int:
-    """Return the slice of a key, from 0 to `slices` - 1."""
+    """Return the number of a key's slice, from 0 to `slices` - 1."""
     return int.from_bytes(digest[:4], "big") % slices
--- a/packages/zinniastand-core/src/zinniastand_core/outcomes.py
+++ b/packages/zinniastand-core/src/zinniastand_core/outcomes.py
@@ -1,4 +1,4 @@
-"""What callers are told, and why."""
+"""Answers that the proxy makes itself: outcome, reason and HTTP status."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 class Outcome(enum.StrEnum):
-    """What is known of the work when the proxy itself answers."""
+    """Whether the work ran, as far as known when the proxy itself answers."""
 
     NOT_RUN = "not-run"
-    """Provably never started: safe to send again."""
+    """The work provably never started; the request is safe to send again."""
 
     UNKNOWN = "unknown"
-    """May have run: look it up before sending again."""
+    """The work may have run; the caller must check before sending it again."""
 
     DONE = "done"
-    """Ran under an earlier request with the same key."""
+    """The work ran under an earlier request with the same key."""
 
 
 class Reason(enum.StrEnum):
-    """Why the proxy answers itself."""
+    """Why the proxy answers itself instead of relaying a target's answer."""
 
     NO_ROUTE = "no-route"
     BAD_REQUEST = "bad-request"
@@ -50,16 +50,19 @@
     """An answer that the proxy makes itself."""
 
     outcome: Outcome
-    """What is known of the work."""
+    """Whether the work ran, as far as known."""
 
     reason: Reason
-    """Why there is no target's answer."""
+    """Why no target's answer is relayed."""
 
     retry_at: float | None = None
-    """When it makes sense to come back, in the caller of this code's clock."""
+    """Earliest useful time of a retry, on the clock of the code that uses this module.
+
+    None if no time is known.
+    """
 
     earlier_status: int | None = None
-    """Status of the earlier answer, where the outcome is DONE."""
+    """HTTP status of the earlier answer, where the outcome is DONE."""
 
 
 STATUS_BY_REASON = {
@@ -82,5 +85,5 @@
 
 
 def find_status(reason: Reason) -> int:
-    """Return the HTTP status that goes with a reason."""
+    """Return the HTTP status for a reason; 503 unless the reason has its own."""
     return STATUS_BY_REASON.get(reason, UNAVAILABLE)
--- a/packages/zinniastand-core/src/zinniastand_core/route_table.py
+++ b/packages/zinniastand-core/src/zinniastand_core/route_table.py
@@ -1,4 +1,4 @@
-"""Which service and kind a request belongs to: longest prefix by path segment."""
+"""Lookup of a request's service and kind by the longest matching path prefix."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Match:
-    """Where a request goes."""
+    """The service and kind of work that a route leads to."""
 
     service: str
     """Name of the service."""
@@ -21,8 +21,8 @@
 class RouteTable:
     """Index of the routes of a bundle.
 
-    A lookup costs one step for each segment of the path, however many routes there
-    are. Services are indexed one by one, so a change touches one service.
+    The cost of a lookup depends on the number of path segments, not on the number of
+    routes. Each service is indexed separately, so a change re-indexes one service.
     """
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         self._by_service: dict[str, tuple[bytes, list[tuple[str, str]]]] = {}
 
     def apply_bundle(self, bundle: bundles.Bundle) -> None:
-        """Bring the index up to `bundle`, touching only services that changed."""
+        """Update the index to `bundle`, re-indexing only services that changed."""
         prefix = bundles.SERVICE_PREFIX
         current = {key for key in bundle.sections if key.startswith(prefix)}
         for key in set(self._by_service) - current:
@@ -43,7 +43,20 @@
                 self._add(key, section)
 
     def find(self, method: str, path: str) -> Match | None:
-        """Return where a request goes, or None."""
+        """Find the route of a request.
+
+        Parameters
+        ----------
+        method : str
+            HTTP method.
+        path : str
+            Path of the request target, without the query.
+
+        Returns
+        -------
+        Match | None
+            The match with the longest prefix, or None if no route matches.
+        """
         prefix = path
         while prefix:
             match = self._matches.get((prefix, method))
@@ -74,7 +87,7 @@
 
 
 def _shorten(path: str) -> str:
-    """Return the next shorter prefix: ``/a/b`` gives ``/a/``, then ``/a``."""
+    """Return the next shorter prefix: ``/a/b`` gives ``/a/``, which gives ``/a``."""
     if path.endswith("/"):
         return path[:-1]
     return path[: path.rfind("/") + 1]
--- a/tests/core/test_claimer.py
+++ b/tests/core/test_claimer.py
@@ -19,7 +19,7 @@
     return claimer.Claimer(claim_ledger.ClaimLedger(100.0), batch_wait=wait)
 
 
-def append(actions: list[claimer.Action]) -> claimer.Append:
+def find_append(actions: list[claimer.Action]) -> claimer.Append:
     """Return the one append among the actions."""
     (found,) = [a for a in actions if isinstance(a, claimer.Append)]
     return found
@@ -27,7 +27,7 @@
 
 def test_grants_without_reading_when_nobody_else_appends() -> None:
     seeker = make_claimer()
-    action = append(seeker.seek(make_claim(1), NOW))
+    action = find_append(seeker.seek(make_claim(1), NOW))
     granted = claimer.Granted(make_claim(1))
     assert seeker.handle_appended(action.batch, 0, NOW) == [granted]
 
@@ -36,7 +36,7 @@
     # Another VM's claim stands at offset 0, ours at offset 1. The acknowledgement
     # alone would look like success; only the entry before it shows who came first.
     seeker = make_claimer()
-    action = append(seeker.seek(make_claim(1), NOW))
+    action = find_append(seeker.seek(make_claim(1), NOW))
     assert seeker.handle_appended(action.batch, 1, NOW) == [claimer.Read(0)]
     rival = claim_records.pack([make_claim(2)])
     assert seeker.apply_entry(0, rival, NOW) == []
@@ -47,12 +47,12 @@
 
 def test_many_claims_go_in_one_append() -> None:
     seeker = make_claimer()
-    first = append(seeker.seek(make_claim(1), NOW))
+    first = find_append(seeker.seek(make_claim(1), NOW))
     for number in range(2, 50):
         claim = make_claim(number)
         assert seeker.seek(claim, NOW) == []
     actions = seeker.handle_appended(first.batch, 0, NOW)
-    assert len(claim_records.unpack(append(actions).data).ok) == 48
+    assert len(claim_records.unpack(find_append(actions).data).ok) == 48
 
 
 def test_claims_wait_for_company_as_long_as_the_settings_say() -> None:
@@ -60,19 +60,19 @@
     # they wait their time, so that the log gets fewer and larger appends.
     seeker = make_claimer(wait=0.05)
     assert seeker.seek(make_claim(1), NOW) == []
-    first = append(seeker.process_due(NOW + 0.05))
+    first = find_append(seeker.process_due(NOW + 0.05))
     seeker.seek(make_claim(2), NOW + 0.052)
     assert not [
         action
         for action in seeker.handle_appended(first.batch, 0, NOW + 0.055)
         if isinstance(action, claimer.Append)
     ]
-    assert append(seeker.process_due(NOW + 0.102))
+    assert find_append(seeker.process_due(NOW + 0.102))
 
 
 def test_a_key_cannot_name_two_requests() -> None:
     seeker = make_claimer()
-    action = append(seeker.seek(make_claim(1), NOW))
+    action = find_append(seeker.seek(make_claim(1), NOW))
     seeker.handle_appended(action.batch, 0, NOW)
     (denied,) = seeker.seek(make_claim(2, b"other"), NOW)
     assert isinstance(denied, claimer.Denied)
@@ -84,13 +84,13 @@
     # once; the outcome waits and goes when the log is back, so that a retry of the
     # caller learns that the work is done.
     seeker = make_claimer()
-    action = append(seeker.seek(make_claim(1), NOW))
+    action = find_append(seeker.seek(make_claim(1), NOW))
     seeker.handle_appended(action.batch, 0, NOW)
     done = claim_records.Done(b"k" * 16, make_claim(1).claim_id, 200)
-    outcome = append(seeker.settle(done, NOW))
+    outcome = find_append(seeker.settle(done, NOW))
     assert seeker.handle_refused(outcome.batch, NOW) == []
     assert not seeker.is_settled
-    again = append(seeker.retry(NOW + 60))
+    again = find_append(seeker.retry(NOW + 60))
     assert claim_records.unpack(again.data).ok == (done,)
     seeker.handle_appended(again.batch, 1, NOW + 60)
     assert seeker.is_settled
@@ -100,9 +100,9 @@
     # An append's answer was lost, and then the log is down. The claim may stand, so
     # the holder has to release it; one that never left is simply refused.
     seeker = make_claimer()
-    action = append(seeker.seek(make_claim(1), NOW))
+    action = find_append(seeker.seek(make_claim(1), NOW))
     seeker.handle_uncertain(action.batch, NOW)
-    again = append(seeker.process_due(NOW))
+    again = find_append(seeker.process_due(NOW))
     (denied,) = seeker.handle_refused(again.batch, NOW)
     assert isinstance(denied, claimer.Denied)
     assert denied.reason is claimer.Denial.UNSETTLED
--- a/tests/machines/claims.py
+++ b/tests/machines/claims.py
@@ -72,13 +72,13 @@
     key: bytes
     claim: claim_records.Claim
     plan: attempts.Plan
-    told: outcomes.Refusal | None = None
+    refusal: outcomes.Refusal | None = None
     was_answered: bool = False
     is_lost: bool = False
 
 
 @dataclasses.dataclass(slots=True)
-class Sent:
+class SentAttempt:
     """A request on its way to a target, or at work there."""
 
     request: Request
@@ -88,11 +88,11 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Appending:
+class PendingAppend:
     """An append under way."""
 
     vm: int
-    life: int
+    incarnation: int
     batch: int
     data: bytes
 
@@ -105,15 +105,15 @@
         self.now = 1000.0
         self.log: list[bytes] = []
         self.claimers = [self.make_claimer() for _ in range(VMS)]
-        self.lives = [0] * VMS
+        self.incarnations = [0] * VMS
         self.paused = [False] * VMS
         self.inbox: list[list[collections.abc.Callable[[], None]]] = [
             [] for _ in range(VMS)
         ]
         self.requests: list[Request] = []
-        self.appending: list[Appending] = []
-        self.stray: list[bytes] = []
-        self.sent: list[Sent] = []
+        self.pending_appends: list[PendingAppend] = []
+        self.delayed_appends: list[bytes] = []
+        self.sent: list[SentAttempt] = []
         self.runs: dict[bytes, int] = {}
         self.ran_claims: set[bytes] = set()
 
@@ -138,7 +138,7 @@
             key_digest=digest,
             claim_id=number.to_bytes(12, "big"),
             holder=f"vm-{vm}",
-            incarnation=self.lives[vm],
+            incarnation=self.incarnations[vm],
             start_deadline=round(self.now + 5.0, 3),
             key_made_at=1000.0,
             fingerprint=b"same",
@@ -146,14 +146,14 @@
         plan = attempts.Plan(KIND, self.now + 10.0, FirstChooser(), claim)
         request = Request(vm, digest, claim, plan)
         self.requests.append(request)
-        self.act(request, plan.start(self.now))
+        self.execute_plan(request, plan.start(self.now))
 
     @hypothesis.stateful.rule(key=st.integers(0, KEYS - 1))
     def submit_twice(self, key: int) -> None:
         """A caller's request and its copy reach two VMs, and both claims land."""
         for vm in range(VMS):
             self.send_order(vm, key)
-        for append in list(self.appending):
+        for append in list(self.pending_appends):
             self.end_append(append, "done")
 
     @hypothesis.stateful.rule(vm=st.integers(0, VMS - 1), key=st.integers(0, KEYS - 1))
@@ -163,15 +163,15 @@
             return
         self.send_order(vm, key)
         self.toggle_pause(vm)
-        for append in list(self.appending):
+        for append in list(self.pending_appends):
             self.end_append(append, "done")
 
     @hypothesis.stateful.rule(data=st.data())
-    def go_away(self, data: st.DataObject) -> None:
+    def hang_up(self, data: st.DataObject) -> None:
         """A caller closes its connection."""
         request = self.pick(data, self.list_open_requests())
         if request is not None:
-            self.act(request, request.plan.abandon(self.now))
+            self.execute_plan(request, request.plan.abandon(self.now))
 
     # The log.
 
@@ -191,23 +191,27 @@
     )
     def finish_append(self, data: st.DataObject, how: str) -> None:
         """An append ends in one of the ways in which appends end."""
-        append = self.pick(data, self.appending)
+        append = self.pick(data, self.pending_appends)
         if append is not None:
             self.end_append(append, how)
 
-    def end_append(self, append: Appending, how: str) -> None:
+    def end_append(self, append: PendingAppend, how: str) -> None:
         """End an append in one of the ways."""
-        self.appending.remove(append)
+        self.pending_appends.remove(append)
         if how in ("done", "answer-lost"):
             self.log.append(append.data)
         if how == "lost-then-lands":
-            self.stray.append(append.data)
+            self.delayed_appends.append(append.data)
         offset = len(self.log) - 1
-        self.deliver(append.vm, lambda: self.hear_append(append, how, offset))
+        self.deliver_when_awake(
+            append.vm, lambda: self.report_append_result(append, how, offset)
+        )
 
-    def hear_append(self, append: Appending, how: str, offset: int) -> None:
+    def report_append_result(
+        self, append: PendingAppend, how: str, offset: int
+    ) -> None:
         """A VM hears how its append ended."""
-        if append.life != self.lives[append.vm]:
+        if append.incarnation != self.incarnations[append.vm]:
             return
         seeker = self.claimers[append.vm]
         if how == "done":
@@ -216,9 +220,11 @@
             actions = seeker.handle_refused(append.batch, self.now)
         else:
             actions = seeker.handle_uncertain(append.batch, self.now)
-        self.drive(append.vm, actions)
+        self.execute_claimer(append.vm, actions)
 
-    def deliver(self, vm: int, message: collections.abc.Callable[[], None]) -> None:
+    def deliver_when_awake(
+        self, vm: int, message: collections.abc.Callable[[], None]
+    ) -> None:
         """Let a VM hear something, when it is awake."""
         if self.paused[vm]:
             self.inbox[vm].append(message)
@@ -226,11 +232,11 @@
             message()
 
     @hypothesis.stateful.rule(data=st.data())
-    def land_stray(self, data: st.DataObject) -> None:
+    def land_delayed_append(self, data: st.DataObject) -> None:
         """An append that was given up takes effect at last."""
-        stray = self.pick(data, self.stray)
+        stray = self.pick(data, self.delayed_appends)
         if stray is not None:
-            self.stray.remove(stray)
+            self.delayed_appends.remove(stray)
             self.log.append(stray)
 
     @hypothesis.stateful.rule(vm=st.integers(0, VMS - 1), lag=st.integers(0, 2))
@@ -241,7 +247,7 @@
         seeker = self.claimers[vm]
         for offset in range(seeker.next_offset, max(0, len(self.log) - lag)):
             actions = seeker.apply_entry(offset, self.log[offset], self.now)
-            self.drive(vm, actions)
+            self.execute_claimer(vm, actions)
 
     # Targets.
 
@@ -258,9 +264,11 @@
         late = self.now >= sent.deadline
         if how in ("answer", "cut", "silent") and not sent.has_run and not late:
             self.run(sent)
-        self.deliver(sent.request.vm, lambda: self.hear_attempt(sent, how))
+        self.deliver_when_awake(
+            sent.request.vm, lambda: self.report_attempt_result(sent, how)
+        )
 
-    def hear_attempt(self, sent: Sent, how: str) -> None:
+    def report_attempt_result(self, sent: SentAttempt, how: str) -> None:
         """A VM hears how its attempt ended."""
         request = sent.request
         if request.is_lost:
@@ -280,7 +288,7 @@
             ):
                 failure = attempt_actions.Failure.SILENT
             actions = request.plan.take_failure(sent.attempt, failure, self.now)
-        self.act(request, actions)
+        self.execute_plan(request, actions)
 
     @hypothesis.stateful.rule(data=st.data())
     def run_early(self, data: st.DataObject) -> None:
@@ -319,7 +327,7 @@
 
     def lose(self, vm: int) -> None:
         """Replace a VM by an empty one."""
-        self.lives[vm] += 1
+        self.incarnations[vm] += 1
         self.paused[vm] = False
         self.inbox[vm].clear()
         self.claimers[vm] = self.make_claimer()
@@ -338,11 +346,11 @@
     def not_run_is_true(self) -> None:
         """Whoever was told "not run" did not have its request run."""
         for request in self.requests:
-            if request.told is None:
+            if request.refusal is None:
                 continue
-            if request.told.outcome is outcomes.Outcome.NOT_RUN:
+            if request.refusal.outcome is outcomes.Outcome.NOT_RUN:
                 assert request.claim.claim_id not in self.ran_claims
-            if request.told.outcome is outcomes.Outcome.DONE:
+            if request.refusal.outcome is outcomes.Outcome.DONE:
                 assert self.runs.get(request.key) == 1
 
     @hypothesis.stateful.invariant()
@@ -362,7 +370,7 @@
         """Return the requests that are under way on a VM that still exists."""
         return [r for r in self.requests if not r.is_lost and not r.plan.has_ended]
 
-    def run(self, sent: Sent) -> None:
+    def run(self, sent: SentAttempt) -> None:
         """Let a target run a request."""
         sent.has_run = True
         key = sent.request.key
@@ -373,53 +381,61 @@
         """Let a VM do what is due."""
         if self.paused[vm]:
             return
-        self.drive(vm, self.claimers[vm].process_due(self.now))
-        self.drive(vm, self.claimers[vm].retry(self.now))
+        self.execute_claimer(vm, self.claimers[vm].process_due(self.now))
+        self.execute_claimer(vm, self.claimers[vm].retry(self.now))
         for request in self.list_open_requests():
             if request.vm == vm and self.now >= request.plan.find_wake_time():
-                self.act(request, request.plan.wake(self.now))
+                self.execute_plan(request, request.plan.wake(self.now))
 
-    def drive(self, vm: int, actions: list[claimer.Action]) -> None:
+    def execute_claimer(self, vm: int, actions: list[claimer.Action]) -> None:
         """Carry out a claimer's actions."""
         for action in actions:
             match action:
                 case claimer.Append():
-                    entry = Appending(vm, self.lives[vm], action.batch, action.data)
-                    self.appending.append(entry)
+                    entry = PendingAppend(
+                        vm, self.incarnations[vm], action.batch, action.data
+                    )
+                    self.pending_appends.append(entry)
                 case claimer.Granted() | claimer.Denied():
-                    self.announce(action)
+                    self.deliver_verdict(action)
                 case _:
                     pass
 
-    def announce(self, verdict: claimer.Granted | claimer.Denied) -> None:
+    def deliver_verdict(self, verdict: claimer.Granted | claimer.Denied) -> None:
         """Tell a request the verdict on its claim."""
         for request in self.requests:
             if request.claim != verdict.claim or request.is_lost:
                 continue
             if isinstance(verdict, claimer.Granted):
-                self.act(request, request.plan.take_grant(self.now))
+                self.execute_plan(request, request.plan.take_grant(self.now))
             else:
-                self.act(request, request.plan.take_denial(verdict, self.now))
+                self.execute_plan(request, request.plan.take_denial(verdict, self.now))
 
-    def act(self, request: Request, actions: list[attempt_actions.Action]) -> None:
+    def execute_plan(
+        self, request: Request, actions: list[attempt_actions.Action]
+    ) -> None:
         """Carry out a plan's actions."""
         for action in actions:
             match action:
                 case attempt_actions.SeekClaim():
                     seeker = self.claimers[request.vm]
-                    self.drive(request.vm, seeker.seek(action.claim, self.now))
+                    self.execute_claimer(
+                        request.vm, seeker.seek(action.claim, self.now)
+                    )
                 case attempt_actions.Send():
                     deadline = request.claim.start_deadline
                     assert self.now < deadline, "sent after its start deadline"
-                    self.sent.append(Sent(request, action.attempt, deadline))
+                    self.sent.append(SentAttempt(request, action.attempt, deadline))
                 case attempt_actions.Settle():
                     seeker = self.claimers[request.vm]
-                    self.drive(request.vm, seeker.settle(action.record, self.now))
+                    self.execute_claimer(
+                        request.vm, seeker.settle(action.record, self.now)
+                    )
                 case attempt_actions.Relay():
                     request.was_answered = True
                 case attempt_actions.Refuse():
-                    assert request.told is None
+                    assert request.refusal is None
                     assert not request.was_answered
-                    request.told = action.refusal
+                    request.refusal = action.refusal
                 case _:
                     pass
--- a/tests/scenarios/test_at_most_once.py
+++ b/tests/scenarios/test_at_most_once.py
@@ -15,18 +15,22 @@
 
     def finish_next_append(self, how: str) -> None:
         """End the oldest append under way."""
-        append = self.appending.pop(0)
+        append = self.pending_appends.pop(0)
         if how in ("done", "answer-lost"):
             self.log.append(append.data)
         offset = len(self.log) - 1
-        self.deliver(append.vm, lambda: self.hear_append(append, how, offset))
+        self.deliver_when_awake(
+            append.vm, lambda: self.report_append_result(append, how, offset)
+        )
 
     def finish_next_attempt(self, how: str, runs: bool) -> None:
         """End the oldest attempt under way."""
         sent = self.sent.pop(0)
         if runs:
             self.run(sent)
-        self.deliver(sent.request.vm, lambda: self.hear_attempt(sent, how))
+        self.deliver_when_awake(
+            sent.request.vm, lambda: self.report_attempt_result(sent, how)
+        )
 
 
 @pytest.fixture
@@ -48,7 +52,7 @@
 @pytest_bdd.when("its claim is appended")
 def _append(driver: Driver) -> None:
     # A VM that has read the other's claim already has nothing to append.
-    if driver.appending:
+    if driver.pending_appends:
         driver.finish_next_append("done")
 
 
@@ -64,7 +68,7 @@
 
 @pytest_bdd.when("everything on its way to the log arrives")
 def _arrive(driver: Driver) -> None:
-    while driver.appending:
+    while driver.pending_appends:
         driver.finish_next_append("done")
 
 
@@ -73,7 +77,7 @@
     seeker = driver.claimers[vm - 1]
     for offset in range(seeker.next_offset, len(driver.log)):
         actions = seeker.apply_entry(offset, driver.log[offset], driver.now)
-        driver.drive(vm - 1, actions)
+        driver.execute_claimer(vm - 1, actions)
 
 
 @pytest_bdd.when("the target answers")
@@ -134,6 +138,6 @@
     request = driver.requests[-1]
     if request.was_answered:
         return "answer"
-    if request.told is None:
+    if request.refusal is None:
         return "nothing yet"
-    return request.told.outcome.value
+    return request.refusal.outcome.value
