--- a/tests/core/test_claimer.py
+++ b/tests/core/test_claimer.py
@@ -1,4 +1,4 @@
-"""Claims: who may send, and what stands in the way."""
+"""Tests of claims: which one owns a key, group commit and log outages."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 
 
 def make_claim(number: int, fingerprint: bytes = b"f") -> claim_records.Claim:
-    """Return a claim on the one key."""
+    """Return a claim of VM `number` on the key that all claims here share."""
     return claim_records.Claim(
         b"k" * 16, bytes([number]) * 12, f"vm-{number}", 1, NOW + 5, NOW, fingerprint
     )
 
 
 def make_claimer(wait: float = 0.0) -> claimer.Claimer:
-    """Return a claimer that has read nothing."""
+    """Return a claimer that has read nothing from the log."""
     return claimer.Claimer(claim_ledger.ClaimLedger(100.0), batch_wait=wait)
 
 
 def find_append(actions: list[claimer.Action]) -> claimer.Append:
-    """Return the one append among the actions."""
+    """Return the only append among the actions."""
     (found,) = [a for a in actions if isinstance(a, claimer.Append)]
     return found
 
 
-def test_grants_without_reading_when_nobody_else_appends() -> None:
+def test_grants_without_a_read_when_no_other_vm_appends() -> None:
     seeker = make_claimer()
     action = find_append(seeker.seek(make_claim(1), NOW))
     granted = claimer.Granted(make_claim(1))
     assert seeker.handle_appended(action.batch, 0, NOW) == [granted]
 
 
-def test_reads_before_it_decides_when_others_append() -> None:
-    # Another VM's claim stands at offset 0, ours at offset 1. The acknowledgement
-    # alone would look like success; only the entry before it shows who came first.
+def test_reads_before_deciding_when_another_vm_appends() -> None:
+    # Another VM's claim is at offset 0, our own at offset 1. The acknowledgement alone
+    # would look like success; only the entry at offset 0 shows which claim came first.
     seeker = make_claimer()
     action = find_append(seeker.seek(make_claim(1), NOW))
     assert seeker.handle_appended(action.batch, 1, NOW) == [claimer.Read(0)]
@@ -45,7 +45,7 @@
     assert denied.reason is claimer.Denial.OWNED
 
 
-def test_many_claims_go_in_one_append() -> None:
+def test_queued_claims_share_one_append() -> None:
     seeker = make_claimer()
     first = find_append(seeker.seek(make_claim(1), NOW))
     for number in range(2, 50):
@@ -55,9 +55,9 @@
     assert len(claim_records.unpack(find_append(actions).data).ok) == 48
 
 
-def test_claims_wait_for_company_as_long_as_the_settings_say() -> None:
-    # Claims come while an append is under way. Its end does not send them at once:
-    # they wait their time, so that the log gets fewer and larger appends.
+def test_claims_wait_for_the_batch_wait_even_after_an_append_ends() -> None:
+    # A claim arrives while an append is in flight. The end of that append must not
+    # flush it early: the full wait gives the log fewer and larger appends.
     seeker = make_claimer(wait=0.05)
     assert seeker.seek(make_claim(1), NOW) == []
     first = find_append(seeker.process_due(NOW + 0.05))
@@ -70,7 +70,7 @@
     assert find_append(seeker.process_due(NOW + 0.102))
 
 
-def test_a_key_cannot_name_two_requests() -> None:
+def test_denies_a_key_reused_for_another_request() -> None:
     seeker = make_claimer()
     action = find_append(seeker.seek(make_claim(1), NOW))
     seeker.handle_appended(action.batch, 0, NOW)
@@ -79,10 +79,10 @@
     assert denied.reason is claimer.Denial.KEY_REUSED
 
 
-def test_an_outage_refuses_claims_at_once_and_keeps_outcomes() -> None:
-    # The log goes down between a claim and its outcome. New claims are refused at
-    # once; the outcome waits and goes when the log is back, so that a retry of the
-    # caller learns that the work is done.
+def test_outcome_refused_in_an_outage_is_appended_later() -> None:
+    # The log goes down between a claim and its outcome. The outcome stays queued and
+    # is appended once the log is back, so a caller that retries learns that the work
+    # is done.
     seeker = make_claimer()
     action = find_append(seeker.seek(make_claim(1), NOW))
     seeker.handle_appended(action.batch, 0, NOW)
@@ -96,9 +96,10 @@
     assert seeker.is_settled
 
 
-def test_a_claim_that_may_stand_on_the_log_is_told_apart() -> None:
-    # An append's answer was lost, and then the log is down. The claim may stand, so
-    # the holder has to release it; one that never left is simply refused.
+def test_denies_a_claim_that_may_be_on_the_log_as_unsettled() -> None:
+    # The answer to an append is lost, then the log goes down. The claim may be on the
+    # log, so the holder must release it; a claim that was never appended is only
+    # denied.
     seeker = make_claimer()
     action = find_append(seeker.seek(make_claim(1), NOW))
     seeker.handle_uncertain(action.batch, NOW)
@@ -108,9 +109,9 @@
     assert denied.reason is claimer.Denial.UNSETTLED
 
 
-def test_a_late_copy_does_not_block_a_released_key() -> None:
-    # A claim is given up and released; then a copy of it lands after all. It stays
-    # dead, and the caller's next try owns the key.
+def test_late_copy_of_a_released_claim_does_not_block_its_key() -> None:
+    # A copy of a claim reaches the log after the claim's release. It stays void, and
+    # the caller's next claim owns the key.
     ledger = claim_ledger.ClaimLedger(100.0)
     first, second = make_claim(1), make_claim(2)
     ledger.apply(claim_records.Released(first.key_digest, first.claim_id), NOW)
@@ -121,9 +122,9 @@
     assert entry.claim == second
 
 
-def test_the_release_of_a_second_claim_does_not_free_the_key() -> None:
-    # Two VMs claim one key. The second could not learn the verdict in time, gives up
-    # and releases its own claim; the first has sent the work, and still owns the key.
+def test_release_of_a_later_claim_does_not_free_the_key() -> None:
+    # Two VMs claim one key. The second gets no decision in time and releases its own
+    # claim. The first may have sent the work and must still own the key.
     ledger = claim_ledger.ClaimLedger(100.0)
     first, second = make_claim(1), make_claim(2)
     ledger.apply(first, NOW)
@@ -135,7 +136,7 @@
     assert entry.claim == first
 
 
-def test_forgets_keys_past_the_horizon() -> None:
+def test_removes_keys_past_the_horizon() -> None:
     ledger = claim_ledger.ClaimLedger(100.0)
     ledger.apply(make_claim(1), NOW)
     ledger.forget_expired(NOW + 99)
--- a/tests/core/test_hostile_input.py
+++ b/tests/core/test_hostile_input.py
@@ -1,4 +1,4 @@
-"""Malformed input of every kind: it is refused, and nothing else happens."""
+"""Property tests: arbitrary input never raises and never changes state."""
 
 from __future__ import annotations
 
@@ -32,17 +32,19 @@
 
 
 @hypothesis.given(st.binary() | VALUES.map(codec.encode))
-def test_peers_messages(data: bytes) -> None:
+def test_decodes_arbitrary_peer_messages(data: bytes) -> None:
     peer_messages.decode(data)
 
 
 @hypothesis.given(st.integers(1, 12), st.lists(VALUES, max_size=8))
-def test_peers_messages_with_a_plausible_head(kind: int, fields: list[object]) -> None:
+def test_decodes_arbitrary_fields_after_a_message_kind(
+    kind: int, fields: list[object]
+) -> None:
     peer_messages.decode(codec.encode([kind, *fields]))
 
 
 @hypothesis.given(st.binary() | VALUES.map(codec.encode))
-def test_claim_records(data: bytes) -> None:
+def test_unpacks_arbitrary_claim_records(data: bytes) -> None:
     claim_records.unpack(data)
 
 
@@ -52,7 +54,7 @@
         st.sampled_from([chain.PROPOSAL, chain.SNAPSHOT, ejections.EJECTION]), VALUES
     ).map(lambda pair: codec.encode(list(pair)))
 )
-def test_config_records_change_nothing(data: bytes) -> None:
+def test_malformed_configuration_records_change_nothing(data: bytes) -> None:
     config = config_log.ConfigLog(documents.make_operators(KEYS))
     before = config.chain.bundle.digest
     config.take_entry(0, data, 0.0)
@@ -62,28 +64,28 @@
 
 
 @hypothesis.given(VALUES)
-def test_bundle_documents(value: object) -> None:
+def test_refuses_arbitrary_bundle_documents(value: object) -> None:
     assert bundles.parse_document(value).is_error()
 
 
 @hypothesis.given(st.data())
-def test_bundle_documents_with_one_field_replaced(data: st.DataObject) -> None:
+def test_parses_bundle_documents_with_one_field_replaced(data: st.DataObject) -> None:
     document = documents.make_document(KEYS)
-    place: typing.Any = document
+    node: typing.Any = document
     while True:
-        key = data.draw(st.sampled_from(list(_keys_of(place))))
-        inner = place[key]
+        key = data.draw(st.sampled_from(list(_list_keys(node))))
+        inner = node[key]
         if not isinstance(inner, dict | list) or not inner or data.draw(st.booleans()):
-            place[key] = data.draw(VALUES)
+            node[key] = data.draw(VALUES)
             break
-        place = inner
+        node = inner
     bundles.parse_document(document)
 
 
-def test_messages_survive_the_round_trip() -> None:
+def test_encoded_message_decodes_to_itself() -> None:
     message = peer_messages.Sightings((SIGHTING,))
     assert peer_messages.decode(peer_messages.encode(message)).ok == message
 
 
-def _keys_of(place: typing.Any) -> typing.Iterable[typing.Any]:
-    return place.keys() if isinstance(place, dict) else range(len(place))
+def _list_keys(node: typing.Any) -> typing.Iterable[typing.Any]:
+    return node.keys() if isinstance(node, dict) else range(len(node))
--- a/tests/machines/claims.py
+++ b/tests/machines/claims.py
@@ -1,8 +1,8 @@
-"""A state machine of at-most-once work on several VMs, against a simple ledger.
+"""State machine test of at-most-once work on several VMs.
 
 The code under test is `attempts.Plan` and `claimer.Claimer`. The log, the network, the
-targets and the callers are lists here, and every fault of the log and the VMs is a
-rule. The oracle only counts: what ran, and what each caller was told.
+targets and the callers are simulated with lists, and each fault of the log and the VMs
+is a rule. The invariants compare what ran with what each caller was answered.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class FirstChooser:
-    """Chooses the first target left; every retry is allowed."""
+    """Chooses the first target not excluded, and allows every retry."""
 
     def choose(
         self, kind: services.Kind, excluded: typing.AbstractSet[str], now: float
@@ -54,19 +54,19 @@
     def find_hedge_time(
         self, kind: services.Kind, target: services.Target, now: float
     ) -> float | None:
-        """Return a time, which at-most-once work must not use."""
+        """Return `now`; at-most-once work must not be hedged despite it."""
         return now
 
     def find_pause_end(
         self, kind: services.Kind, deadline: float, now: float
     ) -> float | None:
-        """Return a short while."""
+        """Return a time 0.1 s from now."""
         return now + 0.1
 
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """A caller's request at one VM, and what it was told."""
+    """A caller's request at one VM, and how it was answered."""
 
     vm: int
     key: bytes
@@ -79,7 +79,7 @@
 
 @dataclasses.dataclass(slots=True)
 class SentAttempt:
-    """A request on its way to a target, or at work there."""
+    """An attempt on its way to a target, or running there."""
 
     request: Request
     attempt: int
@@ -89,7 +89,7 @@
 
 @dataclasses.dataclass(slots=True)
 class PendingAppend:
-    """An append under way."""
+    """An append in flight."""
 
     vm: int
     incarnation: int
@@ -98,7 +98,7 @@
 
 
 class ClaimsMachine(hypothesis.stateful.RuleBasedStateMachine):
-    """Three VMs, one slice, a handful of keys."""
+    """Several VMs (`VMS`) that share one slice and a few keys (`KEYS`)."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -118,18 +118,18 @@
         self.ran_claims: set[bytes] = set()
 
     def make_claimer(self) -> claimer.Claimer:
-        """Return a claimer that has read nothing."""
+        """Return a claimer that has read nothing from the log."""
         return claimer.Claimer(claim_ledger.ClaimLedger(HORIZON))
 
     # Callers.
 
     @hypothesis.stateful.rule(vm=st.integers(0, VMS - 1), key=st.integers(0, KEYS - 1))
     def submit(self, vm: int, key: int) -> None:
-        """A caller sends work with a key, perhaps again, to any VM."""
+        """A caller sends work with a new or repeated key to any VM."""
         self.send_order(vm, key)
 
     def send_order(self, vm: int, key: int) -> None:
-        """Send work with a key to a VM."""
+        """Send work with a key to a VM, unless it is paused or requests abound."""
         if self.paused[vm] or len(self.requests) > 12:
             return
         digest = bytes([key]) * 16
@@ -150,7 +150,7 @@
 
     @hypothesis.stateful.rule(key=st.integers(0, KEYS - 1))
     def submit_twice(self, key: int) -> None:
-        """A caller's request and its copy reach two VMs, and both claims land."""
+        """A request and its copies reach all VMs, and all claims are appended."""
         for vm in range(VMS):
             self.send_order(vm, key)
         for append in list(self.pending_appends):
@@ -158,7 +158,7 @@
 
     @hypothesis.stateful.rule(vm=st.integers(0, VMS - 1), key=st.integers(0, KEYS - 1))
     def submit_to_frozen(self, vm: int, key: int) -> None:
-        """A VM freezes just after it has sent its claim, which lands meanwhile."""
+        """A VM pauses right after sending its claim, which is appended meanwhile."""
         if self.paused[vm]:
             return
         self.send_order(vm, key)
@@ -190,13 +190,13 @@
         ),
     )
     def finish_append(self, data: st.DataObject, how: str) -> None:
-        """An append ends in one of the ways in which appends end."""
+        """An append ends as `how` says."""
         append = self.pick(data, self.pending_appends)
         if append is not None:
             self.end_append(append, how)
 
     def end_append(self, append: PendingAppend, how: str) -> None:
-        """End an append in one of the ways."""
+        """End an append, and report the result to its VM."""
         self.pending_appends.remove(append)
         if how in ("done", "answer-lost"):
             self.log.append(append.data)
@@ -210,7 +210,7 @@
     def report_append_result(
         self, append: PendingAppend, how: str, offset: int
     ) -> None:
-        """A VM hears how its append ended."""
+        """Report to a VM how its append ended, unless the VM was replaced."""
         if append.incarnation != self.incarnations[append.vm]:
             return
         seeker = self.claimers[append.vm]
@@ -225,7 +225,7 @@
     def deliver_when_awake(
         self, vm: int, message: collections.abc.Callable[[], None]
     ) -> None:
-        """Let a VM hear something, when it is awake."""
+        """Deliver a message to a VM, or keep it until the VM resumes."""
         if self.paused[vm]:
             self.inbox[vm].append(message)
         else:
@@ -233,7 +233,7 @@
 
     @hypothesis.stateful.rule(data=st.data())
     def land_delayed_append(self, data: st.DataObject) -> None:
-        """An append that was given up takes effect at last."""
+        """An append that was reported lost takes effect late."""
         stray = self.pick(data, self.delayed_appends)
         if stray is not None:
             self.delayed_appends.remove(stray)
@@ -256,7 +256,7 @@
         how=st.sampled_from(["answer", "cut", "silent", "refused", "not-handed"]),
     )
     def finish_attempt(self, data: st.DataObject, how: str) -> None:
-        """A target gets a request and runs it, or not, and the VM hears of it."""
+        """An attempt ends as `how` says, and the result is reported to its VM."""
         sent = self.pick(data, self.sent)
         if sent is None:
             return
@@ -269,7 +269,7 @@
         )
 
     def report_attempt_result(self, sent: SentAttempt, how: str) -> None:
-        """A VM hears how its attempt ended."""
+        """Report to a VM how its attempt ended, unless the VM was replaced."""
         request = sent.request
         if request.is_lost:
             return
@@ -292,7 +292,7 @@
 
     @hypothesis.stateful.rule(data=st.data())
     def run_early(self, data: st.DataObject) -> None:
-        """A target runs a request whose answer is still to come."""
+        """A target runs a request before its answer is delivered."""
         sent = self.pick(data, [s for s in self.sent if not s.has_run])
         if sent is not None and self.now < sent.deadline:
             self.run(sent)
@@ -301,18 +301,18 @@
 
     @hypothesis.stateful.rule(step=st.sampled_from([0.1, 1.0, 4.0, 7.0]))
     def advance(self, step: float) -> None:
-        """Time passes; what is due happens on VMs that are not paused."""
+        """Time passes; VMs that are not paused do what is due."""
         self.now += step
         for vm in range(VMS):
             self.wake(vm)
 
     @hypothesis.stateful.rule(vm=st.integers(0, VMS - 1))
     def pause_or_wake(self, vm: int) -> None:
-        """A VM stops for a while, or wakes up and believes that no time has passed."""
+        """A running VM pauses, or a paused one resumes."""
         self.toggle_pause(vm)
 
     def toggle_pause(self, vm: int) -> None:
-        """Pause a VM, or let it wake up and hear what has come meanwhile."""
+        """Pause a VM, or resume it and deliver the messages kept meanwhile."""
         self.paused[vm] = not self.paused[vm]
         if not self.paused[vm]:
             waiting, self.inbox[vm] = self.inbox[vm], []
@@ -322,11 +322,11 @@
 
     @hypothesis.stateful.rule(vm=st.integers(0, VMS - 1))
     def replace(self, vm: int) -> None:
-        """A VM is lost with all that it knew; what it sent may still run."""
+        """A VM is lost with its state; attempts that it sent may still run."""
         self.lose(vm)
 
     def lose(self, vm: int) -> None:
-        """Replace a VM by an empty one."""
+        """Replace a VM by one with a new incarnation and no state."""
         self.incarnations[vm] += 1
         self.paused[vm] = False
         self.inbox[vm].clear()
@@ -335,7 +335,7 @@
             if request.vm == vm:
                 request.is_lost = True
 
-    # The oracle.
+    # Invariants.
 
     @hypothesis.stateful.invariant()
     def runs_at_most_once(self) -> None:
@@ -344,7 +344,7 @@
 
     @hypothesis.stateful.invariant()
     def not_run_is_true(self) -> None:
-        """Whoever was told "not run" did not have its request run."""
+        """Work of requests answered "not run" did not run, "done" ran once."""
         for request in self.requests:
             if request.refusal is None:
                 continue
@@ -355,30 +355,30 @@
 
     @hypothesis.stateful.invariant()
     def everyone_is_answered_in_time(self) -> None:
-        """Nobody waits past the deadline on a VM that is awake."""
+        """On a VM that is not paused, no open request is 10 s past its wake time."""
         for request in self.list_open_requests():
             if not self.paused[request.vm]:
                 assert self.now < request.plan.find_wake_time() + 10.0
 
-    # Inside.
+    # Helpers.
 
     def pick(self, data: st.DataObject, items: list[typing.Any]) -> typing.Any:
-        """Return one of the items, or None."""
+        """Draw one of the items; None if there are none."""
         return data.draw(st.sampled_from(items)) if items else None
 
     def list_open_requests(self) -> list[Request]:
-        """Return the requests that are under way on a VM that still exists."""
+        """Return requests that have not ended and whose VM was not replaced."""
         return [r for r in self.requests if not r.is_lost and not r.plan.has_ended]
 
     def run(self, sent: SentAttempt) -> None:
-        """Let a target run a request."""
+        """Record that a target ran an attempt's work."""
         sent.has_run = True
         key = sent.request.key
         self.runs[key] = self.runs.get(key, 0) + 1
         self.ran_claims.add(sent.request.claim.claim_id)
 
     def wake(self, vm: int) -> None:
-        """Let a VM do what is due."""
+        """Let a VM do what is due, unless it is paused."""
         if self.paused[vm]:
             return
         self.execute_claimer(vm, self.claimers[vm].process_due(self.now))
@@ -402,7 +402,7 @@
                     pass
 
     def deliver_verdict(self, verdict: claimer.Granted | claimer.Denied) -> None:
-        """Tell a request the verdict on its claim."""
+        """Pass the decision on a claim to its request's plan."""
         for request in self.requests:
             if request.claim != verdict.claim or request.is_lost:
                 continue
