--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -69,7 +69,7 @@
     bundle = bundles.parse_document(document).ok
     del document
     table = route_table.RouteTable()
-    table.apply_bundle(bundle)
+    table.index_bundle(bundle)
     return bundle, table
 
 
--- a/packages/zinniastand-core/src/zinniastand_core/route_table.py
+++ b/packages/zinniastand-core/src/zinniastand_core/route_table.py
@@ -29,7 +29,7 @@
         self._matches: dict[tuple[str, str], Match] = {}
         self._by_service: dict[str, tuple[bytes, list[tuple[str, str]]]] = {}
 
-    def apply_bundle(self, bundle: bundles.Bundle) -> None:
+    def index_bundle(self, bundle: bundles.Bundle) -> None:
         """Update the index to `bundle`, re-indexing only services that changed."""
         prefix = bundles.SERVICE_PREFIX
         current = {key for key in bundle.sections if key.startswith(prefix)}
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/service_table.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/service_table.py
@@ -41,7 +41,7 @@
             Unix seconds.
         """
         self._bundle = bundle
-        self.routes.apply_bundle(bundle)
+        self.routes.index_bundle(bundle)
         current = {service.name: service for service in bundle.services}
         for name in set(self.routers) - set(current):
             del self.routers[name]
--- a/tests/machines/claims.py
+++ b/tests/machines/claims.py
@@ -72,7 +72,7 @@
     key: bytes
     claim: claim_records.Claim
     plan: attempts.Plan
-    refusal: outcomes.Refusal | None = None
+    given_refusal: outcomes.Refusal | None = None
     was_answered: bool = False
     is_lost: bool = False
 
@@ -92,7 +92,7 @@
     """An append in flight."""
 
     vm: int
-    incarnation: int
+    sender_incarnation: int
     batch: int
     data: bytes
 
@@ -211,7 +211,7 @@
         self, append: PendingAppend, how: str, offset: int
     ) -> None:
         """Report to a VM how its append ended, unless the VM was replaced."""
-        if append.incarnation != self.incarnations[append.vm]:
+        if append.sender_incarnation != self.incarnations[append.vm]:
             return
         seeker = self.claimers[append.vm]
         if how == "done":
@@ -346,11 +346,11 @@
     def not_run_is_true(self) -> None:
         """Work of requests answered "not run" did not run, "done" ran once."""
         for request in self.requests:
-            if request.refusal is None:
+            if request.given_refusal is None:
                 continue
-            if request.refusal.outcome is outcomes.Outcome.NOT_RUN:
+            if request.given_refusal.outcome is outcomes.Outcome.NOT_RUN:
                 assert request.claim.claim_id not in self.ran_claims
-            if request.refusal.outcome is outcomes.Outcome.DONE:
+            if request.given_refusal.outcome is outcomes.Outcome.DONE:
                 assert self.runs.get(request.key) == 1
 
     @hypothesis.stateful.invariant()
@@ -434,8 +434,8 @@
                 case attempt_actions.Relay():
                     request.was_answered = True
                 case attempt_actions.Refuse():
-                    assert request.refusal is None
+                    assert request.given_refusal is None
                     assert not request.was_answered
-                    request.refusal = action.refusal
+                    request.given_refusal = action.refusal
                 case _:
                     pass
--- a/tests/scenarios/test_at_most_once.py
+++ b/tests/scenarios/test_at_most_once.py
@@ -138,6 +138,6 @@
     request = driver.requests[-1]
     if request.was_answered:
         return "answer"
-    if request.refusal is None:
+    if request.given_refusal is None:
         return "nothing yet"
-    return request.refusal.outcome.value
+    return request.given_refusal.outcome.value
