--- a/packages/zinniastand-core/src/zinniastand_core/bundles.py
+++ b/packages/zinniastand-core/src/zinniastand_core/bundles.py
@@ -114,7 +114,7 @@
         str(key): parse_section(str(key), value, collector)
         for key, value in values.items()
     }
-    _check_whole(parts, collector)
+    _check_consistency(parts, collector)
     if collector.has_findings:
         return expression.Error(collector.collect())
     return expression.Ok(build(parts))
@@ -135,7 +135,7 @@
                 collector.add(key, "removed, but not there")
         else:
             parts[key] = parse_section(key, value, collector)
-    _check_whole(parts, collector)
+    _check_consistency(parts, collector)
     if collector.has_findings:
         return expression.Error(collector.collect())
     return expression.Ok(build(parts))
@@ -162,11 +162,11 @@
     """
     collector = documents.Collector()
     reader = documents.Reader(document, "", collector)
-    result: dict[str, object] = {OPERATORS_SECTION: _take_source(reader, "operators")}
-    named = _take_source(reader, "services")
+    result: dict[str, object] = {OPERATORS_SECTION: _read_source(reader, "operators")}
+    named = _read_source(reader, "services")
     result.update({SERVICE_PREFIX + name: value for name, value in named.items()})
     shards: dict[str, dict[str, object]] = {}
-    for name, value in _take_source(reader, "accounts").items():
+    for name, value in _read_source(reader, "accounts").items():
         shards.setdefault(name_account_section(name), {})[name] = value
     result.update(shards)
     reader.refuse_unknown()
@@ -186,13 +186,13 @@
             return expression.Error(found)
 
 
-def _take_source(reader: documents.Reader, name: str) -> SectionValue:
+def _read_source(reader: documents.Reader, name: str) -> SectionValue:
     nested = reader.read_object(name, optional=name == "accounts")
     nested.read_names()
     return nested.source
 
 
-def _check_whole(
+def _check_consistency(
     parts: collections.abc.Mapping[str, Section], collector: documents.Collector
 ) -> None:
     if OPERATORS_SECTION not in parts:
--- a/packages/zinniastand-core/src/zinniastand_core/chain.py
+++ b/packages/zinniastand-core/src/zinniastand_core/chain.py
@@ -16,7 +16,7 @@
 
 SNAPSHOT = "snapshot"
 PROPOSAL = "proposal"
-REMEMBERED_PROPOSALS = 256
+MAX_REMEMBERED_PROPOSALS = 256
 
 
 class Verdict(enum.StrEnum):
@@ -76,7 +76,9 @@
     """
 
     def __init__(self, trusted: services.Operators) -> None:
-        self._bundle = bundles.build({bundles.OPERATORS_SECTION: _pack_trust(trusted)})
+        self._bundle = bundles.build(
+            {bundles.OPERATORS_SECTION: _make_operators_section(trusted)}
+        )
         self._genesis = self._bundle
         self._version = 0
         self._head: proposals.Proposal | None = None
@@ -191,7 +193,7 @@
         self._recent.append(proposal)
         if bundles.OPERATORS_SECTION in proposal.changes:
             self._key_changes.append(proposal)
-        if len(self._recent) > REMEMBERED_PROPOSALS:
+        if len(self._recent) > MAX_REMEMBERED_PROPOSALS:
             forgotten = self._recent.pop(0)
             self._accepted.pop(forgotten.proposal_id, None)
 
@@ -268,7 +270,7 @@
     return codec.encode([PROPOSAL, proposals.pack(proposal)])
 
 
-def _pack_trust(trusted: services.Operators) -> bundles.Section:
+def _make_operators_section(trusted: services.Operators) -> bundles.Section:
     members = [[m.name, m.public_key] for m in trusted.members]
     value: bundles.SectionValue = {
         "trusted": members,
--- a/packages/zinniastand-core/src/zinniastand_core/config_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/config_exchange.py
@@ -16,12 +16,12 @@
     timeline,
 )
 
-KEPT_ENTRIES = 512
-KEPT_BYTES = 8 * 1024 * 1024
+MAX_KEPT_ENTRIES = 512
+MAX_KEPT_BYTES = 8 * 1024 * 1024
 FIRST_REFRESH_SHARE = 0.25
 REFRESH_SHARE = 0.4
-RANK_PAUSE = 20.0
-ASK_PATIENCE = 0.4
+RANK_DELAY_S = 20.0
+REQUEST_TIMEOUT_S = 0.4
 
 Flood = collections.abc.Callable[
     [peer_messages.Message, str, float], list[control_actions.Action]
@@ -61,10 +61,10 @@
         self._entries: collections.deque[tuple[int, bytes]] = collections.deque()
         self._entries_bytes = 0
         self._refresh_at: float | None = None
-        self._asked_until = 0.0
+        self._request_pending_until = 0.0
 
-    def take_entries(
-        self, sender: str, message: peer_messages.Entries, now: float
+    def apply_entries(
+        self, sender: str, message: peer_messages.ConfigEntries, now: float
     ) -> Actions:
         """Take in entries, from the log (empty `sender`) or from a peer."""
         actions: Actions = []
@@ -73,18 +73,18 @@
             offset = message.offset + index
             if offset != self.config.next_offset:
                 continue
-            applied = self.config.take_entry(offset, data, now)
-            self._keep(offset, data)
+            applied = self.config.apply_entry(offset, data, now)
+            self._keep_entry(offset, data)
             is_fresh = True
-            actions += self._note(applied, now)
-        self._asked_until = 0.0
+            actions += self._record_result(applied, now)
+        self._request_pending_until = 0.0
         if is_fresh:
             actions += self._flood(self._make_notice(), sender, now)
         elif sender and message.offset > self.config.next_offset:
-            actions += self.ask(sender, now)
+            actions += self.request_missing(sender, now)
         return actions
 
-    def take_notice(
+    def handle_notice(
         self, sender: str, next_offset: int, version: int, now: float
     ) -> Actions:
         """Ask a VM that has read further, unless another is being asked.
@@ -95,26 +95,26 @@
         is_ahead = (
             next_offset > self.config.next_offset or version > self.config.chain.version
         )
-        if not is_ahead or now < self._asked_until:
+        if not is_ahead or now < self._request_pending_until:
             return []
-        return self.ask(sender, now)
+        return self.request_missing(sender, now)
 
-    def ask(self, vm: str, now: float) -> Actions:
+    def request_missing(self, vm: str, now: float) -> Actions:
         """Return the question for what this VM lacks."""
-        self._asked_until = now + ASK_PATIENCE
-        asked = peer_messages.ConfigAsked(
+        self._request_pending_until = now + REQUEST_TIMEOUT_S
+        asked = peer_messages.ConfigRequest(
             self.config.next_offset, self.config.chain.version
         )
         return [control_actions.Tell(vm, asked)]
 
-    def answer(
-        self, sender: str, asked: peer_messages.ConfigAsked, now: float
+    def answer_request(
+        self, sender: str, asked: peer_messages.ConfigRequest, now: float
     ) -> Actions:
         """Return the entries that the asker lacks, or the whole state."""
         kept = [data for offset, data in self._entries if offset >= asked.next_offset]
         first = self._entries[0][0] if self._entries else self.config.next_offset
         if kept and first <= asked.next_offset:
-            entries = peer_messages.Entries(asked.next_offset, tuple(kept))
+            entries = peer_messages.ConfigEntries(asked.next_offset, tuple(kept))
             return [control_actions.Tell(sender, entries)]
         granted = self.config.ejections.list_granted()
         state = peer_messages.ConfigState(
@@ -124,19 +124,19 @@
         )
         return [control_actions.Tell(sender, state)]
 
-    def take_state(
+    def apply_state(
         self, sender: str, state: peer_messages.ConfigState, now: float
     ) -> Actions:
         """Take over a peer's state, where it is ahead and proves its bundle."""
         if state.next_offset < self.config.next_offset or not state.snapshot:
             return []
-        applied = self.config.take_state(
+        applied = self.config.apply_state(
             state.next_offset, state.snapshot, state.ejections, now
         )
         self._entries.clear()
         self._entries_bytes = 0
-        self._asked_until = 0.0
-        actions = self._note(applied, now)
+        self._request_pending_until = 0.0
+        actions = self._record_result(applied, now)
         if actions:
             actions += self._flood(self._make_notice(), sender, now)
         return actions
@@ -160,19 +160,22 @@
         task = f"head/{self.config.chain.version}"
         rank = rendezvous.pick(task, [own, *others], 8)
         place = rank.index(own) if own in rank else len(rank)
-        if now < self._refresh_at + RANK_PAUSE * place:
+        if now < self._refresh_at + RANK_DELAY_S * place:
             return None
         self._refresh_at = now + REFRESH_SHARE * self._retention
         return self.config.chain.pack_snapshot()
 
-    def _keep(self, offset: int, data: bytes) -> None:
+    def _keep_entry(self, offset: int, data: bytes) -> None:
         self._entries.append((offset, data))
         self._entries_bytes += len(data)
-        while len(self._entries) > KEPT_ENTRIES or self._entries_bytes > KEPT_BYTES:
+        while (
+            len(self._entries) > MAX_KEPT_ENTRIES
+            or self._entries_bytes > MAX_KEPT_BYTES
+        ):
             _, dropped = self._entries.popleft()
             self._entries_bytes -= len(dropped)
 
-    def _note(self, applied: config_log.Applied, now: float) -> Actions:
+    def _record_result(self, applied: config_log.ApplyResult, now: float) -> Actions:
         for ejection in applied.revoked:
             self._events.record(
                 timeline.EventKind.EJECTION_REVOKED,
@@ -181,12 +184,12 @@
                 now,
             )
         if applied.decision is not None:
-            self._note_decision(applied.decision, now)
+            self._record_decision(applied.decision, now)
         if applied.ruling is None:
             return []
-        return self._note_ruling(applied.ruling, now)
+        return self._record_ruling(applied.ruling, now)
 
-    def _note_ruling(self, ruling: chain.Ruling, now: float) -> Actions:
+    def _record_ruling(self, ruling: chain.Ruling, now: float) -> Actions:
         if ruling.verdict is chain.Verdict.KNOWN:
             self._refresh_at = now + REFRESH_SHARE * self._retention
             return []
@@ -204,7 +207,7 @@
         self._events.record(kind, ruling.proposal_id, f"version {version}", now)
         return [control_actions.Reconfigure(version)]
 
-    def _note_decision(self, decision: ejections.Decision, now: float) -> None:
+    def _record_decision(self, decision: ejections.Decision, now: float) -> None:
         ejection = decision.ejection
         kind = timeline.EventKind.EJECTED
         detail = (
--- a/packages/zinniastand-core/src/zinniastand_core/config_log.py
+++ b/packages/zinniastand-core/src/zinniastand_core/config_log.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Applied:
+class ApplyResult:
     """What one record of the stream did."""
 
     ruling: chain.Ruling | None = None
@@ -49,35 +49,35 @@
         """Offset of the last record that carries the whole head, if any was read."""
         return self._head_offset
 
-    def take_entry(self, offset: int, data: bytes, now: float) -> Applied:
+    def apply_entry(self, offset: int, data: bytes, now: float) -> ApplyResult:
         """Take in the entry at `offset`; one that was read before does nothing."""
         if offset < self._next_offset:
-            return Applied()
+            return ApplyResult()
         self._next_offset = offset + 1
         match codec.decode(data):
             case expression.Result(tag="ok", ok=[ejections.EJECTION, body]):
-                return self._take_ejection(body)
+                return self._apply_ejection(body)
             case expression.Result(tag="ok", ok=[chain.SNAPSHOT, _]):
                 self._head_offset = offset
             case _:
                 pass
-        return self.take_record(data, now)
+        return self.apply_record(data, now)
 
-    def take_record(self, data: bytes, now: float) -> Applied:
+    def apply_record(self, data: bytes, now: float) -> ApplyResult:
         """Take in a bundle record, from the log or from a peer."""
         ruling = self.chain.apply(data)
         revoked: list[ejections.Ejection] = []
         if ruling.verdict is chain.Verdict.ACCEPTED:
             revoked = self.ejections.revoke_for(self.chain.bundle)
-        return Applied(ruling=ruling, revoked=tuple(revoked))
+        return ApplyResult(ruling=ruling, revoked=tuple(revoked))
 
-    def take_state(
+    def apply_state(
         self,
         next_offset: int,
         snapshot: bytes,
         granted: collections.abc.Sequence[bytes],
         now: float,
-    ) -> Applied:
+    ) -> ApplyResult:
         """Take over the state of a peer that no longer keeps the entries before.
 
         The grants come along: a VM that lacked them would later grant ejections that
@@ -90,19 +90,19 @@
             for data in granted:
                 match codec.decode(data):
                     case expression.Result(tag="ok", ok=[ejections.EJECTION, body]):
-                        self._take_ejection(body)
+                        self._apply_ejection(body)
                     case _:
                         pass
-        return Applied(ruling=ruling)
+        return ApplyResult(ruling=ruling)
 
     def skip_to(self, offset: int) -> None:
         """Go on at `offset`, because the log no longer keeps what is before it."""
         self._next_offset = max(self._next_offset, offset)
 
-    def _take_ejection(self, body: object) -> Applied:
+    def _apply_ejection(self, body: object) -> ApplyResult:
         ejection = ejections.unpack(body)
         if ejection is None:
             reason = "malformed ejection"
-            return Applied(ruling=chain.Ruling(chain.Verdict.INVALID, "", reason))
+            return ApplyResult(ruling=chain.Ruling(chain.Verdict.INVALID, "", reason))
         decision = self.ejections.apply(ejection, self.chain.bundle)
-        return Applied(decision=decision)
+        return ApplyResult(decision=decision)
--- a/packages/zinniastand-core/src/zinniastand_core/control.py
+++ b/packages/zinniastand-core/src/zinniastand_core/control.py
@@ -88,24 +88,24 @@
     ) -> Actions:
         """Take in a message of another VM."""
         match message:
-            case peer_messages.Beat():
+            case peer_messages.Heartbeat():
                 return self._take_beat(sender, message, now)
             case peer_messages.Sightings():
                 return self._neighbours.take_sightings(sender, message, now)
-            case peer_messages.MembersAsked():
+            case peer_messages.MembersRequest():
                 return self._neighbours.answer_members(sender)
-            case peer_messages.ConfigAsked():
-                return self._exchange.answer(sender, message, now)
-            case peer_messages.Entries():
-                return self._exchange.take_entries(sender, message, now)
+            case peer_messages.ConfigRequest():
+                return self._exchange.answer_request(sender, message, now)
+            case peer_messages.ConfigEntries():
+                return self._exchange.apply_entries(sender, message, now)
             case peer_messages.ConfigState():
-                return self._exchange.take_state(sender, message, now)
+                return self._exchange.apply_state(sender, message, now)
             case peer_messages.ConfigNotice(next_offset=offset, version=version):
-                return self._exchange.take_notice(sender, offset, version, now)
-            case peer_messages.Reports():
+                return self._exchange.handle_notice(sender, offset, version, now)
+            case peer_messages.EvidenceReports():
                 self.evidence.take_reports(message, now)
                 return []
-            case peer_messages.Levels():
+            case peer_messages.SuspicionLevels():
                 return self.evidence.take_levels(sender, message, now)
             case _:
                 return []
@@ -119,21 +119,23 @@
         between; the head is appended again often enough not to be among them.
         """
         self.config.skip_to(offset)
-        entries = peer_messages.Entries(offset, tuple(data))
-        return self._exchange.take_entries("", entries, now)
+        entries = peer_messages.ConfigEntries(offset, tuple(data))
+        return self._exchange.apply_entries("", entries, now)
 
     def find_due_snapshot(self, now: float) -> bytes | None:
         """Return the head as a record, if this VM is to append it again now."""
         others = [member.vm for member in self.members.list_alive()]
         return self._exchange.find_due_snapshot(self.members.own.vm, others, now)
 
-    def _take_beat(self, sender: str, beat: peer_messages.Beat, now: float) -> Actions:
+    def _take_beat(
+        self, sender: str, beat: peer_messages.Heartbeat, now: float
+    ) -> Actions:
         actions, wants_reply = self._neighbours.take_beat(sender, beat, now)
         if wants_reply:
             reply = self._neighbours.make_beat(
                 sender, self.config.next_offset, self.config.chain.version, True, now
             )
             actions.append(control_actions.Tell(sender, reply))
-        return actions + self._exchange.take_notice(
+        return actions + self._exchange.handle_notice(
             sender, beat.next_offset, beat.version, now
         )
--- a/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
@@ -99,7 +99,7 @@
             items = self._collect(name, routing, now)
             if not items:
                 continue
-            message = peer_messages.Reports(name, observer, items)
+            message = peer_messages.EvidenceReports(name, observer, items)
             for vm in self._pick_pools(name):
                 if vm == own.vm:
                     self.take_reports(message, now)
@@ -107,7 +107,7 @@
                     actions.append(control_actions.Tell(vm, message))
         return actions
 
-    def take_reports(self, message: peer_messages.Reports, now: float) -> None:
+    def take_reports(self, message: peer_messages.EvidenceReports, now: float) -> None:
         """Pool another VM's evidence."""
         pool = self._find_pool(message.service)
         if pool is not None:
@@ -133,7 +133,7 @@
             self._told_at[service] = now
             self._sequence += 1
             levels += [evidence_pool.Level(name, 0.0, ()) for name in sorted(cleared)]
-            message = peer_messages.Levels(
+            message = peer_messages.SuspicionLevels(
                 service, self._members.own.vm, self._sequence, tuple(levels)
             )
             self._use_levels(message, now)
@@ -156,7 +156,7 @@
         return bool(scores) and now >= self._told_at.get(service, now) + RETELL_AFTER
 
     def take_levels(
-        self, sender: str, message: peer_messages.Levels, now: float
+        self, sender: str, message: peer_messages.SuspicionLevels, now: float
     ) -> Actions:
         """Steer by another VM's pooled scores, and tell them on."""
         key = (message.service, message.pooled_by)
@@ -232,7 +232,7 @@
             self._pools[service] = pool
         return pool
 
-    def _use_levels(self, message: peer_messages.Levels, now: float) -> None:
+    def _use_levels(self, message: peer_messages.SuspicionLevels, now: float) -> None:
         routing = self._routers.get(message.service)
         if routing is None:
             return
@@ -245,7 +245,7 @@
 
     def _note_level(
         self,
-        message: peer_messages.Levels,
+        message: peer_messages.SuspicionLevels,
         target: str,
         level: float,
         threshold: float,
--- a/packages/zinniastand-core/src/zinniastand_core/member_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/member_exchange.py
@@ -69,13 +69,13 @@
 
     def make_beat(
         self, vm: str, next_offset: int, version: int, is_reply: bool, now: float
-    ) -> peer_messages.Beat:
+    ) -> peer_messages.Heartbeat:
         """Return a heartbeat for one VM."""
         link = self._links[vm]
-        return peer_messages.Beat(
+        return peer_messages.Heartbeat(
             sighting=self.members.own_sighting,
             sequence=link.sent,
-            heard=link.heard,
+            last_received=link.heard,
             next_offset=next_offset,
             version=version,
             members_digest=self.members.digest(),
@@ -84,7 +84,7 @@
         )
 
     def take_beat(
-        self, sender: str, beat: peer_messages.Beat, now: float
+        self, sender: str, beat: peer_messages.Heartbeat, now: float
     ) -> tuple[Actions, bool]:
         """Take in a heartbeat; return actions, and whether it wants a reply."""
         self._events.clock.merge(beat.stamp, now)
@@ -99,7 +99,7 @@
             sender, peer_messages.Sightings((beat.sighting,)), now
         )
         if beat.members_digest != self.members.digest():
-            actions.append(control_actions.Tell(sender, peer_messages.MembersAsked()))
+            actions.append(control_actions.Tell(sender, peer_messages.MembersRequest()))
         return actions, wants_reply
 
     def answer_members(self, sender: str) -> Actions:
--- a/packages/zinniastand-core/src/zinniastand_core/peer_messages.py
+++ b/packages/zinniastand-core/src/zinniastand_core/peer_messages.py
@@ -19,12 +19,12 @@
     membership,
 )
 
-MILLI = 1000
-MOST_OUTCOMES = 1_000_000
+FIXED_POINT_SCALE = 1000
+MAX_OUTCOMES = 1_000_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Beat:
+class Heartbeat:
     """A heartbeat between neighbours, which also tells how far each has read."""
 
     sighting: membership.Sighting
@@ -33,7 +33,7 @@
     sequence: int
     """Grows with each heartbeat on this link."""
 
-    heard: int
+    last_received: int
     """Last sequence heard from the receiver: shows a link that works one way only."""
 
     next_offset: int
@@ -61,12 +61,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class MembersAsked:
+class MembersRequest:
     """Asks for all members, after two digests differed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ConfigAsked:
+class ConfigRequest:
     """Asks for what comes after an offset of the configuration stream."""
 
     next_offset: int
@@ -88,7 +88,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Entries:
+class ConfigEntries:
     """Entries of the configuration stream, as they stand on the log."""
 
     offset: int
@@ -113,7 +113,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reports:
+class EvidenceReports:
     """Evidence of one VM about one service, for those who pool it."""
 
     service: str
@@ -127,7 +127,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Levels:
+class SuspicionLevels:
     """Scores that the pooled evidence supports, told on from VM to VM."""
 
     service: str
@@ -144,7 +144,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClaimAsked:
+class ClaimRequest:
     """Asks the VM that appends for a slice to seek a claim."""
 
     claim: claim_records.Claim
@@ -152,7 +152,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClaimAnswered:
+class ClaimResponse:
     """The verdict on a claim."""
 
     claim_id: bytes
@@ -166,7 +166,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SettleAsked:
+class SettleRequest:
     """Asks the VM that appends for a slice to append outcomes."""
 
     data: bytes
@@ -174,17 +174,17 @@
 
 
 Message = (
-    Beat
+    Heartbeat
     | Sightings
-    | MembersAsked
-    | ConfigAsked
-    | Entries
+    | MembersRequest
+    | ConfigRequest
+    | ConfigEntries
     | ConfigState
-    | Reports
-    | Levels
-    | ClaimAsked
-    | ClaimAnswered
-    | SettleAsked
+    | EvidenceReports
+    | SuspicionLevels
+    | ClaimRequest
+    | ClaimResponse
+    | SettleRequest
     | ConfigNotice
 )
 
@@ -192,44 +192,44 @@
 def encode(message: Message) -> bytes:
     """Return the CBOR form of a message."""
     match message:
-        case Beat():
+        case Heartbeat():
             fields = _pack_beat(message)
         case Sightings():
             fields = [2, [_pack_sighting(item) for item in message.items]]
-        case MembersAsked():
+        case MembersRequest():
             fields = [3]
-        case ConfigAsked():
+        case ConfigRequest():
             fields = [4, message.next_offset, message.version]
-        case Entries():
+        case ConfigEntries():
             fields = [5, message.offset, list(message.data)]
         case ConfigState():
             ejections = list(message.ejections)
             fields = [6, message.next_offset, message.snapshot, ejections]
-        case Reports():
+        case EvidenceReports():
             observer = [message.observer.vm, message.observer.data_centre]
             items = [_pack_report(item) for item in message.items]
             fields = [7, message.service, observer, items]
-        case Levels():
+        case SuspicionLevels():
             levels = [_pack_level(level) for level in message.items]
             fields = [8, message.service, message.pooled_by, message.sequence, levels]
-        case ClaimAsked():
+        case ClaimRequest():
             fields = [9, claim_records.pack([message.claim])]
-        case ClaimAnswered():
+        case ClaimResponse():
             denial = message.denial.value if message.denial else None
             fields = [10, message.claim_id, denial, _pack_entry(message.entry)]
-        case SettleAsked():
+        case SettleRequest():
             fields = [11, message.data]
         case ConfigNotice():
             fields = [12, message.next_offset, message.version]
     return codec.encode(fields)
 
 
-def _pack_beat(beat: Beat) -> list[object]:
+def _pack_beat(beat: Heartbeat) -> list[object]:
     return [
         1,
         _pack_sighting(beat.sighting),
         beat.sequence,
-        beat.heard,
+        beat.last_received,
         beat.next_offset,
         beat.version,
         beat.members_digest,
@@ -271,7 +271,7 @@
             stamp,
             bool(is_reply),
         ]:
-            return Beat(
+            return Heartbeat(
                 _read_sighting(sighting),
                 sequence,
                 heard,
@@ -284,14 +284,14 @@
         case [2, list(items)]:
             return Sightings(tuple(_read_sighting(item) for item in items))
         case [3]:
-            return MembersAsked()
+            return MembersRequest()
         case [7, str(service), [str(vm), str(data_centre)], list(items)]:
             observer = evidence_pool.Observer(vm, data_centre)
             reports = tuple(_read_report(item) for item in items)
-            return Reports(service, observer, reports)
+            return EvidenceReports(service, observer, reports)
         case [8, str(service), str(pooled_by), int(sequence), list(items)]:
             levels = tuple(_read_level(item) for item in items)
-            return Levels(service, pooled_by, sequence, levels)
+            return SuspicionLevels(service, pooled_by, sequence, levels)
         case _:
             return None
 
@@ -299,9 +299,9 @@
 def _read_config(fields: typing.Any) -> Message | None:
     match fields:
         case [4, int(offset), int(version)]:
-            return ConfigAsked(offset, version)
+            return ConfigRequest(offset, version)
         case [5, int(offset), list(data)]:
-            return Entries(offset, tuple(_expect_bytes(item) for item in data))
+            return ConfigEntries(offset, tuple(_expect_bytes(item) for item in data))
         case [6, int(offset), bytes(snapshot), list(ejections)]:
             kept = tuple(_expect_bytes(item) for item in ejections)
             return ConfigState(offset, snapshot, kept)
@@ -317,9 +317,9 @@
             return _read_claim_asked(packed)
         case [10, bytes(claim_id), denial, entry]:
             reason = None if denial is None else claimer.Denial(denial)
-            return ClaimAnswered(claim_id, reason, _read_entry(entry))
+            return ClaimResponse(claim_id, reason, _read_entry(entry))
         case [11, bytes(packed)]:
-            return SettleAsked(packed)
+            return SettleRequest(packed)
         case _:
             return None
 
@@ -331,12 +331,12 @@
 
 
 def _pack_stamp(stamp: hybrid_clock.Stamp) -> list[object]:
-    return [round(stamp.time * MILLI), stamp.count]
+    return [round(stamp.time * FIXED_POINT_SCALE), stamp.count]
 
 
 def _read_stamp(value: typing.Any) -> hybrid_clock.Stamp:
     time, count = value
-    return hybrid_clock.Stamp(int(time) / MILLI, int(count))
+    return hybrid_clock.Stamp(int(time) / FIXED_POINT_SCALE, int(count))
 
 
 def _pack_sighting(sighting: membership.Sighting) -> list[object]:
@@ -369,7 +369,7 @@
 def _read_report(value: typing.Any) -> evidence_pool.Report:
     match value:
         case [str(target), str(kind), int(good), int(error), int(slow)] if (
-            min(good, error, slow) >= 0 and max(good, error, slow) < MOST_OUTCOMES
+            min(good, error, slow) >= 0 and max(good, error, slow) < MAX_OUTCOMES
         ):
             subject = baselines.Subject(target, kind)
             return evidence_pool.Report(subject, evidence.Tally(good, error, slow))
@@ -378,15 +378,21 @@
 
 
 def _pack_level(level: evidence_pool.Level) -> list[object]:
-    places = {place: round(score * MILLI) for place, score in level.by_data_centre}
-    return [level.target, round(level.overall * MILLI), places]
+    places = {
+        place: round(score * FIXED_POINT_SCALE) for place, score in level.by_data_centre
+    }
+    return [level.target, round(level.overall * FIXED_POINT_SCALE), places]
 
 
 def _read_level(value: typing.Any) -> evidence_pool.Level:
     match value:
         case [str(target), int(overall), dict(places)]:
-            scores = sorted((str(k), int(v) / MILLI) for k, v in places.items())
-            return evidence_pool.Level(target, overall / MILLI, tuple(scores))
+            scores = sorted(
+                (str(k), int(v) / FIXED_POINT_SCALE) for k, v in places.items()
+            )
+            return evidence_pool.Level(
+                target, overall / FIXED_POINT_SCALE, tuple(scores)
+            )
         case _:
             raise TypeError("expected a level")
 
@@ -408,8 +414,8 @@
             raise TypeError("expected an entry")
 
 
-def _read_claim_asked(packed: bytes) -> ClaimAsked:
-    return ClaimAsked(_read_claim(packed))
+def _read_claim_asked(packed: bytes) -> ClaimRequest:
+    return ClaimRequest(_read_claim(packed))
 
 
 def _read_claim(packed: bytes) -> claim_records.Claim:
--- a/packages/zinniastand-core/src/zinniastand_core/review.py
+++ b/packages/zinniastand-core/src/zinniastand_core/review.py
@@ -4,7 +4,7 @@
 
 from . import bundles, documents, findings, services
 
-LARGE_CHANGE = 0.25
+LARGE_CAPACITY_CHANGE_RATIO = 0.25
 
 
 def review(old: bundles.Bundle, new: bundles.Bundle) -> findings.Findings:
@@ -54,7 +54,7 @@
     collector: documents.Collector,
 ) -> None:
     before = _count_usable(old)
-    if before and abs(usable - before) > LARGE_CHANGE * before:
+    if before and abs(usable - before) > LARGE_CAPACITY_CHANGE_RATIO * before:
         text = f"capacity goes from {before} to {usable} slots in one step"
         collector.add(f"{place}.targets", text)
     if new.floor_slots < old.floor_slots:
--- a/packages/zinniastand-core/src/zinniastand_core/sections.py
+++ b/packages/zinniastand-core/src/zinniastand_core/sections.py
@@ -10,7 +10,7 @@
 
 PUBLIC_KEY_BYTES = 32
 MAX_PORT = 65535
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
 
 def read_service(name: str, reader: documents.Reader) -> services.Service:
@@ -60,7 +60,7 @@
     kind = services.Kind(
         name=reader.read_text("name"),
         work=services.Work(reader.read_choice("work", list(services.Work))),
-        time_limit=reader.read_number("time_limit_ms", None, 1, 600_000) / MILLISECONDS,
+        time_limit=reader.read_number("time_limit_ms", None, 1, 600_000) / MS_PER_S,
         weight=reader.read_number("weight", 1.0, 0.001, 1000),
     )
     reader.refuse_unknown()
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/claims_service.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/claims_service.py
@@ -53,7 +53,7 @@
 
     async def ask_claim(
         self, vm: str, claim: claim_records.Claim
-    ) -> peer_messages.ClaimAnswered | None:
+    ) -> peer_messages.ClaimResponse | None:
         """Return another VM's verdict on a claim, or None if it gives none."""
         ...
 
@@ -279,14 +279,14 @@
 
     async def seek_for_peer(
         self, claim: claim_records.Claim
-    ) -> peer_messages.ClaimAnswered:
+    ) -> peer_messages.ClaimResponse:
         """Return the verdict on another VM's claim, for which this VM appends."""
         slice_number = keys.find_slice(claim.key_digest, self._slices)
         match await self._find_driver(slice_number).seek(claim):
             case claimer.Granted():
-                return peer_messages.ClaimAnswered(claim.claim_id, None, None)
+                return peer_messages.ClaimResponse(claim.claim_id, None, None)
             case claimer.Denied(reason=reason, entry=entry):
-                return peer_messages.ClaimAnswered(claim.claim_id, reason, entry)
+                return peer_messages.ClaimResponse(claim.claim_id, reason, entry)
 
     async def settle(self, record: claim_records.Record) -> None:
         """Append an outcome, through the slice's appending VM if it answers."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/fleet.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/fleet.py
@@ -91,7 +91,7 @@
         self._group = group
         self._claims: claims_service.ClaimsService | None = None
         self._pending_claims: dict[bytes, anyio.Event] = {}
-        self._claim_answers: dict[bytes, peer_messages.ClaimAnswered] = {}
+        self._claim_answers: dict[bytes, peer_messages.ClaimResponse] = {}
         self._log_is_up = True
         self.network = peers.PeerNetwork(
             config.vm, timer, group, self._handle_message, config.peers_tls
@@ -136,7 +136,7 @@
 
     async def ask_claim(
         self, vm: str, claim: claim_records.Claim
-    ) -> peer_messages.ClaimAnswered | None:
+    ) -> peer_messages.ClaimResponse | None:
         """Ask another VM to seek a claim.
 
         Waits without a time limit: the caller sets one.
@@ -150,12 +150,12 @@
 
         Returns
         -------
-        peer_messages.ClaimAnswered or None
+        peer_messages.ClaimResponse or None
             The VM's verdict.
         """
         event = self._pending_claims[claim.claim_id] = anyio.Event()
         try:
-            self._send(vm, peer_messages.ClaimAsked(claim))
+            self._send(vm, peer_messages.ClaimRequest(claim))
             await event.wait()
             return self._claim_answers.pop(claim.claim_id, None)
         finally:
@@ -178,31 +178,31 @@
         """
         if not self.network.is_linked(vm):
             return False
-        self._send(vm, peer_messages.SettleAsked(data))
+        self._send(vm, peer_messages.SettleRequest(data))
         return True
 
     def _handle_message(self, sender: str, message: peer_messages.Message) -> None:
         match message:
-            case peer_messages.ClaimAsked():
+            case peer_messages.ClaimRequest():
                 self._group.start_soon(self._answer_claim, sender, message)
-            case peer_messages.ClaimAnswered():
+            case peer_messages.ClaimResponse():
                 event = self._pending_claims.get(message.claim_id)
                 if event is not None:
                     self._claim_answers[message.claim_id] = message
                     event.set()
-            case peer_messages.SettleAsked():
+            case peer_messages.SettleRequest():
                 self._handle_settlement(message)
             case _:
                 now = self._timer.now()
                 self._execute(self._core.take_message(sender, message, now))
 
     async def _answer_claim(
-        self, sender: str, message: peer_messages.ClaimAsked
+        self, sender: str, message: peer_messages.ClaimRequest
     ) -> None:
         if self._claims is not None:
             self._send(sender, await self._claims.seek_for_peer(message.claim))
 
-    def _handle_settlement(self, message: peer_messages.SettleAsked) -> None:
+    def _handle_settlement(self, message: peer_messages.SettleRequest) -> None:
         match claim_records.unpack(message.data):
             case expression.Result(tag="ok", ok=records) if self._claims is not None:
                 self._claims.settle_for_peer(records)
@@ -316,7 +316,7 @@
             for url in self._config.first_peers:
                 if url != self._config.peers_url and not members.list_alive():
                     own = peer_messages.Sightings((members.own_sighting,))
-                    request = peer_messages.MembersAsked()
+                    request = peer_messages.MembersRequest()
                     await self.network.introduce(url, [own, request])
             await anyio.sleep(LIST_INTERVAL_S)
 
--- a/tests/core/test_control.py
+++ b/tests/core/test_control.py
@@ -143,7 +143,7 @@
     # ever; a heartbeat now brings one reply at most.
     fleet = virtual_fleet.Fleet(8)
     fleet.run(3)
-    beats: list[peer_messages.Beat] = []
+    beats: list[peer_messages.Heartbeat] = []
     strangers = [
         vm
         for vm in fleet.vms
@@ -151,14 +151,14 @@
     ]
     for tell in fleet.vms["vm-0"].tick(fleet.now + 1):
         if isinstance(tell, control_actions.Tell):
-            if isinstance(tell.message, peer_messages.Beat):
+            if isinstance(tell.message, peer_messages.Heartbeat):
                 beats.append(tell.message)
     stranger = fleet.vms[strangers[0]]
     (reply,) = [
         tell.message
         for tell in stranger.take_message("vm-far", beats[0], fleet.now)
         if isinstance(tell, control_actions.Tell)
-        and isinstance(tell.message, peer_messages.Beat)
+        and isinstance(tell.message, peer_messages.Heartbeat)
     ]
     assert reply.is_reply
     again = fleet.vms["vm-0"].take_message("vm-far", reply, fleet.now)
@@ -166,5 +166,5 @@
         tell
         for tell in again
         if isinstance(tell, control_actions.Tell)
-        and isinstance(tell.message, peer_messages.Beat)
+        and isinstance(tell.message, peer_messages.Heartbeat)
     ]
--- a/tests/core/test_hostile_input.py
+++ b/tests/core/test_hostile_input.py
@@ -55,7 +55,7 @@
 def test_config_records_change_nothing(data: bytes) -> None:
     config = config_log.ConfigLog(documents.make_operators(KEYS))
     before = config.chain.bundle.digest
-    config.take_entry(0, data, 0.0)
+    config.apply_entry(0, data, 0.0)
     assert config.chain.version == 0
     assert config.chain.bundle.digest == before
     assert config.ejections.list_granted() == []
--- a/tests/machines/floor.py
+++ b/tests/machines/floor.py
@@ -60,7 +60,7 @@
     def append(self, data: bytes) -> None:
         """Append to the log; the writer reads at once."""
         self.log.append(data)
-        self.writer.take_entry(len(self.log) - 1, data, self.now)
+        self.writer.apply_entry(len(self.log) - 1, data, self.now)
 
     @hypothesis.stateful.rule(
         number=st.integers(0, 4),
@@ -89,7 +89,7 @@
         self.append(ejections.pack(ejection))
         for config in self.vms:
             for offset in range(config.next_offset, len(self.log)):
-                config.take_entry(offset, self.log[offset], self.now)
+                config.apply_entry(offset, self.log[offset], self.now)
 
     @hypothesis.stateful.rule(number=st.integers(0, 4), draining=st.booleans())
     def drain(self, number: int, draining: bool) -> None:
@@ -111,7 +111,7 @@
         config = self.vms[vm]
         start = config.next_offset
         for offset in range(start, min(len(self.log), start + most)):
-            config.take_entry(offset, self.log[offset], self.now)
+            config.apply_entry(offset, self.log[offset], self.now)
 
     @hypothesis.stateful.rule(vm=st.integers(0, VMS - 1), peer=st.integers(0, VMS - 1))
     def take_peer_state(self, vm: int, peer: int) -> None:
@@ -122,7 +122,7 @@
             return
         granted = [ejections.pack(e) for e in source.ejections.list_granted()]
         fresh = config_log.ConfigLog(TRUSTED)
-        fresh.take_state(source.next_offset, snapshot, granted, self.now)
+        fresh.apply_state(source.next_offset, snapshot, granted, self.now)
         self.vms[vm] = fresh
 
     @hypothesis.stateful.rule(step=st.sampled_from([0.5, 0.5, 4.0, 20.0]))
