--- a/packages/zinniastand-core/src/zinniastand_core/config_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/config_exchange.py
@@ -1,4 +1,4 @@
-"""The configuration stream, shared between VMs whether or not the log is up."""
+"""Exchange of the configuration stream between VMs, with or without the log."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
 
 
 class ConfigExchange:
-    """The part of the control plane that keeps the configuration.
+    """The part of the control plane that keeps the configuration up to date.
 
-    Entries are told on with their offsets, exactly as they stand on the log, so a VM
-    that hears them from a peer decides as one that reads the log itself.
+    Entries are passed on with their offsets, byte for byte as on the log. A VM that
+    receives them from a peer therefore decides as one that reads the log itself.
 
     Parameters
     ----------
     trusted : services.Operators
-        The operators whom the settings name.
+        The operators named in the settings.
     retention : float
-        Seconds for which the log keeps a record.
+        How long the log keeps a record, in seconds.
     events : timeline.Timeline
-        Where events are recorded.
+        Records the events of this VM.
     flood : callable
-        Makes the actions that tell a message to all neighbours but one.
+        Makes the actions that send a message to all neighbours except one.
     """
 
     def __init__(
@@ -66,19 +66,35 @@
     def apply_entries(
         self, sender: str, message: peer_messages.ConfigEntries, now: float
     ) -> Actions:
-        """Take in entries, from the log (empty `sender`) or from a peer."""
+        """Apply entries from the log or from a peer.
+
+        Parameters
+        ----------
+        sender : str
+            Name of the peer, or empty for the log.
+        message : peer_messages.ConfigEntries
+            The entries; those that do not come next are skipped.
+        now : float
+            Current time, in seconds.
+
+        Returns
+        -------
+        list of Action
+            What to do about the entries: reconfigure, notify the neighbours, or
+            request the entries missing before these from the sender.
+        """
         actions: Actions = []
-        is_fresh = False
+        has_new_entries = False
         for index, data in enumerate(message.data):
             offset = message.offset + index
             if offset != self.config.next_offset:
                 continue
-            applied = self.config.apply_entry(offset, data, now)
+            result = self.config.apply_entry(offset, data, now)
             self._keep_entry(offset, data)
-            is_fresh = True
-            actions += self._record_result(applied, now)
+            has_new_entries = True
+            actions += self._record_result(result, now)
         self._request_pending_until = 0.0
-        if is_fresh:
+        if has_new_entries:
             actions += self._flood(self._make_notice(), sender, now)
         elif sender and message.offset > self.config.next_offset:
             actions += self.request_missing(sender, now)
@@ -87,10 +103,10 @@
     def handle_notice(
         self, sender: str, next_offset: int, version: int, now: float
     ) -> Actions:
-        """Ask a VM that has read further, unless another is being asked.
+        """Request entries from a VM that has read further, unless a request is pending.
 
-        Most VMs read the log themselves at the same moment. A notice of a few bytes
-        costs them next to nothing, where the entries would come eight times over.
+        Most VMs read the log themselves at about the same time. A notice takes a few
+        bytes, while the entries themselves would reach each VM eight times.
         """
         is_ahead = (
             next_offset > self.config.next_offset or version > self.config.chain.version
@@ -100,21 +116,26 @@
         return self.request_missing(sender, now)
 
     def request_missing(self, vm: str, now: float) -> Actions:
-        """Return the question for what this VM lacks."""
+        """Return the action that requests the missing entries from `vm`."""
         self._request_pending_until = now + REQUEST_TIMEOUT_S
-        asked = peer_messages.ConfigRequest(
+        request = peer_messages.ConfigRequest(
             self.config.next_offset, self.config.chain.version
         )
-        return [control_actions.Tell(vm, asked)]
+        return [control_actions.Tell(vm, request)]
 
     def answer_request(
-        self, sender: str, asked: peer_messages.ConfigRequest, now: float
+        self, sender: str, request: peer_messages.ConfigRequest, now: float
     ) -> Actions:
-        """Return the entries that the asker lacks, or the whole state."""
-        kept = [data for offset, data in self._entries if offset >= asked.next_offset]
+        """Answer a request with the missing entries.
+
+        The whole state is sent instead if the first of them is not missing here.
+        """
+        missing = [
+            data for offset, data in self._entries if offset >= request.next_offset
+        ]
         first = self._entries[0][0] if self._entries else self.config.next_offset
-        if kept and first <= asked.next_offset:
-            entries = peer_messages.ConfigEntries(asked.next_offset, tuple(kept))
+        if missing and first <= request.next_offset:
+            entries = peer_messages.ConfigEntries(request.next_offset, tuple(missing))
             return [control_actions.Tell(sender, entries)]
         granted = self.config.ejections.list_granted()
         state = peer_messages.ConfigState(
@@ -127,16 +148,19 @@
     def apply_state(
         self, sender: str, state: peer_messages.ConfigState, now: float
     ) -> Actions:
-        """Take over a peer's state, where it is ahead and proves its bundle."""
+        """Adopt the state of a peer that is not behind and whose bundle is valid.
+
+        A state that is behind, or has no bundle, is ignored.
+        """
         if state.next_offset < self.config.next_offset or not state.snapshot:
             return []
-        applied = self.config.apply_state(
+        result = self.config.apply_state(
             state.next_offset, state.snapshot, state.ejections, now
         )
         self._entries.clear()
         self._entries_bytes = 0
         self._request_pending_until = 0.0
-        actions = self._record_result(applied, now)
+        actions = self._record_result(result, now)
         if actions:
             actions += self._flood(self._make_notice(), sender, now)
         return actions
@@ -149,18 +173,33 @@
     def find_due_snapshot(
         self, own: str, others: collections.abc.Iterable[str], now: float
     ) -> bytes | None:
-        """Return the head as a record, if it is time to append it again.
+        """Return the head as a record if this VM should append it again now.
+
+        The log drops old records, so the head is appended again before it expires.
+        Each VM runs a timer from the last copy of the head that it read. The timers
+        are staggered by the rank of the VM, and reading the new copy restarts them
+        all. So normally one VM appends it, without a leader.
+
+        Parameters
+        ----------
+        own : str
+            Name of this VM.
+        others : iterable of str
+            Names of the other live VMs.
+        now : float
+            Current time, in seconds.
 
-        The log forgets; the head must be appended again before it does. Every VM runs
-        the same clock from the last record that it read, and the one that ranks first
-        is due first. When its copy is read, all start again: no leader, no stampede.
+        Returns
+        -------
+        bytes or None
+            The snapshot record to append, or None if none is due.
         """
         if self._refresh_at is None or self.config.chain.head is None:
             return None
         task = f"head/{self.config.chain.version}"
-        rank = rendezvous.pick(task, [own, *others], 8)
-        place = rank.index(own) if own in rank else len(rank)
-        if now < self._refresh_at + RANK_DELAY_S * place:
+        ranked_vms = rendezvous.pick(task, [own, *others], 8)
+        rank = ranked_vms.index(own) if own in ranked_vms else len(ranked_vms)
+        if now < self._refresh_at + RANK_DELAY_S * rank:
             return None
         self._refresh_at = now + REFRESH_SHARE * self._retention
         return self.config.chain.pack_snapshot()
@@ -175,19 +214,19 @@
             _, dropped = self._entries.popleft()
             self._entries_bytes -= len(dropped)
 
-    def _record_result(self, applied: config_log.ApplyResult, now: float) -> Actions:
-        for ejection in applied.revoked:
+    def _record_result(self, result: config_log.ApplyResult, now: float) -> Actions:
+        for ejection in result.revoked:
             self._events.record(
                 timeline.EventKind.EJECTION_REVOKED,
                 f"{ejection.service}/{ejection.target}",
                 "the new bundle leaves no room for it above the floor",
                 now,
             )
-        if applied.decision is not None:
-            self._record_decision(applied.decision, now)
-        if applied.ruling is None:
+        if result.decision is not None:
+            self._record_decision(result.decision, now)
+        if result.ruling is None:
             return []
-        return self._record_ruling(applied.ruling, now)
+        return self._record_ruling(result.ruling, now)
 
     def _record_ruling(self, ruling: chain.Ruling, now: float) -> Actions:
         if ruling.verdict is chain.Verdict.KNOWN:
@@ -198,7 +237,8 @@
             kind = timeline.EventKind.BUNDLE_REFUSED
             self._events.record(kind, ruling.proposal_id, detail, now)
             return []
-        # A VM that has just started cannot tell how old the record is.
+        # A VM that has just started does not know how old the record is, so its first
+        # refresh comes earlier.
         is_first = self._refresh_at is None
         share = FIRST_REFRESH_SHARE if is_first else REFRESH_SHARE
         self._refresh_at = now + share * self._retention
--- a/packages/zinniastand-core/src/zinniastand_core/config_log.py
+++ b/packages/zinniastand-core/src/zinniastand_core/config_log.py
@@ -1,4 +1,4 @@
-"""The configuration stream as one VM has read it: bundles and ejections, in order."""
+"""The configuration stream as read by one VM: bundles and ejections in log order."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ApplyResult:
-    """What one record of the stream did."""
+    """The effect of one record of the stream."""
 
     ruling: chain.Ruling | None = None
     """The verdict on a bundle record."""
@@ -21,16 +21,16 @@
     """The verdict on an ejection record."""
 
     revoked: tuple[ejections.Ejection, ...] = ()
-    """Ejections that a new bundle left no room for."""
+    """Ejections revoked because a new bundle leaves no room for them."""
 
 
 class ConfigLog:
-    """Bundles and ejections, decided in the order of the log.
+    """Applies bundles and ejections in the order of the log.
 
     Parameters
     ----------
     trusted : services.Operators
-        The operators whom the settings name.
+        The operators named in the settings.
     """
 
     def __init__(self, trusted: services.Operators) -> None:
@@ -41,16 +41,16 @@
 
     @property
     def next_offset(self) -> int:
-        """First offset not read yet."""
+        """First offset that has not been read yet."""
         return self._next_offset
 
     @property
     def head_offset(self) -> int | None:
-        """Offset of the last record that carries the whole head, if any was read."""
+        """Offset of the last snapshot record that was read, or None."""
         return self._head_offset
 
     def apply_entry(self, offset: int, data: bytes, now: float) -> ApplyResult:
-        """Take in the entry at `offset`; one that was read before does nothing."""
+        """Apply the entry at `offset`; entries that were read before are ignored."""
         if offset < self._next_offset:
             return ApplyResult()
         self._next_offset = offset + 1
@@ -64,7 +64,7 @@
         return self.apply_record(data, now)
 
     def apply_record(self, data: bytes, now: float) -> ApplyResult:
-        """Take in a bundle record, from the log or from a peer."""
+        """Apply a bundle record from the log or from a peer."""
         ruling = self.chain.apply(data)
         revoked: list[ejections.Ejection] = []
         if ruling.verdict is chain.Verdict.ACCEPTED:
@@ -78,14 +78,32 @@
         granted: collections.abc.Sequence[bytes],
         now: float,
     ) -> ApplyResult:
-        """Take over the state of a peer that no longer keeps the entries before.
-
-        The grants come along: a VM that lacked them would later grant ejections that
-        the others refuse, and the fleet together could go below a floor.
+        """Adopt the state of a peer that has dropped the earlier entries.
+
+        The granted ejections are adopted too. A VM without them would later grant
+        ejections that the other VMs refuse, and the fleet as a whole could eject more
+        slots than the floor of a service allows.
+
+        Parameters
+        ----------
+        next_offset : int
+            First offset that the peer has not read.
+        snapshot : bytes
+            The peer's bundle, as a snapshot record.
+        granted : Sequence of bytes
+            The peer's granted ejections as records, oldest first.
+        now : float
+            Current time, in seconds.
+
+        Returns
+        -------
+        ApplyResult
+            The verdict on the snapshot; the offset and the ejections are adopted only
+            if the snapshot is accepted or known already, and the peer is not behind.
         """
         ruling = self.chain.apply(snapshot)
-        taken = (chain.Verdict.ACCEPTED, chain.Verdict.KNOWN)
-        if ruling.verdict in taken and next_offset >= self._next_offset:
+        valid_verdicts = (chain.Verdict.ACCEPTED, chain.Verdict.KNOWN)
+        if ruling.verdict in valid_verdicts and next_offset >= self._next_offset:
             self._next_offset = next_offset
             for data in granted:
                 match codec.decode(data):
@@ -96,7 +114,7 @@
         return ApplyResult(ruling=ruling)
 
     def skip_to(self, offset: int) -> None:
-        """Go on at `offset`, because the log no longer keeps what is before it."""
+        """Continue at `offset`, because the log has dropped the entries before it."""
         self._next_offset = max(self._next_offset, offset)
 
     def _apply_ejection(self, body: object) -> ApplyResult:
--- a/packages/zinniastand-core/src/zinniastand_core/peer_messages.py
+++ b/packages/zinniastand-core/src/zinniastand_core/peer_messages.py
@@ -1,4 +1,8 @@
-"""Messages between VMs, and their CBOR form."""
+"""Messages between VMs and their CBOR encoding.
+
+Each message is a CBOR list: its number, then its fields in a fixed order. Clock times
+and scores are sent as integers, in thousandths.
+"""
 
 from __future__ import annotations
 
@@ -25,60 +29,63 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A heartbeat between neighbours, which also tells how far each has read."""
+    """A heartbeat between neighbours, with the sender's position in the log."""
 
     sighting: membership.Sighting
-    """What the sender says of itself."""
+    """The sender's own membership state."""
 
     sequence: int
-    """Grows with each heartbeat on this link."""
+    """Number of this heartbeat; it increases with each one sent on the link."""
 
     last_received: int
-    """Last sequence heard from the receiver: shows a link that works one way only."""
+    """Last sequence number received from the other side.
+
+    It reveals a link that delivers in one direction only.
+    """
 
     next_offset: int
     """First offset of the configuration stream that the sender has not read."""
 
     version: int
-    """Version of its bundle."""
+    """Version of the bundle in force on the sender."""
 
     members_digest: bytes
-    """Digest of the members that it knows."""
+    """Digest of the members that the sender knows."""
 
     stamp: hybrid_clock.Stamp
-    """Its hybrid clock."""
+    """The sender's hybrid clock."""
 
     is_reply: bool
-    """Whether it answers a heartbeat; a reply is never replied to."""
+    """Whether it answers a heartbeat; replies are not answered."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sightings:
-    """News of members."""
+    """Updates about members, relayed between VMs."""
 
     items: tuple[membership.Sighting, ...]
-    """The news."""
+    """Latest known state of each member."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MembersRequest:
-    """Asks for all members, after two digests differed."""
+    """Requests all members, because the digests of two VMs differed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigRequest:
-    """Asks for what comes after an offset of the configuration stream."""
+    """Requests the entries of the configuration stream from an offset on."""
 
     next_offset: int
     """First offset not read yet."""
 
     version: int
-    """Version of the bundle in force at the asker."""
+    """Version of the bundle in force on the sender."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigNotice:
-    """Says how far the sender has read, so that others can ask for what they lack."""
+    """Announces how far the sender has read, so that others can request the rest."""
 
     next_offset: int
     """First offset not read yet."""
@@ -89,10 +96,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigEntries:
-    """Entries of the configuration stream, as they stand on the log."""
+    """Consecutive entries of the configuration stream, byte for byte as on the log."""
 
     offset: int
-    """Offset of the first one."""
+    """Offset of the first entry."""
 
     data: tuple[bytes, ...]
     """The entries, without a gap."""
@@ -100,74 +107,74 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigState:
-    """The state after the entries that the sender no longer keeps."""
+    """The whole state, for a VM that needs entries which the sender has dropped."""
 
     next_offset: int
     """First offset not read yet."""
 
     snapshot: bytes
-    """The bundle, as a snapshot record, or empty."""
+    """The bundle as a snapshot record; empty before any bundle."""
 
     ejections: tuple[bytes, ...]
-    """Ejection records granted and perhaps still in force, oldest first."""
+    """Granted ejection records that may still be in force, oldest first."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EvidenceReports:
-    """Evidence of one VM about one service, for those who pool it."""
+    """Evidence of one VM about one service, for the VMs that pool it."""
 
     service: str
     """Name of the service."""
 
     observer: evidence_pool.Observer
-    """Who saw it."""
+    """VM that collected the evidence."""
 
     items: tuple[evidence_pool.Report, ...]
-    """What it saw."""
+    """Outcomes by target and kind of request."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SuspicionLevels:
-    """Scores that the pooled evidence supports, told on from VM to VM."""
+    """Scores computed from pooled evidence, relayed from VM to VM."""
 
     service: str
     """Name of the service."""
 
     pooled_by: str
-    """VM that pooled them."""
+    """VM that pooled the evidence."""
 
     sequence: int
-    """Grows with each such message of that VM and service."""
+    """Increases with each such message from that VM for that service."""
 
     items: tuple[evidence_pool.Level, ...]
-    """Scores of the accused targets."""
+    """Scores of the suspected targets."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimRequest:
-    """Asks the VM that appends for a slice to seek a claim."""
+    """Requests a claim from the VM that appends for its slice."""
 
     claim: claim_records.Claim
-    """The claim."""
+    """The claim to append."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimResponse:
-    """The verdict on a claim."""
+    """Answers a claim request."""
 
     claim_id: bytes
-    """Which."""
+    """Identifier of the claim."""
 
     denial: claimer.Denial | None
-    """Why it was denied, or None where it was granted."""
+    """Why the claim was denied, or None if it was granted."""
 
     entry: claim_ledger.Entry | None
-    """What is known of the key, where somebody else owns it."""
+    """State of the key if another claim owns it, otherwise None."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettleRequest:
-    """Asks the VM that appends for a slice to append outcomes."""
+    """Requests the VM that appends for a slice to append outcomes."""
 
     data: bytes
     """Packed records of one slice."""
@@ -190,10 +197,10 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return the CBOR form of a message."""
+    """Return the CBOR encoding of a message."""
     match message:
         case Heartbeat():
-            fields = _pack_beat(message)
+            fields = _pack_heartbeat(message)
         case Sightings():
             fields = [2, [_pack_sighting(item) for item in message.items]]
         case MembersRequest():
@@ -224,29 +231,40 @@
     return codec.encode(fields)
 
 
-def _pack_beat(beat: Heartbeat) -> list[object]:
+def _pack_heartbeat(heartbeat: Heartbeat) -> list[object]:
     return [
         1,
-        _pack_sighting(beat.sighting),
-        beat.sequence,
-        beat.last_received,
-        beat.next_offset,
-        beat.version,
-        beat.members_digest,
-        _pack_stamp(beat.stamp),
-        beat.is_reply,
+        _pack_sighting(heartbeat.sighting),
+        heartbeat.sequence,
+        heartbeat.last_received,
+        heartbeat.next_offset,
+        heartbeat.version,
+        heartbeat.members_digest,
+        _pack_stamp(heartbeat.stamp),
+        heartbeat.is_reply,
     ]
 
 
 def decode(data: bytes) -> expression.Result[Message, str]:
-    """Return the message in `data`, or why there is none."""
+    """Decode one message.
+
+    Parameters
+    ----------
+    data : bytes
+        The message as received; it may come from a faulty or hostile sender.
+
+    Returns
+    -------
+    expression.Result
+        The message, or the reason why it cannot be read.
+    """
     decoded = codec.decode(data)
     if decoded.is_error():
         return expression.Error(decoded.error)
     try:
         message = _read(decoded.ok)
-    # A field of the wrong type or range shows up as one of these; the sender is
-    # broken or hostile, and its message is dropped whole.
+    # The readers raise one of these for a field of the wrong type or range. Such a
+    # sender is faulty or hostile, so the whole message is dropped.
     except (TypeError, ValueError, AttributeError, OverflowError) as error:
         return expression.Error(f"malformed message: {type(error).__name__}")
     if message is None:
@@ -255,10 +273,14 @@
 
 
 def _read(fields: typing.Any) -> Message | None:
-    return _read_news(fields) or _read_config(fields) or _read_claims(fields)
+    return (
+        _read_member_or_evidence_message(fields)
+        or _read_config_message(fields)
+        or _read_claim_message(fields)
+    )
 
 
-def _read_news(fields: typing.Any) -> Message | None:
+def _read_member_or_evidence_message(fields: typing.Any) -> Message | None:
     match fields:
         case [
             1,
@@ -296,7 +318,7 @@
             return None
 
 
-def _read_config(fields: typing.Any) -> Message | None:
+def _read_config_message(fields: typing.Any) -> Message | None:
     match fields:
         case [4, int(offset), int(version)]:
             return ConfigRequest(offset, version)
@@ -311,10 +333,10 @@
             return None
 
 
-def _read_claims(fields: typing.Any) -> Message | None:
+def _read_claim_message(fields: typing.Any) -> Message | None:
     match fields:
         case [9, bytes(packed)]:
-            return _read_claim_asked(packed)
+            return _read_claim_request(packed)
         case [10, bytes(claim_id), denial, entry]:
             reason = None if denial is None else claimer.Denial(denial)
             return ClaimResponse(claim_id, reason, _read_entry(entry))
@@ -353,9 +375,16 @@
 
 def _read_sighting(value: typing.Any) -> membership.Sighting:
     match value:
-        case [str(vm), str(place), str(url), int(incarnation), int(beat), int(status)]:
-            member = membership.Member(vm, place, url, incarnation)
-            return membership.Sighting(member, beat, membership.Status(status))
+        case [
+            str(vm),
+            str(data_centre),
+            str(url),
+            int(incarnation),
+            int(heartbeat),
+            int(status),
+        ]:
+            member = membership.Member(vm, data_centre, url, incarnation)
+            return membership.Sighting(member, heartbeat, membership.Status(status))
         case _:
             raise TypeError("expected a sighting")
 
@@ -378,17 +407,23 @@
 
 
 def _pack_level(level: evidence_pool.Level) -> list[object]:
-    places = {
-        place: round(score * FIXED_POINT_SCALE) for place, score in level.by_data_centre
+    scores_by_data_centre = {
+        data_centre: round(score * FIXED_POINT_SCALE)
+        for data_centre, score in level.by_data_centre
     }
-    return [level.target, round(level.overall * FIXED_POINT_SCALE), places]
+    return [
+        level.target,
+        round(level.overall * FIXED_POINT_SCALE),
+        scores_by_data_centre,
+    ]
 
 
 def _read_level(value: typing.Any) -> evidence_pool.Level:
     match value:
-        case [str(target), int(overall), dict(places)]:
+        case [str(target), int(overall), dict(scores_by_data_centre)]:
             scores = sorted(
-                (str(k), int(v) / FIXED_POINT_SCALE) for k, v in places.items()
+                (str(k), int(v) / FIXED_POINT_SCALE)
+                for k, v in scores_by_data_centre.items()
             )
             return evidence_pool.Level(
                 target, overall / FIXED_POINT_SCALE, tuple(scores)
@@ -414,7 +449,7 @@
             raise TypeError("expected an entry")
 
 
-def _read_claim_asked(packed: bytes) -> ClaimRequest:
+def _read_claim_request(packed: bytes) -> ClaimRequest:
     return ClaimRequest(_read_claim(packed))
 
 
