--- a/packages/zinniastand-core/src/zinniastand_core/bundles.py
+++ b/packages/zinniastand-core/src/zinniastand_core/bundles.py
@@ -1,7 +1,8 @@
 """The configuration bundle: an immutable map of sections, each with its own digest.
 
-A bundle is divided by service and by shard of accounts, so that one change carries one
-section and costs its size, not the size of everything.
+There is one section for the operators, one for each service and one for each shard of
+accounts. A change carries only the sections that it replaces, so its size does not
+depend on the size of the whole bundle.
 """
 
 from __future__ import annotations
@@ -25,21 +26,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Section:
-    """One part of a bundle, parsed, with the digest of its source."""
+    """One parsed section of a bundle, with the digest of its source."""
 
     value: SectionValue
-    """The JSON-like source."""
+    """Source of the section, in JSON types."""
 
     digest: bytes
     """Digest of `value`."""
 
     content: services.Service | services.Operators | tuple[services.Account, ...]
-    """What the source says."""
+    """The parsed source."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bundle:
-    """A whole configuration."""
+    """A complete configuration."""
 
     sections: collections.abc.Mapping[str, Section]
     """Sections by key."""
@@ -49,25 +50,25 @@
 
     @property
     def operators(self) -> services.Operators:
-        """Who may sign off the next bundle."""
+        """The operators who may sign off the next bundle."""
         content = self.sections[OPERATORS_SECTION].content
         return typing.cast("services.Operators", content)
 
     @property
     def services(self) -> tuple[services.Service, ...]:
-        """All services, by name."""
+        """All services, in order of their names."""
         keys = sorted(key for key in self.sections if key.startswith(SERVICE_PREFIX))
         found = (self.sections[key].content for key in keys)
         return tuple(c for c in found if isinstance(c, services.Service))
 
     def find_service(self, name: str) -> services.Service | None:
-        """Return the service called `name`, if any."""
+        """Return the service called `name`, or None if there is none."""
         section = self.sections.get(SERVICE_PREFIX + name)
         content = section.content if section else None
         return content if isinstance(content, services.Service) else None
 
     def find_account(self, name: str) -> services.Account | None:
-        """Return the account called `name`, if any."""
+        """Return the account called `name`, or None if there is none."""
         section = self.sections.get(name_account_section(name))
         if section is None or not isinstance(section.content, tuple):
             return None
@@ -81,7 +82,7 @@
 
 
 def parse_section(key: str, value: object, collector: documents.Collector) -> Section:
-    """Return one parsed section; findings go to `collector`."""
+    """Parse one section; findings are added to `collector`."""
     reader = documents.Reader(value, key, collector)
     if key == OPERATORS_SECTION:
         content = sections.read_operators(reader)
@@ -100,7 +101,7 @@
 
 
 def build(parts: collections.abc.Mapping[str, Section]) -> Bundle:
-    """Return the bundle of these sections."""
+    """Return the bundle that consists of these sections."""
     listing = [[key, parts[key].digest] for key in sorted(parts)]
     return Bundle(dict(parts), codec.digest(listing))
 
@@ -108,7 +109,7 @@
 def parse_sections(
     values: collections.abc.Mapping[str, object],
 ) -> expression.Result[Bundle, findings.Findings]:
-    """Return the bundle of section sources, or every finding in them."""
+    """Parse a bundle from the sources of its sections, or return all findings."""
     collector = documents.Collector()
     parts = {
         str(key): parse_section(str(key), value, collector)
@@ -123,9 +124,22 @@
 def change(
     base: Bundle, changes: collections.abc.Mapping[str, object]
 ) -> expression.Result[Bundle, findings.Findings]:
-    """Return `base` with sections replaced, or removed where the value is None.
-
-    Only the changed sections are parsed; the rest was checked when it came in.
+    """Return `base` with some sections replaced, added or removed.
+
+    Only the changed sections are parsed; the others were checked when they were
+    accepted.
+
+    Parameters
+    ----------
+    base : Bundle
+        The bundle to change.
+    changes : Mapping
+        New sources by section key; None removes the section.
+
+    Returns
+    -------
+    expression.Result
+        The new bundle, or all findings.
     """
     collector = documents.Collector()
     parts = dict(base.sections)
@@ -142,7 +156,7 @@
 
 
 def compare(old: Bundle, new: Bundle) -> dict[str, SectionValue | None]:
-    """Return the changes that lead from `old` to `new`."""
+    """Return the changes that turn `old` into `new`; None removes a section."""
     changed: dict[str, SectionValue | None] = {
         key: section.value
         for key, section in new.sections.items()
@@ -155,10 +169,10 @@
 def split_document(
     document: object,
 ) -> expression.Result[dict[str, object], findings.Findings]:
-    """Return the sections of an operator's document.
+    """Split an operator's document into the sources of its sections.
 
-    The document holds ``operators``, ``services`` (by name) and ``accounts`` (requests
-    per second by name).
+    The document has the keys ``operators``, ``services`` (by name) and, optionally,
+    ``accounts`` (requests per second by name).
     """
     collector = documents.Collector()
     reader = documents.Reader(document, "", collector)
@@ -178,7 +192,7 @@
 def parse_document(
     document: object,
 ) -> expression.Result[Bundle, findings.Findings]:
-    """Return the bundle in an operator's document, or every finding in it."""
+    """Parse a bundle from an operator's document, or return all findings."""
     match split_document(document):
         case expression.Result(tag="ok", ok=values):
             return parse_sections(values)
--- a/packages/zinniastand-core/src/zinniastand_core/chain.py
+++ b/packages/zinniastand-core/src/zinniastand_core/chain.py
@@ -1,7 +1,8 @@
-"""The chain of accepted bundles: one pure rule, applied in log order on every VM.
+"""The chain of accepted bundles, computed by each VM from records in log order.
 
-The first valid proposal on the head wins. The version only grows, so neither a stale
-replica of the log nor a peer with an old head can bring an older bundle back.
+The head is the last accepted proposal. The first valid proposal based on the head
+becomes the next head. The version only increases, so neither a lagging replica of the
+log nor a peer with an old head can restore an older bundle.
 """
 
 from __future__ import annotations
@@ -20,41 +21,44 @@
 
 
 class Verdict(enum.StrEnum):
-    """What became of a record."""
+    """Result of applying a record."""
 
     ACCEPTED = "accepted"
-    """It is the new head."""
+    """The record is the new head."""
 
     KNOWN = "known"
-    """It was accepted before: the same record by another path."""
+    """The same proposal was accepted before; its record arrived by another path."""
 
     STALE = "stale"
-    """Another bundle won on its base, or it is older than the head."""
+    """Another proposal was accepted on its base, or it is older than the head."""
 
     AHEAD = "ahead"
-    """It may be valid, but records before it are missing here."""
+    """It may be valid, but this VM lacks the records before it."""
 
     INVALID = "invalid"
-    """Malformed, not signed off, or with findings."""
+    """Malformed, without enough valid signatures, or with findings."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ruling:
-    """The verdict on one record, with its reason."""
+    """The verdict on one record and the reason for it."""
 
     verdict: Verdict
-    """What became of it."""
+    """Result of applying the record."""
 
     proposal_id: str
-    """Of the record, or empty where it could not be read."""
+    """Identifier of the proposal, or empty if the record could not be read."""
 
     reason: str
-    """For operators: which bundle beat it, or what is wrong."""
+    """For operators: which head superseded it, or what is wrong with it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A head that proves itself to a VM which knows only the first operators."""
+    """A head that can be verified without the records before it.
+
+    The verifying VM needs to trust only the operators named in its settings.
+    """
 
     key_changes: tuple[proposals.Proposal, ...]
     """The accepted proposals that changed the operators, oldest first."""
@@ -63,16 +67,16 @@
     """The last accepted proposal; its signatures cover the digest of `sections`."""
 
     values: dict[str, bundles.SectionValue]
-    """Source of every section of the head."""
+    """Source of each section of the head, by key."""
 
 
 class Chain:
-    """The accepted bundles as one VM knows them.
+    """The accepted bundles known to one VM.
 
     Parameters
     ----------
     trusted : services.Operators
-        The operators whom the settings name; they sign the first bundle.
+        The operators named in the settings; they sign the first bundle.
     """
 
     def __init__(self, trusted: services.Operators) -> None:
@@ -93,16 +97,16 @@
 
     @property
     def version(self) -> int:
-        """Version in force; 0 before any bundle."""
+        """Version of the bundle in force; 0 before any bundle."""
         return self._version
 
     @property
     def head(self) -> proposals.Proposal | None:
-        """The last accepted proposal."""
+        """The last accepted proposal, or None before any bundle."""
         return self._head
 
     def apply(self, data: bytes) -> Ruling:
-        """Rule on one record of the log, or of a peer."""
+        """Apply one record from the log or from a peer."""
         if len(data) > proposals.MAX_RECORD_BYTES:
             return Ruling(Verdict.INVALID, "", "record too large")
         match codec.decode(data):
@@ -117,7 +121,7 @@
         return Ruling(Verdict.INVALID, "", f"unknown record {kind!r:.20}")
 
     def apply_proposal(self, proposal: proposals.Proposal) -> Ruling:
-        """Rule on one proposal."""
+        """Apply one proposal; it is accepted if it is valid and based on the head."""
         if self._accepted.get(proposal.proposal_id) == proposal.version:
             return Ruling(Verdict.KNOWN, proposal.proposal_id, "accepted before")
         if proposal.version <= self._version:
@@ -140,7 +144,7 @@
         return self._rule_on_next(proposal)
 
     def pack_snapshot(self) -> bytes | None:
-        """Return the head as a snapshot record, or None before any bundle."""
+        """Return a snapshot record of the head, or None before any bundle."""
         if self._head is None:
             return None
         values = {key: part.value for key, part in self._bundle.sections.items()}
@@ -150,12 +154,16 @@
     def list_since(self, version: int) -> list[bytes] | None:
         """Return the records that lead from `version` to the head.
 
-        None where they are not all remembered: then only a snapshot helps.
+        Returns
+        -------
+        list of bytes or None
+            The records, oldest first, or None if some of them are no longer kept and
+            a snapshot is needed instead.
         """
-        wanted = [p for p in self._recent if p.version > version]
-        if len(wanted) != self._version - version:
+        newer = [p for p in self._recent if p.version > version]
+        if len(newer) != self._version - version:
             return None
-        return [pack_proposal(proposal) for proposal in wanted]
+        return [pack_proposal(proposal) for proposal in newer]
 
     def _apply_packed_proposal(self, body: typing.Any) -> Ruling:
         match proposals.unpack(body):
@@ -176,8 +184,8 @@
         match bundles.change(self._bundle, proposal.changes):
             case expression.Result(tag="ok", ok=bundle):
                 pass
-            case expression.Result(error=found):
-                return Ruling(Verdict.INVALID, proposal.proposal_id, str(found))
+            case expression.Result(error=errors):
+                return Ruling(Verdict.INVALID, proposal.proposal_id, str(errors))
         if bundle.digest != proposal.result:
             return Ruling(
                 Verdict.INVALID, proposal.proposal_id, "digest of the result differs"
@@ -194,8 +202,8 @@
         if bundles.OPERATORS_SECTION in proposal.changes:
             self._key_changes.append(proposal)
         if len(self._recent) > MAX_REMEMBERED_PROPOSALS:
-            forgotten = self._recent.pop(0)
-            self._accepted.pop(forgotten.proposal_id, None)
+            oldest = self._recent.pop(0)
+            self._accepted.pop(oldest.proposal_id, None)
 
     def _describe_head(self) -> str:
         if self._head is None:
@@ -223,8 +231,8 @@
         match bundles.parse_sections(snapshot.values):
             case expression.Result(tag="ok", ok=bundle):
                 pass
-            case expression.Result(error=found):
-                return Ruling(Verdict.INVALID, head.proposal_id, str(found))
+            case expression.Result(error=errors):
+                return Ruling(Verdict.INVALID, head.proposal_id, str(errors))
         if bundle.digest != head.result:
             return Ruling(Verdict.INVALID, head.proposal_id, "sections do not match")
         self._recent.clear()
@@ -234,10 +242,16 @@
         return Ruling(Verdict.ACCEPTED, head.proposal_id, "from a snapshot")
 
     def _trace_operators(self, snapshot: Snapshot) -> services.Operators | None:
-        """Return the operators who sign the head, following every change of keys.
+        """Return the operators who may sign the head, after every change of keys.
+
+        Each change must be signed off by the operators before it, starting with those
+        named in the settings. So the VM that serves the snapshot cannot add a key.
 
-        Each change must be signed off by the operators before it, beginning with
-        those in the settings: whoever serves the snapshot cannot add a key.
+        Returns
+        -------
+        services.Operators or None
+            The operators, or None if a change is out of order, lacks signatures,
+            cannot be applied or does not match the head.
         """
         operators = self._genesis.operators
         version = 0
@@ -266,7 +280,7 @@
 
 
 def pack_proposal(proposal: proposals.Proposal) -> bytes:
-    """Return the log record of a proposal."""
+    """Return the proposal as a log record."""
     return codec.encode([PROPOSAL, proposals.pack(proposal)])
 
 
--- a/packages/zinniastand-core/src/zinniastand_core/config_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/config_exchange.py
@@ -128,7 +128,7 @@
     ) -> Actions:
         """Answer a request with the missing entries.
 
-        The whole state is sent instead if the first of them is not missing here.
+        The whole state is sent instead if the first of them is no longer kept.
         """
         missing = [
             data for offset, data in self._entries if offset >= request.next_offset
@@ -178,14 +178,14 @@
         The log drops old records, so the head is appended again before it expires.
         Each VM runs a timer from the last copy of the head that it read. The timers
         are staggered by the rank of the VM, and reading the new copy restarts them
-        all. So normally one VM appends it, without a leader.
+        all. So there is no leader, and the VMs do not all append at once.
 
         Parameters
         ----------
         own : str
             Name of this VM.
         others : iterable of str
-            Names of the other live VMs.
+            Names of the other VMs.
         now : float
             Current time, in seconds.
 
--- a/packages/zinniastand-core/src/zinniastand_core/proposals.py
+++ b/packages/zinniastand-core/src/zinniastand_core/proposals.py
@@ -1,7 +1,7 @@
-"""Proposals of a new bundle, and the operators' signatures under them.
+"""Proposals of a new bundle and the operators' signatures on them.
 
-A proposal signs its base, its version and the digest that it leads to, so a signed
-proposal proves the whole bundle after it, whatever path the sections came by.
+The signatures cover the base, the version and the digest of the resulting bundle. So a
+signed proposal authenticates that whole bundle, wherever its sections come from.
 """
 
 from __future__ import annotations
@@ -37,25 +37,28 @@
     """A change from one bundle to the next."""
 
     proposal_id: str
-    """Chosen by the proposer; finds the proposal again after a lost answer."""
+    """Chosen by the proposer.
+
+    It identifies the proposal on the log if the answer to its append is lost.
+    """
 
     version: int
-    """Version that it makes, one above its base."""
+    """Version of the resulting bundle, one above that of its base."""
 
     base: bytes
-    """Digest of the bundle that it replaces."""
+    """Digest of the bundle that it changes."""
 
     result: bytes
-    """Digest of the bundle that it leads to."""
+    """Digest of the resulting bundle."""
 
     changes: collections.abc.Mapping[str, bundles.SectionValue | None]
-    """Sections replaced, or removed where None."""
+    """New sources by section key; None removes the section."""
 
     sign_offs: tuple[SignOff, ...] = ()
     """Signatures collected so far."""
 
     def signed_bytes(self) -> bytes:
-        """Return what operators sign."""
+        """Return the bytes that operators sign."""
         changed = codec.digest(dict(self.changes))
         fields = [
             "zinniastand-proposal",
@@ -72,13 +75,13 @@
 def propose(
     proposal_id: str, version: int, base: bundles.Bundle, new: bundles.Bundle
 ) -> Proposal:
-    """Return the unsigned proposal that leads from `base` to `new`."""
+    """Return an unsigned proposal to replace `base` with `new`."""
     changes = bundles.compare(base, new)
     return Proposal(proposal_id, version, base.digest, new.digest, changes)
 
 
 def sign(proposal: Proposal, operator: str, key: ed25519.Ed25519PrivateKey) -> Proposal:
-    """Return the proposal with one more signature."""
+    """Return the proposal signed by `operator`, replacing an earlier signature."""
     signature = key.sign(proposal.signed_bytes())
     kept = tuple(s for s in proposal.sign_offs if s.operator != operator)
     return dataclasses.replace(
@@ -87,7 +90,7 @@
 
 
 def count_sign_offs(proposal: Proposal, operators: services.Operators) -> int:
-    """Return how many distinct operators' signatures hold."""
+    """Return how many distinct operators have signed the proposal validly."""
     content = proposal.signed_bytes()
     valid = {
         sign_off.operator
@@ -110,7 +113,7 @@
 
 
 def pack(proposal: Proposal) -> list[object]:
-    """Return the proposal as a CBOR-able list."""
+    """Return the proposal as a list that can be encoded as CBOR."""
     return [
         FORMAT,
         proposal.proposal_id,
@@ -123,7 +126,7 @@
 
 
 def unpack(value: typing.Any) -> expression.Result[Proposal, str]:
-    """Return the proposal in a decoded value, or why there is none."""
+    """Return the proposal in a decoded value, or the reason why it is malformed."""
     if not isinstance(value, list) or len(value) != 7 or value[0] != FORMAT:
         return expression.Error("not a proposal of this format")
     _, proposal_id, version, base, result, changes, signatures = value
@@ -153,7 +156,7 @@
 
 
 def decode_private_key(text: str) -> ed25519.Ed25519PrivateKey:
-    """Return the private key in base64 text.
+    """Decode a private key from base64 text.
 
     Raises
     ------
--- a/packages/zinniastand-core/src/zinniastand_core/review.py
+++ b/packages/zinniastand-core/src/zinniastand_core/review.py
@@ -1,4 +1,4 @@
-"""What a reviewer should see before signing a bundle: lawful, but perhaps unwise."""
+"""Warnings about changes that are valid but risky, for reviewers of a bundle."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def review(old: bundles.Bundle, new: bundles.Bundle) -> findings.Findings:
-    """Return the warnings about a step from one bundle to the next."""
+    """Return warnings about replacing the bundle `old` with `new`."""
     collector = documents.Collector()
     before = {service.name: service for service in old.services}
     after = {service.name: service for service in new.services}
@@ -27,55 +27,55 @@
     new: services.Service,
     collector: documents.Collector,
 ) -> None:
-    place = f"services.{new.name}"
-    usable = _count_usable(new)
+    location = f"services.{new.name}"
+    usable_slots = _count_usable_slots(new)
     largest = max((t.slots for t in new.targets if not t.draining), default=0)
-    if usable - largest < new.floor_slots:
+    if usable_slots - largest < new.floor_slots:
         collector.add(
-            f"{place}.floor_slots",
-            f"no target can be ejected: {usable} slots, floor {new.floor_slots}",
+            f"{location}.floor_slots",
+            f"no target can be ejected: {usable_slots} slots, floor {new.floor_slots}",
         )
     if old is None:
         return
-    _review_capacity(old, new, usable, place, collector)
+    _review_capacity(old, new, usable_slots, location, collector)
     for target in old.targets:
         if new.find_target(target.name) is None and not target.draining:
             text = "removed without draining first; its work may still be under way"
-            collector.add(f"{place}.targets.{target.name}", text)
+            collector.add(f"{location}.targets.{target.name}", text)
     for kind in old.kinds:
-        _review_kind(kind, new.find_kind(kind.name), place, collector)
+        _review_kind(kind, new.find_kind(kind.name), location, collector)
 
 
 def _review_capacity(
     old: services.Service,
     new: services.Service,
-    usable: int,
-    place: str,
+    usable_slots: int,
+    location: str,
     collector: documents.Collector,
 ) -> None:
-    before = _count_usable(old)
-    if before and abs(usable - before) > LARGE_CAPACITY_CHANGE_RATIO * before:
-        text = f"capacity goes from {before} to {usable} slots in one step"
-        collector.add(f"{place}.targets", text)
+    before = _count_usable_slots(old)
+    if before and abs(usable_slots - before) > LARGE_CAPACITY_CHANGE_RATIO * before:
+        text = f"capacity goes from {before} to {usable_slots} slots in one step"
+        collector.add(f"{location}.targets", text)
     if new.floor_slots < old.floor_slots:
         text = f"lowered from {old.floor_slots} to {new.floor_slots}"
-        collector.add(f"{place}.floor_slots", text)
+        collector.add(f"{location}.floor_slots", text)
 
 
 def _review_kind(
     old: services.Kind,
     new: services.Kind | None,
-    place: str,
+    location: str,
     collector: documents.Collector,
 ) -> None:
     if new is None:
-        collector.add(f"{place}.kinds.{old.name}", "removed")
+        collector.add(f"{location}.kinds.{old.name}", "removed")
         return
-    loosened = services.Work.IDEMPOTENT
-    if old.work is services.Work.AT_MOST_ONCE and new.work is loosened:
+    repeatable = services.Work.IDEMPOTENT
+    if old.work is services.Work.AT_MOST_ONCE and new.work is repeatable:
         text = "was at-most-once; retries may now run it twice"
-        collector.add(f"{place}.kinds.{old.name}.work", text)
+        collector.add(f"{location}.kinds.{old.name}.work", text)
 
 
-def _count_usable(service: services.Service) -> int:
+def _count_usable_slots(service: services.Service) -> int:
     return sum(target.slots for target in service.targets if not target.draining)
--- a/packages/zinniastand-core/src/zinniastand_core/sections.py
+++ b/packages/zinniastand-core/src/zinniastand_core/sections.py
@@ -1,4 +1,4 @@
-"""Parsing of one bundle section (a service, the operators, an account shard)."""
+"""Parsers for the sections of a bundle: services, operators, accounts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def read_service(name: str, reader: documents.Reader) -> services.Service:
-    """Return the service of one section; findings go to the reader's collector."""
+    """Parse the section of a service; findings go to the reader's collector."""
     kinds = tuple(_read_kind(item) for item in reader.read_objects("kinds"))
     routes = tuple(_read_route(item) for item in reader.read_objects("routes"))
     targets = tuple(_read_target(item) for item in reader.read_objects("targets"))
@@ -37,7 +37,7 @@
 
 
 def read_operators(reader: documents.Reader) -> services.Operators:
-    """Return the operators section."""
+    """Parse the section of the operators."""
     members = tuple(_read_operator(item) for item in reader.read_objects("members"))
     needed = reader.read_integer("sign_offs_needed", 1, 1, 99)
     if needed > len({member.name for member in members}):
@@ -49,7 +49,7 @@
 
 
 def read_accounts(reader: documents.Reader) -> tuple[services.Account, ...]:
-    """Return the accounts of one shard: a mapping of name to rate."""
+    """Parse one shard of accounts: a map of names to requests per second."""
     return tuple(
         services.Account(name, reader.read_number(name, None, 0, 1e7))
         for name in reader.read_names()
@@ -101,12 +101,12 @@
 
 
 def _read_not_started(reader: documents.Reader) -> services.NotStartedRule:
-    inner = reader.read_object("not_started", optional=True)
+    nested = reader.read_object("not_started", optional=True)
     rule = services.NotStartedRule(
-        status=inner.read_integer("status", 503, 400, 599),
-        header=inner.read_text("header", "x-not-started").lower(),
+        status=nested.read_integer("status", 503, 400, 599),
+        header=nested.read_text("header", "x-not-started").lower(),
     )
-    inner.refuse_unknown()
+    nested.refuse_unknown()
     return rule
 
 
@@ -128,7 +128,10 @@
     routes: tuple[services.Route, ...],
     reader: documents.Reader,
 ) -> None:
-    """Check what concerns several fields; `routes` are in document order."""
+    """Check rules that involve several fields.
+
+    `routes` are in document order, so that findings have the index of the document.
+    """
     _check_unique(reader, "targets", [target.name for target in service.targets])
     _check_unique(reader, "kinds", [kind.name for kind in service.kinds])
     for index, route in enumerate(routes):
