--- a/tests/machines/__main__.py
+++ b/tests/machines/__main__.py
@@ -1,4 +1,4 @@
-"""``make plants``: shows which planted bugs the machines catch."""
+"""Entry point of ``make plants``: prints which planted bugs the machines detect."""
 
 from __future__ import annotations
 
--- a/tests/machines/plants.py
+++ b/tests/machines/plants.py
@@ -1,6 +1,7 @@
-"""Planted bugs, each of which a state machine has to catch.
+"""Planted bugs that the state machines must detect.
 
-A machine that cannot fail proves nothing. Each plant breaks one safeguard.
+Each plant disables one safeguard of the code under test. A machine that still passes
+does not check what that safeguard protects.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 EXAMPLES = 2000
 STEPS = 40
 
-SLOW_IS_FINE = (
+SUPPRESSED_HEALTH_CHECKS = (
     hypothesis.HealthCheck.too_slow,
     hypothesis.HealthCheck.data_too_large,
     hypothesis.HealthCheck.filter_too_much,
@@ -41,32 +42,32 @@
     """One planted bug."""
 
     name: str
-    """What is broken."""
+    """What the bug does, in words."""
 
     machine: Machine
-    """Who has to catch it."""
+    """State machine that must detect the bug."""
 
     owner: typing.Any
-    """Module or class that is patched."""
+    """Module or class to patch."""
 
     attribute: str
-    """What is replaced in it."""
+    """Name of the attribute to replace in `owner`."""
 
     replacement: typing.Any
-    """The bug."""
+    """Faulty replacement of the attribute."""
 
     also: tuple[tuple[typing.Any, str, typing.Any], ...] = ()
-    """A second safeguard that has to fall for the first to matter."""
+    """Further patches, for a bug that another safeguard would hide."""
 
 
-def _forget_start_deadline(
+def _ignore_start_deadline(
     plan: typing.Any, now: float
 ) -> list[attempt_actions.Action]:
     plan._start_deadline = plan._deadline + 1000.0
     return _SEND_NEXT(plan, now)
 
 
-def _take_loss_for_not_run(
+def _treat_loss_as_not_run(
     plan: typing.Any, attempt: int, failure: attempt_actions.Failure, now: float
 ) -> list[attempt_actions.Action]:
     lost = (attempt_actions.Failure.SILENT, attempt_actions.Failure.CUT)
@@ -74,19 +75,23 @@
     return _TAKE_FAILURE(plan, attempt, taken, now)
 
 
-def _trust_acknowledgement(
+def _treat_append_as_ownership(
     seeker: typing.Any, batch: int, offset: int, now: float
 ) -> list[claimer.Action]:
     return _TAKE_APPENDED(seeker, batch, seeker.next_offset, now)
 
 
-def _ignore_base(own: typing.Any, proposal: proposals.Proposal) -> chain.Ruling:
-    if proposal.version >= own.version:
-        return own._rule_on_next(proposal)
-    return _APPLY_PROPOSAL(own, proposal)
+def _ignore_base(
+    bundle_chain: typing.Any, proposal: proposals.Proposal
+) -> chain.Ruling:
+    if proposal.version >= bundle_chain.version:
+        return bundle_chain._rule_on_next(proposal)
+    return _APPLY_PROPOSAL(bundle_chain, proposal)
 
 
-def _never_object(ledger: typing.Any, ejection: typing.Any, service: typing.Any) -> str:
+def _find_no_objection(
+    ledger: typing.Any, ejection: typing.Any, service: typing.Any
+) -> str:
     return ""
 
 
@@ -94,16 +99,18 @@
     return {e.target for e in ledger.list_granted() if e.deadline > now}
 
 
-def _count_everybody(proposal: proposals.Proposal, operators: typing.Any) -> int:
+def _count_unverified(proposal: proposals.Proposal, operators: typing.Any) -> int:
     return len(proposal.sign_offs)
 
 
-def _take_any_snapshot(own: typing.Any, snapshot: chain.Snapshot) -> chain.Ruling:
-    own._version = min(own._version, snapshot.head.version - 1)
-    return _APPLY_SNAPSHOT(own, snapshot)
+def _apply_any_snapshot(
+    bundle_chain: typing.Any, snapshot: chain.Snapshot
+) -> chain.Ruling:
+    bundle_chain._version = min(bundle_chain._version, snapshot.head.version - 1)
+    return _APPLY_SNAPSHOT(bundle_chain, snapshot)
 
 
-def _look_at_the_last_span(
+def _find_room_in_last_window(
     window: typing.Any, requests: list[int], spent: list[int]
 ) -> float:
     parts = retry_window.BUCKETS_PER_WINDOW
@@ -119,32 +126,32 @@
 
 PLANTS = (
     Plant(
-        "a counter does not take in what others have given out",
+        "a counter does not merge the counts of other counters",
         retries.RetryMachine,
         retry_window.RetryWindow,
         "merge_counts",
         lambda window, count, now: None,
     ),
     Plant(
-        "retries are bounded in the span that ends now alone",
+        "retries are bounded only in the window that ends now",
         retries.RetryMachine,
         retry_window.RetryWindow,
         "_find_room",
-        _look_at_the_last_span,
+        _find_room_in_last_window,
     ),
     Plant(
         "the start deadline is dropped",
         claims.ClaimsMachine,
         attempts.Plan,
         "_send_next",
-        _forget_start_deadline,
+        _ignore_start_deadline,
     ),
     Plant(
         "a lost answer counts as not run",
         claims.ClaimsMachine,
         attempts.Plan,
         "take_failure",
-        _take_loss_for_not_run,
+        _treat_loss_as_not_run,
     ),
     Plant(
         "at-most-once work is retried after a lost answer",
@@ -154,43 +161,43 @@
         lambda plan: True,
     ),
     Plant(
-        "an append's answer is taken for ownership",
+        "the answer to an append is treated as ownership",
         claims.ClaimsMachine,
         claimer.Claimer,
         "take_appended",
-        _trust_acknowledgement,
+        _treat_append_as_ownership,
     ),
     Plant(
-        "a stale base is applied",
-        heads.HeadsMachine,
+        "a proposal on a stale base is applied",
+        heads.ChainMachine,
         chain.Chain,
         "apply_proposal",
         _ignore_base,
     ),
     Plant(
         "sign-offs are counted, not verified",
-        heads.HeadsMachine,
+        heads.ChainMachine,
         proposals,
         "count_sign_offs",
-        _count_everybody,
+        _count_unverified,
     ),
     Plant(
-        "an old snapshot brings an old bundle back",
-        heads.HeadsMachine,
+        "an old snapshot restores an old bundle",
+        heads.ChainMachine,
         chain.Chain,
         "_apply_snapshot",
-        _take_any_snapshot,
+        _apply_any_snapshot,
     ),
     Plant(
-        "neither the grants nor the VMs keep the floor",
+        "neither the grants nor the VMs respect the floor",
         floor.FloorMachine,
         ejections.EjectionLedger,
         "list_ejected",
         _ignore_floor,
-        also=((ejections.EjectionLedger, "find_objection", _never_object),),
+        also=((ejections.EjectionLedger, "find_objection", _find_no_objection),),
     ),
     Plant(
-        "slots are free again the moment a lease ends",
+        "slots are released at the moment when a lease ends",
         floor.FloorMachine,
         ejections,
         "HOLD_AFTER",
@@ -200,12 +207,12 @@
 
 
 def is_caught(plant: Plant) -> bool:
-    """Return whether the machine fails with the bug in place."""
+    """Return whether the machine fails while the bug is in place."""
     settings = hypothesis.settings(
         derandomize=False,
         max_examples=EXAMPLES,
         stateful_step_count=STEPS,
-        suppress_health_check=SLOW_IS_FINE,
+        suppress_health_check=SUPPRESSED_HEALTH_CHECKS,
         phases=(hypothesis.Phase.generate,),
         report_multiple_bugs=False,
     )
@@ -225,7 +232,7 @@
 
 
 def main() -> int:
-    """Print which plants are caught; return 1 where one is missed."""
+    """Print which plants are detected; return 1 if any is missed, otherwise 0."""
     missed = 0
     for plant in PLANTS:
         caught = is_caught(plant)
