--- a/packages/zinniastand-core/src/zinniastand_core/peer_messages.py
+++ b/packages/zinniastand-core/src/zinniastand_core/peer_messages.py
@@ -377,13 +377,13 @@
     match value:
         case [
             str(vm),
-            str(data_centre),
+            str(member_data_centre),
             str(url),
             int(incarnation),
             int(heartbeat),
             int(status),
         ]:
-            member = membership.Member(vm, data_centre, url, incarnation)
+            member = membership.Member(vm, member_data_centre, url, incarnation)
             return membership.Sighting(member, heartbeat, membership.Status(status))
         case _:
             raise TypeError("expected a sighting")
