--- a/bench/arrivals.py
+++ b/bench/arrivals.py
@@ -305,21 +305,21 @@
         if plan is None:
             return
         if result == "refused":
-            vm.router.take_shed(name, self.now)
+            vm.router.record_shed(name, self.now)
             failure = attempt_actions.Failure.REFUSED
-            self._act(request, plan.take_failure(send.attempt, failure, self.now))
+            self._act(request, plan.handle_failure(send.attempt, failure, self.now))
             return
         if result == "error":
             self._observe(state, evidence.Sign.ERROR)
             request.errors.add(send.attempt)
-            self._act(request, plan.take_answer(send.attempt, 500, self.now))
+            self._act(request, plan.handle_answer(send.attempt, 500, self.now))
             return
         subject = baselines.Subject(name, request.kind.name)
         sign = vm.router.health.judge_latency(subject, self.now - state.sent_at)
         if not state.was_counted:
             self._observe(state, sign)
         vm.router.admission.take_success()
-        self._act(request, plan.take_answer(send.attempt, 200, self.now))
+        self._act(request, plan.handle_answer(send.attempt, 200, self.now))
 
     def _observe(self, state: _Attempt, sign: evidence.Sign) -> None:
         vm, name = state.request.vm, state.send.target.name
--- a/packages/zinniastand-core/src/zinniastand_core/attempts.py
+++ b/packages/zinniastand-core/src/zinniastand_core/attempts.py
@@ -12,10 +12,10 @@
 from . import attempt_actions, claim_ledger, claim_records, claimer, outcomes, services
 
 MAX_ATTEMPTS = 4
-REFUSALS_BEFORE_PAUSE = 3
-REFUSED_PAUSE = 0.25
+REFUSALS_BEFORE_DELAY = 3
+REFUSED_DELAY_S = 0.25
 FAILED_STATUSES = frozenset({500, 502, 503, 504})
-OUTAGE_PAUSE = 5.0
+OUTAGE_DELAY_S = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -93,14 +93,14 @@
         times = [live.hedge_at for live in self._live.values() if live.hedge_at]
         return min([self._deadline, *times])
 
-    def take_grant(self, now: float) -> list[attempt_actions.Action]:
+    def handle_grant(self, now: float) -> list[attempt_actions.Action]:
         """Take in that the claim is ours."""
         if self._ended or not self._claim_pending:
             return []
         self._claim_pending = False
         return self._send_next(now)
 
-    def take_denial(
+    def handle_denial(
         self, denied: claimer.Denied, now: float
     ) -> list[attempt_actions.Action]:
         """Take in that the claim is not ours."""
@@ -113,13 +113,13 @@
             case claimer.Denial.KEY_REUSED:
                 return self._refuse(outcomes.Reason.KEY_REUSED)
             case claimer.Denial.LOG_DOWN:
-                return self._refuse(outcomes.Reason.LOG_DOWN, now + OUTAGE_PAUSE)
+                return self._refuse(outcomes.Reason.LOG_DOWN, now + OUTAGE_DELAY_S)
             case claimer.Denial.OVERLOADED:
-                return self._refuse(outcomes.Reason.OVERLOADED, now + REFUSED_PAUSE)
+                return self._refuse(outcomes.Reason.OVERLOADED, now + REFUSED_DELAY_S)
             case claimer.Denial.UNSETTLED | claimer.Denial.LAPSED:
                 return self._give_up_claim(now)
 
-    def take_answer(
+    def handle_answer(
         self, attempt: int, status: int, now: float
     ) -> list[attempt_actions.Action]:
         """Take in a whole answer to this request."""
@@ -140,7 +140,7 @@
             actions.append(attempt_actions.Settle(done))
         return actions
 
-    def take_failure(
+    def handle_failure(
         self, attempt: int, failure: attempt_actions.Failure, now: float
     ) -> list[attempt_actions.Action]:
         """Take in that an attempt gave no whole answer."""
@@ -212,7 +212,7 @@
         self._refusals += 1
         if not self._may_run_again():
             return self._finish_without_answer(now)
-        if self._refusals < REFUSALS_BEFORE_PAUSE:
+        if self._refusals < REFUSALS_BEFORE_DELAY:
             return self._send_next(now)
         self._resume_at = self._chooser.find_pause_end(self._kind, self._deadline, now)
         return self._finish_without_answer(now) if self._resume_at is None else []
@@ -298,7 +298,7 @@
         release frees the key for the caller's next try.
         """
         release = self._settle_without_answer(ran=False)
-        refusal = self._refuse(outcomes.Reason.CLAIM_LATE, now + REFUSED_PAUSE)
+        refusal = self._refuse(outcomes.Reason.CLAIM_LATE, now + REFUSED_DELAY_S)
         return release + refusal
 
     def _refuse_owned(
@@ -307,7 +307,7 @@
         if entry is None:
             # The owner released the key meanwhile: this claim is dead, but the
             # caller may come again with the same key.
-            return self._refuse(outcomes.Reason.CLAIM_LATE, now + REFUSED_PAUSE)
+            return self._refuse(outcomes.Reason.CLAIM_LATE, now + REFUSED_DELAY_S)
         if entry.phase is claim_ledger.Phase.DONE:
             refusal = outcomes.Refusal(
                 outcomes.Outcome.DONE,
@@ -322,7 +322,7 @@
             refusal = outcomes.Refusal(
                 outcomes.Outcome.UNKNOWN,
                 outcomes.Reason.KEY_IN_PROGRESS,
-                now + REFUSED_PAUSE,
+                now + REFUSED_DELAY_S,
             )
         else:
             # The holder was lost between its claim and the record of the outcome.
@@ -349,7 +349,7 @@
         actions += self._settle_without_answer(ran)
         outcome = outcomes.Outcome.UNKNOWN if ran else outcomes.Outcome.NOT_RUN
         reason = self._explain(ran, now)
-        retry_at = None if ran and self._claim is not None else now + REFUSED_PAUSE
+        retry_at = None if ran and self._claim is not None else now + REFUSED_DELAY_S
         return [
             *actions,
             attempt_actions.Refuse(outcomes.Refusal(outcome, reason, retry_at)),
--- a/packages/zinniastand-core/src/zinniastand_core/budgets.py
+++ b/packages/zinniastand-core/src/zinniastand_core/budgets.py
@@ -20,7 +20,7 @@
         self._reserve = reserve
         self._left = reserve
 
-    def feed(self) -> None:
+    def record_first_attempt(self) -> None:
         """Take in one first attempt."""
         self._left = min(self._reserve, self._left + self._share)
 
--- a/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
@@ -88,7 +88,7 @@
                 # Old evidence must not eject it again the moment it comes back.
                 if name in self._pools:
                     self._pools[name].forget(target)
-            routing.take_ejected(ejected, now)
+            routing.apply_ejections(ejected, now)
 
     def report(self, now: float) -> Actions:
         """Send fresh evidence to the VMs that pool it."""
@@ -240,7 +240,7 @@
         place = self._members.own.data_centre
         for level in message.items:
             score = level.find_for(place)
-            routing.take_pooled(level.target, score, now + LEVELS_VALID_FOR)
+            routing.set_pooled_score(level.target, score, now + LEVELS_VALID_FOR)
             self._note_level(message, level.target, score, threshold, now)
 
     def _note_level(
--- a/packages/zinniastand-core/src/zinniastand_core/health.py
+++ b/packages/zinniastand-core/src/zinniastand_core/health.py
@@ -6,7 +6,7 @@
 
 from . import baselines, evidence, latencies
 
-FORGET_PER_SECOND = 0.15
+SCORE_DECAY_PER_S = 0.15
 OVERDUE_FACTOR = 2.0
 SUSPECT_SHARE = 0.5
 HALF = 0.5
@@ -25,7 +25,7 @@
         Without sinking, a target that gets no work could never clear itself.
         """
         idle = max(0.0, now - self.moved_at)
-        return max(0.0, self.score.level - FORGET_PER_SECOND * idle)
+        return max(0.0, self.score.level - SCORE_DECAY_PER_S * idle)
 
 
 class Health:
--- a/packages/zinniastand-core/src/zinniastand_core/hybrid_clock.py
+++ b/packages/zinniastand-core/src/zinniastand_core/hybrid_clock.py
@@ -7,7 +7,7 @@
 
 import dataclasses
 
-MAX_AHEAD = 60.0
+MAX_AHEAD_S = 60.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
@@ -41,6 +41,6 @@
         A stamp absurdly far ahead is ignored: one broken clock must not drag the
         whole fleet's into the future.
         """
-        if stamp.time <= now + MAX_AHEAD and stamp > self._last:
+        if stamp.time <= now + MAX_AHEAD_S and stamp > self._last:
             self._last = stamp
         return self.tick(now)
--- a/packages/zinniastand-core/src/zinniastand_core/latencies.py
+++ b/packages/zinniastand-core/src/zinniastand_core/latencies.py
@@ -4,11 +4,11 @@
 
 import collections
 
-SAMPLES = 192
-LEAST_SAMPLES = 12
-REFRESH_AFTER = 8
+MAX_SAMPLES = 192
+MIN_SAMPLES = 12
+SAMPLES_PER_REFRESH = 8
 SLOW_FACTOR = 1.6
-SLOW_MARGIN = 0.002
+SLOW_MARGIN_S = 0.002
 TYPICAL_QUANTILE = 0.5
 UPPER_QUANTILE = 0.85
 MAX_UPPER_FACTOR = 4.0
@@ -19,7 +19,7 @@
 
     def __init__(self) -> None:
         self._samples: collections.deque[tuple[str, float]] = collections.deque(
-            maxlen=SAMPLES
+            maxlen=MAX_SAMPLES
         )
         self._age = 0
         self._limits: dict[str, float | None] = {}
@@ -29,7 +29,7 @@
         """Take in one whole answer."""
         self._samples.append((target, latency))
         self._age += 1
-        if self._age >= REFRESH_AFTER:
+        if self._age >= SAMPLES_PER_REFRESH:
             self._age = 0
             self._limits.clear()
             self._typical = None
@@ -53,11 +53,11 @@
 
     def _work_out_limit(self, target: str) -> float | None:
         others = sorted(value for name, value in self._samples if name != target)
-        if len(others) < LEAST_SAMPLES:
+        if len(others) < MIN_SAMPLES:
             return None
         typical = others[int(TYPICAL_QUANTILE * len(others))]
         upper = others[int(UPPER_QUANTILE * len(others))]
         # The upper quantile follows a wide spread of healthy latencies. It is capped,
         # or two stragglers among six targets would hide one another.
         upper = min(upper, MAX_UPPER_FACTOR * typical)
-        return max(SLOW_FACTOR * typical, upper) + SLOW_MARGIN
+        return max(SLOW_FACTOR * typical, upper) + SLOW_MARGIN_S
--- a/packages/zinniastand-core/src/zinniastand_core/router.py
+++ b/packages/zinniastand-core/src/zinniastand_core/router.py
@@ -17,10 +17,10 @@
     steering,
 )
 
-COLD_START = 5.0
-SHED_PAUSE = 0.05
-WEIGHTS_VALID_FOR = 0.05
-DRAIN_MEMORY = 30.0
+COLD_START_S = 5.0
+SHED_DELAY_S = 0.05
+WEIGHTS_LIFETIME_S = 0.05
+LEAVING_DURATION_S = 30.0
 
 
 class Router:
@@ -59,7 +59,7 @@
             old = self.service.find_target(target.name)
             moved = old is None or (old.host, old.port) != (target.host, target.port)
             if moved:
-                self._warm_at[target.name] = now + COLD_START
+                self._warm_at[target.name] = now + COLD_START_S
                 self.health.forget(target.name)
         names = {target.name for target in service.targets}
         for table in (self._warm_at, self._shed_until, self._leaving_until):
@@ -113,7 +113,7 @@
         """
         if self._weighted is None or self._weighted[0] <= now:
             weighted = self._work_out_weights(now)
-            self._weighted = (now + WEIGHTS_VALID_FOR, weighted)
+            self._weighted = (now + WEIGHTS_LIFETIME_S, weighted)
         return self._weighted[1]
 
     def _work_out_weights(self, now: float) -> list[steering.Weighted]:
@@ -140,7 +140,7 @@
         pooled, valid_until = self._pooled.get(target, (0.0, 0.0))
         return max(own, pooled) if now < valid_until else own
 
-    def take_pooled(self, target: str, level: float, valid_until: float) -> None:
+    def set_pooled_score(self, target: str, level: float, valid_until: float) -> None:
         """Take in the score that several VMs' evidence supports."""
         self._pooled[target] = (level, valid_until)
         self._weighted = None
@@ -149,27 +149,29 @@
         """Return the targets that are ejected now."""
         return set(self._ejected)
 
-    def take_ejected(self, ejected: set[str], now: float) -> None:
+    def apply_ejections(self, ejected: set[str], now: float) -> None:
         """Follow the ejections in force; whoever comes back starts cold."""
         for name in self._ejected - ejected:
-            self._warm_at[name] = now + COLD_START
-            self.health.forget(name, level=self.health.threshold * steering.EASY)
+            self._warm_at[name] = now + COLD_START_S
+            self.health.forget(
+                name, level=self.health.threshold * steering.FULL_WEIGHT_LEVEL
+            )
             self._pooled.pop(name, None)
         if ejected != self._ejected:
             self._weighted = None
         self._ejected = set(ejected)
 
-    def take_leaving(self, target: str, now: float) -> None:
+    def mark_leaving(self, target: str, now: float) -> None:
         """Take in that a target, or the VM list, says that the target is leaving."""
-        self._leaving_until[target] = now + DRAIN_MEMORY
+        self._leaving_until[target] = now + LEAVING_DURATION_S
         self._weighted = None
 
     def start(self, target: str, is_first: bool) -> None:
         """Take in that an attempt was sent."""
         self._in_flight[target] += 1
         if is_first:
-            self._retries.feed()
-            self._hedges.feed()
+            self._retries.record_first_attempt()
+            self._hedges.record_first_attempt()
 
     def end(self, target: str) -> None:
         """Take in that an attempt ended, in whatever way."""
@@ -177,9 +179,9 @@
         if self._in_flight[target] <= 0:
             del self._in_flight[target]
 
-    def take_shed(self, target: str, now: float) -> None:
+    def record_shed(self, target: str, now: float) -> None:
         """Take in that a target refused for lack of slots, which is not a fault."""
-        self._shed_until[target] = now + SHED_PAUSE
+        self._shed_until[target] = now + SHED_DELAY_S
 
     def find_pause_end(
         self, kind: services.Kind, deadline: float, now: float
@@ -192,7 +194,7 @@
         """
         self.admission.take_refusal(now)
         typical = self.health.find_typical_latency(kind.name) or 0.0
-        resume_at = now + self._generator.uniform(SHED_PAUSE / 2, 2 * SHED_PAUSE)
+        resume_at = now + self._generator.uniform(SHED_DELAY_S / 2, 2 * SHED_DELAY_S)
         return resume_at if resume_at + typical < deadline else None
 
     def observe(self, target: str, kind: str, sign: evidence.Sign, now: float) -> None:
@@ -206,4 +208,4 @@
 
     def _find_warmth(self, target: str, now: float) -> float:
         remaining = self._warm_at.get(target, now) - now
-        return 1.0 - min(1.0, max(0.0, remaining / COLD_START))
+        return 1.0 - min(1.0, max(0.0, remaining / COLD_START_S))
--- a/packages/zinniastand-core/src/zinniastand_core/steering.py
+++ b/packages/zinniastand-core/src/zinniastand_core/steering.py
@@ -11,10 +11,10 @@
 
 from . import services
 
-EASY = 0.3
-FULL = 0.85
-TRICKLE = 0.02
-COLD = 0.15
+FULL_WEIGHT_LEVEL = 0.3
+SUSPECT_LEVEL = 0.85
+SUSPECT_WEIGHT = 0.02
+COLD_WEIGHT = 0.15
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -59,8 +59,8 @@
         health = 1.0
         if condition.target.name not in spared:
             health = _weigh_health(condition.level)
-        warmth = COLD + (1.0 - COLD) * condition.warmth
-        suspect = health < 1.0 and condition.level >= FULL
+        warmth = COLD_WEIGHT + (1.0 - COLD_WEIGHT) * condition.warmth
+        suspect = health < 1.0 and condition.level >= SUSPECT_LEVEL
         weighted.append(Weighted(condition.target, health * warmth, suspect))
     return weighted
 
@@ -83,8 +83,10 @@
 
 
 def _weigh_health(level: float) -> float:
-    if level <= EASY:
+    if level <= FULL_WEIGHT_LEVEL:
         return 1.0
-    if level >= FULL:
-        return TRICKLE
-    return 1.0 - (1.0 - TRICKLE) * (level - EASY) / (FULL - EASY)
+    if level >= SUSPECT_LEVEL:
+        return SUSPECT_WEIGHT
+    return 1.0 - (1.0 - SUSPECT_WEIGHT) * (level - FULL_WEIGHT_LEVEL) / (
+        SUSPECT_LEVEL - FULL_WEIGHT_LEVEL
+    )
--- a/packages/zinniastand-core/src/zinniastand_core/timeline.py
+++ b/packages/zinniastand-core/src/zinniastand_core/timeline.py
@@ -9,8 +9,8 @@
 from . import budgets, hybrid_clock
 
 CAPACITY = 4096
-EVENTS_PER_SECOND = 50.0
-BURST = 200.0
+MAX_EVENTS_PER_S = 50.0
+MAX_EVENT_BURST = 200.0
 
 
 class EventKind(enum.StrEnum):
@@ -82,7 +82,7 @@
     ) -> Event | None:
         """Add an event; None where a flood of its kind made it a mere count."""
         budget = self._budgets.setdefault(
-            kind, budgets.RateBudget(EVENTS_PER_SECOND, BURST, now)
+            kind, budgets.RateBudget(MAX_EVENTS_PER_S, MAX_EVENT_BURST, now)
         )
         if not budget.spend(now):
             self._dropped[kind] += 1
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/conductor.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/conductor.py
@@ -237,9 +237,9 @@
         self._dependencies.metrics.record("zinniastand_claim_seconds", now - started)
         match verdict:
             case claimer.Granted():
-                self._execute(self._plan.take_grant(now))
+                self._execute(self._plan.handle_grant(now))
             case claimer.Denied():
-                self._execute(self._plan.take_denial(verdict, now))
+                self._execute(self._plan.handle_denial(verdict, now))
         self._state_changed.set()
 
     async def _run_attempt(
@@ -260,10 +260,10 @@
         self._record_result(send, result, now - started, now)
         if result.answer is not None:
             self._answers[send.attempt] = result.answer
-            actions = self._plan.take_answer(send.attempt, result.answer.status, now)
+            actions = self._plan.handle_answer(send.attempt, result.answer.status, now)
         else:
             failure = result.failure or attempt_actions.Failure.SILENT
-            actions = self._plan.take_failure(send.attempt, failure, now)
+            actions = self._plan.handle_failure(send.attempt, failure, now)
         self._execute(actions)
         self._state_changed.set()
 
@@ -287,7 +287,7 @@
             attempt_actions.Failure.REFUSED,
             attempt_actions.Failure.BUSY,
         ):
-            self._routing.take_shed(name, now)
+            self._routing.record_shed(name, now)
             return
         if result.failure is attempt_actions.Failure.SILENT and result.was_pooled:
             # The connection may have failed rather than the target; a repeat on a new
@@ -318,7 +318,7 @@
         self._routing.admission.take_success()
 
     def _record_leaving(self, name: str, now: float) -> None:
-        self._routing.take_leaving(name, now)
+        self._routing.mark_leaving(name, now)
         self._record_event(timeline.EventKind.TARGET_LEAVING, name, "it said so", now)
 
     def _record_event(
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/fleet.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/fleet.py
@@ -324,7 +324,7 @@
         for routing in self._table.routers.values():
             for target in routing.service.targets:
                 if f"{target.host}:{target.port}" in addresses:
-                    routing.take_leaving(target.name, now)
+                    routing.mark_leaving(target.name, now)
 
     async def _refresh_head(self) -> None:
         """Append the head of the configuration again before its retention ends.
--- a/tests/core/test_attempts.py
+++ b/tests/core/test_attempts.py
@@ -42,7 +42,7 @@
     """Return the plan of at-most-once work that has its claim and has been sent."""
     plan = attempts.Plan(claims.KIND, NOW + 10, NoHedges(), CLAIM)
     plan.start(NOW)
-    (send,) = plan.take_grant(NOW)
+    (send,) = plan.handle_grant(NOW)
     assert isinstance(send, attempt_actions.Send)
     assert send.freshness is attempt_actions.Freshness.PROVED
     return plan
@@ -58,11 +58,11 @@
     # A pooled connection has gone dead without a word. The lookup goes again to the
     # same target on a new connection; only if that fails is another target tried.
     plan = start_lookup()
-    (again,) = plan.take_failure(1, attempt_actions.Failure.SILENT, NOW)
+    (again,) = plan.handle_failure(1, attempt_actions.Failure.SILENT, NOW)
     assert isinstance(again, attempt_actions.Send)
     assert again.target.name == "a"
     assert again.freshness is attempt_actions.Freshness.NEW
-    (other,) = plan.take_failure(2, attempt_actions.Failure.SILENT, NOW)
+    (other,) = plan.handle_failure(2, attempt_actions.Failure.SILENT, NOW)
     assert isinstance(other, attempt_actions.Send)
     assert other.target.name == "b"
 
@@ -71,7 +71,7 @@
     # The answer to an order is lost. It may have run, so the caller is told "unknown"
     # and the log says so to whoever asks with the same key.
     plan = start_order()
-    actions = plan.take_failure(1, attempt_actions.Failure.SILENT, NOW)
+    actions = plan.handle_failure(1, attempt_actions.Failure.SILENT, NOW)
     assert read_refusal(actions).outcome is outcomes.Outcome.UNKNOWN
     settled = [a.record for a in actions if isinstance(a, attempt_actions.Settle)]
     assert settled == [claim_records.Unknown(CLAIM.key_digest, CLAIM.claim_id)]
@@ -79,7 +79,7 @@
 
 def test_an_order_refused_before_it_started_goes_to_another_target() -> None:
     plan = start_order()
-    (again,) = plan.take_failure(1, attempt_actions.Failure.REFUSED, NOW)
+    (again,) = plan.handle_failure(1, attempt_actions.Failure.REFUSED, NOW)
     assert isinstance(again, attempt_actions.Send)
     assert again.target.name == "b"
 
@@ -89,7 +89,7 @@
     # Callers have been told when the work can no longer start, so it must not.
     plan = attempts.Plan(claims.KIND, NOW + 10, NoHedges(), CLAIM)
     plan.start(NOW)
-    actions = plan.take_grant(NOW + 6)
+    actions = plan.handle_grant(NOW + 6)
     assert not [a for a in actions if isinstance(a, attempt_actions.Send)]
     assert read_refusal(actions).outcome is outcomes.Outcome.NOT_RUN
     settled = [a.record for a in actions if isinstance(a, attempt_actions.Settle)]
@@ -98,7 +98,7 @@
 
 def test_the_final_answer_of_a_request_given_up_comes_at_once() -> None:
     plan = start_order()
-    refusal = read_refusal(plan.take_failure(1, attempt_actions.Failure.CUT, NOW + 1))
+    refusal = read_refusal(plan.handle_failure(1, attempt_actions.Failure.CUT, NOW + 1))
     assert refusal.outcome is outcomes.Outcome.UNKNOWN
     assert plan.has_ended
 
@@ -108,9 +108,9 @@
     # long as an answer can still come in time; then the caller is told "not run".
     plan = start_lookup()
     for attempt in (1, 2):
-        (send,) = plan.take_failure(attempt, attempt_actions.Failure.REFUSED, NOW)
+        (send,) = plan.handle_failure(attempt, attempt_actions.Failure.REFUSED, NOW)
         assert isinstance(send, attempt_actions.Send)
-    assert plan.take_failure(3, attempt_actions.Failure.BUSY, NOW) == []
+    assert plan.handle_failure(3, attempt_actions.Failure.BUSY, NOW) == []
     assert plan.find_wake_time() == NOW + 0.1
     (resumed,) = plan.wake(NOW + 0.1)
     assert isinstance(resumed, attempt_actions.Send)
@@ -122,11 +122,11 @@
     (hedge,) = plan.wake(NOW)
     assert isinstance(hedge, attempt_actions.Send)
     assert hedge.target.name == "b"
-    assert plan.take_answer(2, 200, NOW + 1) == [
+    assert plan.handle_answer(2, 200, NOW + 1) == [
         attempt_actions.Relay(2),
         attempt_actions.Cancel(1),
     ]
-    assert plan.take_answer(1, 200, NOW + 2) == []
+    assert plan.handle_answer(1, 200, NOW + 2) == []
 
 
 def test_a_caller_that_goes_away_takes_its_work_with_it() -> None:
@@ -141,18 +141,18 @@
     # A target fails gray: it answers lookups with errors, fast. Another target is
     # asked; the caller sees an error only if every try ends in one.
     plan = start_lookup()
-    (other,) = plan.take_answer(1, 500, NOW)
+    (other,) = plan.handle_answer(1, 500, NOW)
     assert isinstance(other, attempt_actions.Send)
     assert other.target.name == "b"
-    assert plan.take_answer(2, 200, NOW) == [attempt_actions.Relay(2)]
+    assert plan.handle_answer(2, 200, NOW) == [attempt_actions.Relay(2)]
     failing = start_lookup()
     for attempt in (1, 2):
-        failing.take_answer(attempt, 500, NOW)
-    assert failing.take_answer(3, 500, NOW) == [attempt_actions.Relay(3)]
+        failing.handle_answer(attempt, 500, NOW)
+    assert failing.handle_answer(3, 500, NOW) == [attempt_actions.Relay(3)]
 
 
 def test_an_order_that_ends_in_an_error_is_not_tried_again() -> None:
     plan = start_order()
-    relay, settle = plan.take_answer(1, 500, NOW)
+    relay, settle = plan.handle_answer(1, 500, NOW)
     assert relay == attempt_actions.Relay(1)
     assert isinstance(settle, attempt_actions.Settle)
--- a/tests/machines/claims.py
+++ b/tests/machines/claims.py
@@ -266,7 +266,7 @@
         if request.is_lost:
             return
         if how == "answer" and sent.has_run:
-            actions = request.plan.take_answer(sent.attempt, 200, self.now)
+            actions = request.plan.handle_answer(sent.attempt, 200, self.now)
         else:
             failure = {
                 "cut": attempt_actions.Failure.CUT,
@@ -279,7 +279,7 @@
                 attempt_actions.Failure.NOT_HANDED,
             ):
                 failure = attempt_actions.Failure.SILENT
-            actions = request.plan.take_failure(sent.attempt, failure, self.now)
+            actions = request.plan.handle_failure(sent.attempt, failure, self.now)
         self.act(request, actions)
 
     @hypothesis.stateful.rule(data=st.data())
@@ -397,9 +397,9 @@
             if request.claim != verdict.claim or request.is_lost:
                 continue
             if isinstance(verdict, claimer.Granted):
-                self.act(request, request.plan.take_grant(self.now))
+                self.act(request, request.plan.handle_grant(self.now))
             else:
-                self.act(request, request.plan.take_denial(verdict, self.now))
+                self.act(request, request.plan.handle_denial(verdict, self.now))
 
     def act(self, request: Request, actions: list[attempt_actions.Action]) -> None:
         """Carry out a plan's actions."""
--- a/tests/machines/plants.py
+++ b/tests/machines/plants.py
@@ -112,7 +112,7 @@
 
 
 _SEND_NEXT = attempts.Plan._send_next
-_TAKE_FAILURE = attempts.Plan.take_failure
+_TAKE_FAILURE = attempts.Plan.handle_failure
 _TAKE_APPENDED = claimer.Claimer.take_appended
 _APPLY_PROPOSAL = chain.Chain.apply_proposal
 _APPLY_SNAPSHOT = chain.Chain._apply_snapshot
@@ -143,7 +143,7 @@
         "a lost answer counts as not run",
         claims.ClaimsMachine,
         attempts.Plan,
-        "take_failure",
+        "handle_failure",
         _take_loss_for_not_run,
     ),
     Plant(
