--- a/packages/zinniastand-core/src/zinniastand_core/baselines.py
+++ b/packages/zinniastand-core/src/zinniastand_core/baselines.py
@@ -1,4 +1,4 @@
-"""How often the targets of a service usually fail, as a measure for any one of them."""
+"""Usual failure rates of a service's targets, to compare any one of them with."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Subject:
-    """A target seen through one kind of work."""
+    """A target and one kind of work: health is tracked for each such pair."""
 
     target: str
     """Name of the target."""
 
     kind: str
-    """Name of the kind: a target may fail one kind only."""
+    """Name of the kind of work, since a target may fail in one kind only."""
 
 
-class _Rates:
-    """Counts of one target that fade with each new outcome."""
+class _OutcomeCounts:
+    """Exponentially decayed outcome counts of one target."""
 
     def __init__(self) -> None:
         self.good = 0.0
@@ -29,37 +29,37 @@
         self.slow = 0.0
 
     def add(self, tally: evidence.Tally) -> None:
-        """Take in outcomes; older ones fade."""
-        keep = DECAY**tally.total
-        self.good = self.good * keep + tally.good
-        self.error = self.error * keep + tally.error
-        self.slow = self.slow * keep + tally.slow
+        """Add outcomes; each one decays the earlier counts by `DECAY`."""
+        decay = DECAY**tally.total
+        self.good = self.good * decay + tally.good
+        self.error = self.error * decay + tally.error
+        self.slow = self.slow * decay + tally.slow
 
 
 class Baselines:
     """Recent outcomes of all targets of a service, by kind of work."""
 
     def __init__(self) -> None:
-        self._kinds: dict[str, dict[str, _Rates]] = {}
+        self._kinds: dict[str, dict[str, _OutcomeCounts]] = {}
 
     def add(self, subject: Subject, tally: evidence.Tally) -> None:
-        """Take in outcomes of one target."""
-        rates = self._kinds.setdefault(subject.kind, {})
-        rates.setdefault(subject.target, _Rates()).add(tally)
+        """Add outcomes of one target."""
+        counts = self._kinds.setdefault(subject.kind, {})
+        counts.setdefault(subject.target, _OutcomeCounts()).add(tally)
 
     def find(self, subject: Subject) -> evidence.Baseline:
-        """Return how the other targets do in the same kind of work."""
+        """Return the failure rates of the other targets in the same kind of work."""
         good = error = slow = 0.0
-        for target, rates in self._kinds.get(subject.kind, {}).items():
+        for target, counts in self._kinds.get(subject.kind, {}).items():
             if target != subject.target:
-                good += rates.good
-                error += rates.error
-                slow += rates.slow
-        # One notional good answer keeps a single error from setting the rate.
+                good += counts.good
+                error += counts.error
+                slow += counts.slow
+        # One assumed good answer keeps a single error from giving a rate of 1.
         total = good + error + slow + 1.0
         return evidence.Baseline(error / total, slow / total)
 
     def forget(self, target: str) -> None:
-        """Drop what is known of a target."""
-        for rates in self._kinds.values():
-            rates.pop(target, None)
+        """Remove the counts of a target."""
+        for counts in self._kinds.values():
+            counts.pop(target, None)
--- a/packages/zinniastand-core/src/zinniastand_core/choice.py
+++ b/packages/zinniastand-core/src/zinniastand_core/choice.py
@@ -1,4 +1,4 @@
-"""Choice of a target among weighted ones: the better of two random draws."""
+"""Weighted choice of a target: the less loaded of two random draws."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
     in_flight: collections.abc.Mapping[str, float],
     generator: random.Random,
 ) -> services.Target | None:
-    """Return the less loaded of two targets drawn by weight, or None of none.
+    """Return the less loaded of two targets drawn by weight, or None if there are none.
 
     Parameters
     ----------
     weighted : sequence of steering.Weighted
         Targets that may be chosen.
     in_flight : mapping
-        Requests under way by name of target, as far as known.
+        Requests in flight by name of target; targets without an entry have none.
     generator : random.Random
         Source of randomness.
     """
@@ -28,17 +28,18 @@
         return None
     shares = [item.weight * item.target.slots for item in weighted]
     first, second = generator.choices(weighted, shares, k=2)
-    # Of two draws a suspect would never win. Its small weight is the share of work
-    # that it is to get, as a trial, so the first draw counts.
+    # A suspect's small weight makes it lose almost every comparison by load. The weight
+    # is already the share of work that it should get as a trial, so a suspect that is
+    # drawn first is chosen without a comparison.
     if first.is_suspect:
         return first.target
-    if _rate(second, in_flight) < _rate(first, in_flight):
+    if _find_load(second, in_flight) < _find_load(first, in_flight):
         return second.target
     return first.target
 
 
-def _rate(
+def _find_load(
     item: steering.Weighted, in_flight: collections.abc.Mapping[str, float]
 ) -> float:
-    waiting = in_flight.get(item.target.name, 0.0) + 1.0
-    return waiting / (item.weight * item.target.slots)
+    requests = in_flight.get(item.target.name, 0.0) + 1.0
+    return requests / (item.weight * item.target.slots)
--- a/packages/zinniastand-core/src/zinniastand_core/hybrid_clock.py
+++ b/packages/zinniastand-core/src/zinniastand_core/hybrid_clock.py
@@ -1,4 +1,4 @@
-"""A hybrid logical clock: order of events over processes whose clocks differ.
+"""A hybrid logical clock: orders events of processes whose clocks differ.
 
 After Kulkarni et al., "Logical Physical Clocks" (2014).
 """
@@ -15,14 +15,14 @@
     """A point in the causal order."""
 
     time: float
-    """Unix seconds, never behind the clock of the process."""
+    """Unix seconds; never behind the clock of the process that made the stamp."""
 
     count: int
-    """Events at the same time."""
+    """Number that orders stamps with the same time."""
 
 
 class HybridClock:
-    """The clock of one process."""
+    """The hybrid logical clock of one process."""
 
     def __init__(self) -> None:
         self._last = Stamp(0.0, 0)
@@ -36,10 +36,10 @@
         return self._last
 
     def merge(self, stamp: Stamp, now: float) -> Stamp:
-        """Take in the stamp of a message and return the stamp of its arrival.
+        """Merge the stamp of a received message and return the stamp of its receipt.
 
-        A stamp absurdly far ahead is ignored: one broken clock must not drag the
-        whole fleet's into the future.
+        A stamp more than `MAX_AHEAD_S` ahead of `now` is ignored, so that one wrong
+        clock can't move the clocks of the whole fleet into the future.
         """
         if stamp.time <= now + MAX_AHEAD_S and stamp > self._last:
             self._last = stamp
--- a/packages/zinniastand-core/src/zinniastand_core/latencies.py
+++ b/packages/zinniastand-core/src/zinniastand_core/latencies.py
@@ -1,4 +1,4 @@
-"""Recent latencies of a kind of work: what is usual among the other targets."""
+"""Recent latencies of one kind of work, and the limit above which one is slow."""
 
 from __future__ import annotations
 
@@ -15,49 +15,60 @@
 
 
 class Latencies:
-    """The last latencies of one kind of work on one VM, with their targets."""
+    """The last latencies of one kind of work, as one VM measured them by target."""
 
     def __init__(self) -> None:
         self._samples: collections.deque[tuple[str, float]] = collections.deque(
             maxlen=MAX_SAMPLES
         )
-        self._age = 0
+        self._samples_since_refresh = 0
         self._limits: dict[str, float | None] = {}
         self._typical: float | None = None
 
     def add(self, target: str, latency: float) -> None:
-        """Take in one whole answer."""
+        """Record the latency of one complete answer.
+
+        The limits and the median are worked out again only after every
+        `SAMPLES_PER_REFRESH` answers.
+
+        Parameters
+        ----------
+        target : str
+            Name of the target.
+        latency : float
+            Seconds from sending the request to the end of the answer.
+        """
         self._samples.append((target, latency))
-        self._age += 1
-        if self._age >= SAMPLES_PER_REFRESH:
-            self._age = 0
+        self._samples_since_refresh += 1
+        if self._samples_since_refresh >= SAMPLES_PER_REFRESH:
+            self._samples_since_refresh = 0
             self._limits.clear()
             self._typical = None
 
     def find_limit(self, target: str) -> float | None:
         """Return the latency in seconds above which an answer of `target` is slow.
 
-        It is set by the answers of the other targets alone, so that a straggler does
-        not raise its own bar. None while there are too few of them.
+        Only the answers of the other targets count, so that a slow target does not
+        raise its own limit. Returns None while there are fewer than `MIN_SAMPLES`.
         """
         if target not in self._limits:
-            self._limits[target] = self._work_out_limit(target)
+            self._limits[target] = self._calculate_limit(target)
         return self._limits[target]
 
     def find_typical(self) -> float | None:
-        """Return the median latency over all targets, or None while unknown."""
+        """Return the median latency in seconds, or None before the first answer."""
         if self._typical is None and self._samples:
             values = sorted(latency for _, latency in self._samples)
             self._typical = values[len(values) // 2]
         return self._typical
 
-    def _work_out_limit(self, target: str) -> float | None:
+    def _calculate_limit(self, target: str) -> float | None:
         others = sorted(value for name, value in self._samples if name != target)
         if len(others) < MIN_SAMPLES:
             return None
         typical = others[int(TYPICAL_QUANTILE * len(others))]
         upper = others[int(UPPER_QUANTILE * len(others))]
-        # The upper quantile follows a wide spread of healthy latencies. It is capped,
-        # or two stragglers among six targets would hide one another.
+        # The upper quantile allows for healthy latencies that vary widely. Without the
+        # cap, two slow targets among six would raise each other's limit.
         upper = min(upper, MAX_UPPER_FACTOR * typical)
         return max(SLOW_FACTOR * typical, upper) + SLOW_MARGIN_S
--- a/packages/zinniastand-core/src/zinniastand_core/timeline.py
+++ b/packages/zinniastand-core/src/zinniastand_core/timeline.py
@@ -1,4 +1,4 @@
-"""The events of one process: bounded, sampled under flood, in causal order."""
+"""Recent events of one process in causal order, limited in number and in rate."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class EventKind(enum.StrEnum):
-    """What an event is about."""
+    """Kinds of events; the values are shown to operators."""
 
     STARTED = "started"
     STOPPING = "stopping"
@@ -43,26 +43,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One thing that happened."""
+    """One entry of the timeline."""
 
     stamp: hybrid_clock.Stamp
-    """Its place in the order."""
+    """Position in the causal order."""
 
     vm: str
-    """Where."""
+    """Name of the VM on which it happened."""
 
     kind: EventKind
-    """What."""
+    """Kind of event."""
 
     subject: str
-    """About what: a request id, ``service/target``, a VM or a bundle."""
+    """What the event concerns: a request id, ``service/target``, a VM or a bundle."""
 
     detail: str
-    """The evidence, in words."""
+    """Text that says why or how it happened."""
 
 
 class Timeline:
-    """The last events of one process.
+    """The last `CAPACITY` events of one process.
 
     Parameters
     ----------
@@ -80,7 +80,23 @@
     def record(
         self, kind: EventKind, subject: str, detail: str, now: float
     ) -> Event | None:
-        """Add an event; None where a flood of its kind made it a mere count."""
+        """Add an event and return it, or return None if it was dropped.
+
+        Events of one kind beyond `MAX_EVENTS_PER_S`, with bursts of up to
+        `MAX_EVENT_BURST`, are only counted; the next event that is kept names the
+        count in its detail.
+
+        Parameters
+        ----------
+        kind : EventKind
+            Kind of event; each has a rate limit of its own.
+        subject : str
+            What the event concerns.
+        detail : str
+            Text that says why or how it happened.
+        now : float
+            Unix seconds.
+        """
         budget = self._budgets.setdefault(
             kind, budgets.RateBudget(MAX_EVENTS_PER_S, MAX_EVENT_BURST, now)
         )
@@ -95,5 +111,5 @@
         return event
 
     def list_events(self) -> list[Event]:
-        """Return the remembered events, oldest first."""
+        """Return the events kept, oldest first."""
         return list(self._events)
