--- a/bench/arrivals.py
+++ b/bench/arrivals.py
@@ -229,7 +229,7 @@
     def _send(self, request: _Request, send: attempt_actions.Send) -> None:
         vm, name = request.vm, send.target.name
         index = int(name)
-        vm.router.start(name, is_first=send.attempt == 1)
+        vm.router.record_start(name, is_first=send.attempt == 1)
         self.sent.append((self.now, index))
         subject = baselines.Subject(name, request.kind.name)
         overdue = vm.router.health.find_overdue_after(subject)
@@ -291,7 +291,7 @@
     def _expire(self, state: _Attempt) -> None:
         if not state.is_over:
             state.is_over = True
-            state.request.vm.router.end(state.send.target.name)
+            state.request.vm.router.record_end(state.send.target.name)
             self._observe(state, evidence.Sign.ERROR)
 
     def _finish(self, state: _Attempt, result: str) -> None:
@@ -300,7 +300,7 @@
         state.is_over = True
         request, send = state.request, state.send
         vm, name = request.vm, send.target.name
-        vm.router.end(name)
+        vm.router.record_end(name)
         plan = request.plan
         if plan is None:
             return
--- a/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
@@ -88,7 +88,7 @@
                 # Old evidence must not eject it again the moment it comes back.
                 if name in self._pools:
                     self._pools[name].forget(target)
-            routing.apply_ejections(ejected, now)
+            routing.set_ejected(ejected, now)
 
     def report(self, now: float) -> Actions:
         """Send fresh evidence to the VMs that pool it."""
@@ -191,9 +191,9 @@
         The good ones matter as much: told only of the bad, a pool would sum up the
         bad luck of many VMs, and condemn healthy targets (see docs/DETECTION.md).
         """
-        fresh = routing.health.take_fresh()
+        fresh = routing.health.take_unsent()
         targets = [target.name for target in routing.service.targets]
-        doubts = routing.health.doubts_itself(targets, now)
+        doubts = routing.health.suspects_observer(targets, now)
         self._note_doubt(name, doubts, now)
         if doubts:
             return ()
--- a/packages/zinniastand-core/src/zinniastand_core/health.py
+++ b/packages/zinniastand-core/src/zinniastand_core/health.py
@@ -9,7 +9,7 @@
 SCORE_DECAY_PER_S = 0.15
 OVERDUE_FACTOR = 2.0
 SUSPECT_SHARE = 0.5
-HALF = 0.5
+SUSPECT_SCORE_RATIO = 0.5
 
 
 class _Record:
@@ -93,10 +93,10 @@
         return {
             target
             for target in self._records
-            if self.find_level(target, now) >= HALF * self.threshold
+            if self.find_level(target, now) >= SUSPECT_SCORE_RATIO * self.threshold
         }
 
-    def doubts_itself(self, targets: typing.Collection[str], now: float) -> bool:
+    def suspects_observer(self, targets: typing.Collection[str], now: float) -> bool:
         """Return whether so many targets look bad that the observer may be at fault.
 
         A slow VM, or one behind a bad link, sees failures everywhere. Such a VM goes
@@ -105,13 +105,13 @@
         suspects = self.list_suspects(now).intersection(targets)
         return len(suspects) >= 2 and len(suspects) > SUSPECT_SHARE * len(targets)
 
-    def take_fresh(self) -> dict[baselines.Subject, evidence.Tally]:
+    def take_unsent(self) -> dict[baselines.Subject, evidence.Tally]:
         """Return and forget the outcomes counted since the last call."""
         fresh = self._fresh
         self._fresh = {}
         return fresh
 
-    def forget(self, target: str, level: float = 0.0) -> None:
+    def reset(self, target: str, level: float = 0.0) -> None:
         """Begin anew with a target, for instance after a time out of service."""
         for record in self._records.get(target, {}).values():
             record.score.reset(level)
--- a/packages/zinniastand-core/src/zinniastand_core/router.py
+++ b/packages/zinniastand-core/src/zinniastand_core/router.py
@@ -60,7 +60,7 @@
             moved = old is None or (old.host, old.port) != (target.host, target.port)
             if moved:
                 self._warm_at[target.name] = now + COLD_START_S
-                self.health.forget(target.name)
+                self.health.reset(target.name)
         names = {target.name for target in service.targets}
         for table in (self._warm_at, self._shed_until, self._leaving_until):
             for name in [name for name in table if name not in names]:
@@ -149,11 +149,11 @@
         """Return the targets that are ejected now."""
         return set(self._ejected)
 
-    def apply_ejections(self, ejected: set[str], now: float) -> None:
+    def set_ejected(self, ejected: set[str], now: float) -> None:
         """Follow the ejections in force; whoever comes back starts cold."""
         for name in self._ejected - ejected:
             self._warm_at[name] = now + COLD_START_S
-            self.health.forget(
+            self.health.reset(
                 name, level=self.health.threshold * steering.FULL_WEIGHT_LEVEL
             )
             self._pooled.pop(name, None)
@@ -166,14 +166,14 @@
         self._leaving_until[target] = now + LEAVING_DURATION_S
         self._weighted = None
 
-    def start(self, target: str, is_first: bool) -> None:
+    def record_start(self, target: str, is_first: bool) -> None:
         """Take in that an attempt was sent."""
         self._in_flight[target] += 1
         if is_first:
             self._retries.record_first_attempt()
             self._hedges.record_first_attempt()
 
-    def end(self, target: str) -> None:
+    def record_end(self, target: str) -> None:
         """Take in that an attempt ended, in whatever way."""
         self._in_flight[target] -= 1
         if self._in_flight[target] <= 0:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/conductor.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/conductor.py
@@ -219,7 +219,7 @@
     def _start_attempt(self, send: attempt_actions.Send) -> None:
         scope = self._scopes[send.attempt] = anyio.CancelScope()
         name = self._targets[send.attempt] = send.target.name
-        self._routing.start(name, is_first=send.attempt == 1)
+        self._routing.record_start(name, is_first=send.attempt == 1)
         subject = baselines.Subject(name, self._kind.name)
         overdue_after = self._routing.health.find_overdue_after(subject)
         if overdue_after is not None:
@@ -252,7 +252,7 @@
             with scope:
                 result = await self._dependencies.exchanger.exchange(send, self._task)
         finally:
-            self._routing.end(name)
+            self._routing.record_end(name)
             self._overdue_at.pop(send.attempt, None)
         if result is None:
             return
--- a/tests/core/test_steering.py
+++ b/tests/core/test_steering.py
@@ -72,9 +72,9 @@
 
 def test_a_target_comes_back_cold() -> None:
     routing = make_router()
-    routing.apply_ejections({"t1"}, 1.0)
+    routing.set_ejected({"t1"}, 1.0)
     assert "t1" not in choose_many(routing, KINDS[0], 2.0)
-    routing.apply_ejections(set(), 3.0)
+    routing.set_ejected(set(), 3.0)
     soon = choose_many(routing, KINDS[0], 3.1).count("t1")
     later = choose_many(routing, KINDS[0], 30.0).count("t1")
     assert soon < 0.6 * later
