--- a/packages/zinniastand-core/src/zinniastand_core/health.py
+++ b/packages/zinniastand-core/src/zinniastand_core/health.py
@@ -1,4 +1,4 @@
-"""What one VM knows of the health of a service's targets, from real outcomes."""
+"""Health scores of a service's targets, from the outcomes that one VM saw."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 SCORE_DECAY_PER_S = 0.15
 OVERDUE_FACTOR = 2.0
-SUSPECT_SHARE = 0.5
+MAX_SUSPECT_SHARE = 0.5
 SUSPECT_SCORE_RATIO = 0.5
 
 
 class _Record:
-    """What is known of one subject."""
+    """The score of one subject, and when it last changed."""
 
     def __init__(self) -> None:
         self.score = evidence.Score()
-        self.moved_at = 0.0
+        self.updated_at = 0.0
 
     def find_level(self, now: float) -> float:
-        """Return the score, sunk since anything last fed it.
+        """Return the score, reduced by the time since the last outcome.
 
-        Without sinking, a target that gets no work could never clear itself.
+        Without this decay, a target that gets no work could never lower its score.
         """
-        idle = max(0.0, now - self.moved_at)
+        idle = max(0.0, now - self.updated_at)
         return max(0.0, self.score.level - SCORE_DECAY_PER_S * idle)
 
 
 class Health:
-    """Scores of the targets of one service, as far as one VM sees them.
+    """Scores of the targets of one service, from the outcomes seen by one VM.
 
     Parameters
     ----------
@@ -42,46 +42,73 @@
         self._records: dict[str, dict[str, _Record]] = {}
         self._baselines = baselines.Baselines()
         self._latencies: dict[str, latencies.Latencies] = {}
-        self._fresh: dict[baselines.Subject, evidence.Tally] = {}
+        self._unsent: dict[baselines.Subject, evidence.Tally] = {}
 
     def judge_latency(
         self, subject: baselines.Subject, latency: float
     ) -> evidence.Sign:
-        """Return what a whole answer's latency says, and remember it."""
-        known = self._latencies.setdefault(subject.kind, latencies.Latencies())
-        limit = known.find_limit(subject.target)
-        known.add(subject.target, latency)
+        """Judge the latency of a complete answer, and record it for later ones.
+
+        Parameters
+        ----------
+        subject : baselines.Subject
+            Target and kind of work that gave the answer.
+        latency : float
+            Seconds from sending the request to the end of the answer.
+
+        Returns
+        -------
+        evidence.Sign
+            SLOW above the limit set by the other targets, else GOOD; also GOOD while
+            the limit is unknown.
+        """
+        recent = self._latencies.setdefault(subject.kind, latencies.Latencies())
+        limit = recent.find_limit(subject.target)
+        recent.add(subject.target, latency)
         if limit is not None and latency > limit:
             return evidence.Sign.SLOW
         return evidence.Sign.GOOD
 
     def find_overdue_after(self, subject: baselines.Subject) -> float | None:
-        """Return the seconds after which no answer yet counts as a slow one."""
-        known = self._latencies.get(subject.kind)
-        limit = known.find_limit(subject.target) if known else None
+        """Return the seconds after which a missing answer counts as a slow one.
+
+        Returns None while the latency limit of the target is unknown.
+        """
+        recent = self._latencies.get(subject.kind)
+        limit = recent.find_limit(subject.target) if recent else None
         return None if limit is None else OVERDUE_FACTOR * limit
 
     def find_typical_latency(self, kind: str) -> float | None:
-        """Return the median latency of a kind, or None while unknown."""
-        known = self._latencies.get(kind)
-        return known.find_typical() if known else None
+        """Return the median latency of a kind in seconds, or None while unknown."""
+        recent = self._latencies.get(kind)
+        return recent.find_typical() if recent else None
 
     def observe(
         self, subject: baselines.Subject, sign: evidence.Sign, now: float
     ) -> None:
-        """Take in one outcome."""
+        """Update the score and the baselines with one outcome.
+
+        Parameters
+        ----------
+        subject : baselines.Subject
+            Target and kind of work.
+        sign : evidence.Sign
+            Whether the answer was good, slow or an error.
+        now : float
+            Unix seconds.
+        """
         tally = evidence.Tally(
             good=int(sign is evidence.Sign.GOOD),
             error=int(sign is evidence.Sign.ERROR),
             slow=int(sign is evidence.Sign.SLOW),
         )
         record = self._find_record(subject)
-        is_idle = record.score.level == 0.0 and sign is evidence.Sign.GOOD
-        if not is_idle:
+        is_unchanged = record.score.level == 0.0 and sign is evidence.Sign.GOOD
+        if not is_unchanged:
             record.score.add(tally, self._baselines.find(subject))
-        record.moved_at = now
+        record.updated_at = now
         self._baselines.add(subject, tally)
-        self._fresh[subject] = self._fresh.get(subject, evidence.Tally()) + tally
+        self._unsent[subject] = self._unsent.get(subject, evidence.Tally()) + tally
 
     def find_level(self, target: str, now: float) -> float:
         """Return the highest score of a target over all kinds."""
@@ -97,32 +124,32 @@
         }
 
     def suspects_observer(self, targets: typing.Collection[str], now: float) -> bool:
-        """Return whether so many targets look bad that the observer may be at fault.
+        """Return whether so many targets look bad that this VM may be at fault.
 
-        A slow VM, or one behind a bad link, sees failures everywhere. Such a VM goes
-        on steering its own work but keeps its evidence to itself.
+        A slow VM, or one behind a bad link, sees failures everywhere. Such a VM still
+        steers its own work, but does not send its evidence to other VMs.
         """
         suspects = self.list_suspects(now).intersection(targets)
-        return len(suspects) >= 2 and len(suspects) > SUSPECT_SHARE * len(targets)
+        return len(suspects) >= 2 and len(suspects) > MAX_SUSPECT_SHARE * len(targets)
 
     def take_unsent(self) -> dict[baselines.Subject, evidence.Tally]:
-        """Return and forget the outcomes counted since the last call."""
-        fresh = self._fresh
-        self._fresh = {}
-        return fresh
+        """Return the outcomes counted since the last call, and start counting again."""
+        unsent = self._unsent
+        self._unsent = {}
+        return unsent
 
     def reset(self, target: str, level: float = 0.0) -> None:
-        """Begin anew with a target, for instance after a time out of service."""
+        """Set all scores of a target to `level`, for instance when it is readmitted."""
         for record in self._records.get(target, {}).values():
             record.score.reset(level)
 
     def keep_only(self, targets: typing.Collection[str]) -> None:
-        """Drop what is known of targets that are gone."""
+        """Remove everything recorded about targets that are not in `targets`."""
         for target in [name for name in self._records if name not in targets]:
             del self._records[target]
             self._baselines.forget(target)
-        for subject in [s for s in self._fresh if s.target not in targets]:
-            del self._fresh[subject]
+        for subject in [s for s in self._unsent if s.target not in targets]:
+            del self._unsent[subject]
 
     def _find_record(self, subject: baselines.Subject) -> _Record:
         kinds = self._records.setdefault(subject.target, {})
--- a/packages/zinniastand-core/src/zinniastand_core/steering.py
+++ b/packages/zinniastand-core/src/zinniastand_core/steering.py
@@ -1,7 +1,8 @@
-"""Weights of targets: load moves away by degrees as evidence mounts.
+"""Weights of targets: the higher a target's failure score, the less work it gets.
 
-Steering is not ejection. It is each VM's own act, at once and reversible, and it keeps
-a trickle of idempotent work on a suspect, from which it can clear itself.
+Steering is not ejection. Each VM steers on its own, at once and reversibly, and still
+sends a suspect a small share of idempotent work, so that good answers can lower its
+score again.
 """
 
 from __future__ import annotations
@@ -19,16 +20,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Condition:
-    """What is known of one target at this moment."""
+    """Score and warm-up state of one target at one moment."""
 
     target: services.Target
-    """Which."""
+    """The target."""
 
     level: float
-    """Score, as a share of the threshold."""
+    """Score as a ratio of the threshold at which a target counts as failing."""
 
     warmth: float
-    """From 0 (just came up or back) to 1 (takes its full share)."""
+    """From 0 (just added or readmitted) to 1 (takes its full share)."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -36,13 +37,13 @@
     """A target with its weight."""
 
     target: services.Target
-    """Which."""
+    """The target."""
 
     weight: float
-    """Share of its slots that new work may count on, above 0 and up to 1."""
+    """Share of its slots that new work is planned for, above 0 and up to 1."""
 
     is_suspect: bool
-    """Whether at-most-once work should go elsewhere."""
+    """Whether at-most-once work should go to other targets if there are any."""
 
 
 def weigh(
@@ -50,39 +51,47 @@
 ) -> list[Weighted]:
     """Return the weight of each target.
 
-    The least suspect targets, up to the floor, keep their whole weight. When everything
-    looks bad, avoiding everything would turn a fault of the observer into an outage.
+    The targets with the lowest scores, until they have `floor_slots` slots together,
+    are not weighted down for their scores. When every target looks bad, the fault may
+    be this VM's own, and avoiding them all would turn it into an outage.
+
+    Parameters
+    ----------
+    conditions : sequence of Condition
+        Targets that may get work.
+    floor_slots : int
+        Slots that keep their weight whatever the scores.
     """
-    spared = _spare(conditions, floor_slots)
+    protected = _list_protected(conditions, floor_slots)
     weighted: list[Weighted] = []
     for condition in conditions:
         health = 1.0
-        if condition.target.name not in spared:
-            health = _weigh_health(condition.level)
+        if condition.target.name not in protected:
+            health = _find_health_weight(condition.level)
         warmth = COLD_WEIGHT + (1.0 - COLD_WEIGHT) * condition.warmth
-        suspect = health < 1.0 and condition.level >= SUSPECT_LEVEL
-        weighted.append(Weighted(condition.target, health * warmth, suspect))
+        is_suspect = health < 1.0 and condition.level >= SUSPECT_LEVEL
+        weighted.append(Weighted(condition.target, health * warmth, is_suspect))
     return weighted
 
 
-def _spare(
+def _list_protected(
     conditions: collections.abc.Sequence[Condition], floor_slots: int
 ) -> set[str]:
-    spared: set[str] = set()
+    protected: set[str] = set()
     slots = 0
-    for condition in sorted(conditions, key=_rank):
+    for condition in sorted(conditions, key=_make_rank):
         if slots >= floor_slots:
             break
-        spared.add(condition.target.name)
+        protected.add(condition.target.name)
         slots += condition.target.slots
-    return spared
+    return protected
 
 
-def _rank(condition: Condition) -> tuple[float, str]:
+def _make_rank(condition: Condition) -> tuple[float, str]:
     return condition.level, condition.target.name
 
 
-def _weigh_health(level: float) -> float:
+def _find_health_weight(level: float) -> float:
     if level <= FULL_WEIGHT_LEVEL:
         return 1.0
     if level >= SUSPECT_LEVEL:
