--- a/packages/zinniastand-core/src/zinniastand_core/attempt_actions.py
+++ b/packages/zinniastand-core/src/zinniastand_core/attempt_actions.py
@@ -1,4 +1,4 @@
-"""What the plan of a request asks for, what it is told, and who picks targets."""
+"""Actions and failures of a request's plan, and the interface that picks targets."""
 
 from __future__ import annotations
 
@@ -13,38 +13,44 @@
     """Which connections may carry an attempt."""
 
     ANY = "any"
-    """A pooled connection is fine: a lost request can be sent again."""
+    """Any pooled connection: a request that is lost can be sent again."""
 
     PROVED = "proved"
-    """New, or answered moments ago: nothing may be lost in a silent one."""
+    """A new connection, or one that has just carried an answer.
+
+    At-most-once work must not be lost on a pooled connection that has died.
+    """
 
     NEW = "new"
-    """A pooled one has just failed; only a new one tells whether the target did."""
+    """A new connection: a pooled one has just failed, and only a new one shows
+    whether the target itself has.
+    """
 
 
 class Failure(enum.StrEnum):
-    """How an attempt ended without a whole answer."""
+    """How an attempt ended without a complete answer."""
 
     NOT_HANDED = "not-handed"
-    """No connection could be made: the target saw nothing."""
+    """No connection could be made, so the target received nothing."""
 
     BUSY = "busy"
-    """This VM has no connection to the target free: nothing was tried."""
+    """This VM had no free connection to the target, so nothing was sent."""
 
     REFUSED = "refused"
-    """The target declared that it refused before starting."""
+    """The target answered that it refused the request before starting it."""
 
     SILENT = "silent"
-    """Handed over; then the connection died or gave nothing back."""
+    """The request was sent, but the connection closed or no answer came."""
 
     CUT = "cut"
-    """The answer was incomplete or not to this request."""
+    """The answer was incomplete or belonged to another request."""
 
     OVERDUE = "overdue"
     """No answer by the deadline."""
 
 
 NOT_STARTED = (Failure.NOT_HANDED, Failure.BUSY, Failure.REFUSED)
+"""Failures that prove that the target did not start the work."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -52,68 +58,68 @@
     """Action: send the request to a target."""
 
     attempt: int
-    """Number to report the result under."""
+    """Number of the attempt, from 1; its result is reported under it."""
 
     target: services.Target
-    """Where to."""
+    """Target to send it to."""
 
     freshness: Freshness
-    """Which connections may carry it."""
+    """Connections that may carry it."""
 
     deadline: float
-    """When the answer is no longer wanted."""
+    """Unix seconds after which the answer is no longer wanted."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cancel:
-    """Action: the answer of an attempt is no longer wanted."""
+    """Action: cancel an attempt whose answer is no longer wanted."""
 
     attempt: int
-    """Which."""
+    """Number of the attempt."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SeekClaim:
-    """Action: seek the claim on the key before anything is sent."""
+    """Action: seek the claim on the idempotency key before anything is sent."""
 
     claim: claim_records.Claim
-    """The claim."""
+    """The claim to seek."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settle:
-    """Action: put what became of the claim on the log."""
+    """Action: append the outcome of the claim to the log."""
 
     record: claim_records.Record
-    """The outcome."""
+    """Record of the outcome."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Relay:
-    """Action: give the caller the whole answer of an attempt."""
+    """Action: pass the complete answer of an attempt to the caller."""
 
     attempt: int
-    """Which."""
+    """Number of the attempt."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """Action: give the caller an answer of the proxy's own."""
+    """Action: answer the caller with a refusal made by the proxy."""
 
     refusal: outcomes.Refusal
-    """What to say."""
+    """Outcome and reason to answer with."""
 
 
 Action = Send | Cancel | SeekClaim | Settle | Relay | Refuse
 
 
 class Chooser(typing.Protocol):
-    """Whoever picks targets and rations retries."""
+    """Interface that picks targets and limits retries and hedges."""
 
     def choose(
         self, kind: services.Kind, excluded: typing.AbstractSet[str], now: float
     ) -> services.Target | None:
-        """Return a target for the next attempt, or None where none may have it."""
+        """Return a target for the next attempt, or None if none may get it."""
         ...
 
     def may_retry(self, now: float) -> bool:
@@ -127,14 +133,14 @@
     def find_pause_end(
         self, kind: services.Kind, deadline: float, now: float
     ) -> float | None:
-        """Return when to try again after several targets had no free slot.
+        """Return the unix time at which to try again after several full targets.
 
-        None where an answer could not come in time any more.
+        Returns None if an answer could not arrive by the deadline any more.
         """
         ...
 
     def find_hedge_time(
         self, kind: services.Kind, target: services.Target, now: float
     ) -> float | None:
-        """Return when a second attempt is worth starting, or None."""
+        """Return the unix time at which to start a hedge, or None for no hedge."""
         ...
--- a/packages/zinniastand-core/src/zinniastand_core/health.py
+++ b/packages/zinniastand-core/src/zinniastand_core/health.py
@@ -138,7 +138,7 @@
         self._unsent = {}
         return unsent
 
-    def reset(self, target: str, level: float = 0.0) -> None:
+    def reset_scores(self, target: str, level: float = 0.0) -> None:
         """Set all scores of a target to `level`, for instance when it is readmitted."""
         for record in self._records.get(target, {}).values():
             record.score.reset(level)
--- a/packages/zinniastand-core/src/zinniastand_core/router.py
+++ b/packages/zinniastand-core/src/zinniastand_core/router.py
@@ -1,4 +1,4 @@
-"""Routing of one service on one VM: which target gets the next attempt."""
+"""Choice of targets for one service on one VM: which one gets the next attempt."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Router:
-    """Targets of one service as one VM uses them; an `attempt_actions.Chooser`.
+    """State of one service's targets on one VM; implements `attempt_actions.Chooser`.
 
     Parameters
     ----------
@@ -54,13 +54,17 @@
         self._hedges = budgets.ShareBudget(budgets.HEDGE_SHARE, budgets.HEDGE_RESERVE)
 
     def replace_service(self, service: services.Service, now: float) -> None:
-        """Follow a new bundle; new targets start cold, known ones stay as they are."""
+        """Apply the service's definition from a new bundle.
+
+        Targets that are new or have moved to another address start cold; the others
+        keep their state.
+        """
         for target in service.targets:
             old = self.service.find_target(target.name)
-            moved = old is None or (old.host, old.port) != (target.host, target.port)
-            if moved:
+            is_new = old is None or (old.host, old.port) != (target.host, target.port)
+            if is_new:
                 self._warm_at[target.name] = now + COLD_START_S
-                self.health.reset(target.name)
+                self.health.reset_scores(target.name)
         names = {target.name for target in service.targets}
         for table in (self._warm_at, self._shed_until, self._leaving_until):
             for name in [name for name in table if name not in names]:
@@ -74,33 +78,37 @@
     def choose(
         self, kind: services.Kind, excluded: typing.AbstractSet[str], now: float
     ) -> services.Target | None:
-        """Return a target for the next attempt, or None where none may have it."""
+        """Return a target for the next attempt, or None if none may get it.
+
+        At-most-once work avoids suspects, and all work avoids targets that have just
+        refused for lack of slots, as long as other targets are left.
+        """
         weighted = [w for w in self.weigh(now) if w.target.name not in excluded]
         if kind.work is services.Work.AT_MOST_ONCE:
-            sound = [item for item in weighted if not item.is_suspect]
-            weighted = sound or weighted
+            healthy = [item for item in weighted if not item.is_suspect]
+            weighted = healthy or weighted
         free = [w for w in weighted if self._shed_until.get(w.target.name, 0) <= now]
         return choice.draw(free or weighted, self._in_flight, self._generator)
 
     def may_retry(self, now: float) -> bool:
         """Return whether the retry budget allows one more attempt, and spend it.
 
-        Refusals for lack of slots do not come here: they cost a target next to
-        nothing, and pauses keep them few.
+        Attempts after a refusal for lack of slots don't use this budget: such a refusal
+        costs a target next to nothing, and delays keep them few.
         """
         return self._retries.spend()
 
     def may_hedge(self, now: float) -> bool:
-        """Return whether the hedge budget allows one, and spend it.
+        """Return whether the hedge budget allows one more, and spend it.
 
-        In an overload every answer is late, and second tries would only add load.
+        In an overload every answer is late, and hedges without a limit would add load.
         """
         return self._hedges.spend()
 
     def find_hedge_time(
         self, kind: services.Kind, target: services.Target, now: float
     ) -> float | None:
-        """Return when a second attempt is worth starting, or None."""
+        """Return the unix time at which to hedge, or None if no limit is known."""
         subject = baselines.Subject(target.name, kind.name)
         after = self.health.find_overdue_after(subject)
         return None if after is None else now + after
@@ -108,15 +116,16 @@
     def weigh(self, now: float) -> list[steering.Weighted]:
         """Return the targets that may get work, with their weights.
 
-        The list is kept for a moment, or until something speaks against a target:
-        working it out for each request would cost more than all other decisions.
+        The list is cached for `WEIGHTS_LIFETIME_S`, or until there is evidence against
+        a target: calculating it for each request would cost more than all other
+        decisions together.
         """
         if self._weighted is None or self._weighted[0] <= now:
-            weighted = self._work_out_weights(now)
+            weighted = self._calculate_weights(now)
             self._weighted = (now + WEIGHTS_LIFETIME_S, weighted)
         return self._weighted[1]
 
-    def _work_out_weights(self, now: float) -> list[steering.Weighted]:
+    def _calculate_weights(self, now: float) -> list[steering.Weighted]:
         conditions = [
             steering.Condition(
                 target,
@@ -135,13 +144,23 @@
         return self._leaving_until.get(target.name, 0.0) <= now
 
     def find_level(self, target: str, now: float) -> float:
-        """Return the score of a target: this VM's own or the pooled, if higher."""
+        """Return the higher of a target's own score on this VM and its pooled score."""
         own = self.health.find_level(target, now)
         pooled, valid_until = self._pooled.get(target, (0.0, 0.0))
         return max(own, pooled) if now < valid_until else own
 
     def set_pooled_score(self, target: str, level: float, valid_until: float) -> None:
-        """Take in the score that several VMs' evidence supports."""
+        """Set the score of a target that follows from the evidence of several VMs.
+
+        Parameters
+        ----------
+        target : str
+            Name of the target.
+        level : float
+            The score.
+        valid_until : float
+            Unix seconds from which the score no longer counts.
+        """
         self._pooled[target] = (level, valid_until)
         self._weighted = None
 
@@ -150,10 +169,10 @@
         return set(self._ejected)
 
     def set_ejected(self, ejected: set[str], now: float) -> None:
-        """Follow the ejections in force; whoever comes back starts cold."""
+        """Set the ejections in force; targets that are readmitted start cold."""
         for name in self._ejected - ejected:
             self._warm_at[name] = now + COLD_START_S
-            self.health.reset(
+            self.health.reset_scores(
                 name, level=self.health.threshold * steering.FULL_WEIGHT_LEVEL
             )
             self._pooled.pop(name, None)
@@ -162,35 +181,47 @@
         self._ejected = set(ejected)
 
     def mark_leaving(self, target: str, now: float) -> None:
-        """Take in that a target, or the VM list, says that the target is leaving."""
+        """Send no new work to a target for `LEAVING_DURATION_S`.
+
+        The target itself, or the VM list, has announced that it is leaving.
+        """
         self._leaving_until[target] = now + LEAVING_DURATION_S
         self._weighted = None
 
     def record_start(self, target: str, is_first: bool) -> None:
-        """Take in that an attempt was sent."""
+        """Record that an attempt was sent.
+
+        Parameters
+        ----------
+        target : str
+            Name of the target.
+        is_first : bool
+            Whether it is the first attempt of its request, which refills the budgets
+            of retries and hedges.
+        """
         self._in_flight[target] += 1
         if is_first:
             self._retries.record_first_attempt()
             self._hedges.record_first_attempt()
 
     def record_end(self, target: str) -> None:
-        """Take in that an attempt ended, in whatever way."""
+        """Record that an attempt ended, whatever its result."""
         self._in_flight[target] -= 1
         if self._in_flight[target] <= 0:
             del self._in_flight[target]
 
     def record_shed(self, target: str, now: float) -> None:
-        """Take in that a target refused for lack of slots, which is not a fault."""
+        """Record that a target refused for lack of slots, which is not a fault."""
         self._shed_until[target] = now + SHED_DELAY_S
 
     def find_pause_end(
         self, kind: services.Kind, deadline: float, now: float
     ) -> float | None:
-        """Return when to try again after several targets had no free slot.
+        """Return the unix time at which to try again after several full targets.
 
-        That several were full at once says that the fleet sends more than there are
-        slots, so this VM lets fewer requests in. None where an answer could not come
-        in time any more: such a request is refused at once.
+        Several targets without a free slot mean that the fleet sends more than it has
+        slots for, so this VM also admits fewer requests. Returns None if an answer
+        could not arrive by the deadline any more; the request is then refused at once.
         """
         self.admission.take_refusal(now)
         typical = self.health.find_typical_latency(kind.name) or 0.0
@@ -198,7 +229,10 @@
         return resume_at if resume_at + typical < deadline else None
 
     def observe(self, target: str, kind: str, sign: evidence.Sign, now: float) -> None:
-        """Take in evidence for or against a target."""
+        """Record the outcome of an attempt as evidence for or against a target.
+
+        Slow answers of a target that is still warming up are ignored.
+        """
         is_cold = self._find_warmth(target, now) < 1.0
         if is_cold and sign is evidence.Sign.SLOW:
             return
--- a/packages/zinniastand-core/src/zinniastand_core/steering.py
+++ b/packages/zinniastand-core/src/zinniastand_core/steering.py
@@ -69,8 +69,8 @@
         if condition.target.name not in protected:
             health = _find_health_weight(condition.level)
         warmth = COLD_WEIGHT + (1.0 - COLD_WEIGHT) * condition.warmth
-        is_suspect = health < 1.0 and condition.level >= SUSPECT_LEVEL
-        weighted.append(Weighted(condition.target, health * warmth, is_suspect))
+        suspect = health < 1.0 and condition.level >= SUSPECT_LEVEL
+        weighted.append(Weighted(condition.target, health * warmth, suspect))
     return weighted
 
 
