--- a/packages/zinniastand-core/src/zinniastand_core/attempts.py
+++ b/packages/zinniastand-core/src/zinniastand_core/attempts.py
@@ -1,8 +1,8 @@
-"""The life of one request: claim, choice, attempts, and the one answer.
+"""The plan of one request: claim, choice of targets, attempts, and the one answer.
 
-The plan of a request is a small state machine without I/O. It says "not run" only
-with proof: no attempt was handed to a connection, or every attempt that was is known
-to have been refused before it started.
+The plan is a state machine without I/O: it is told what happened and returns actions.
+It answers "not run" only if that is certain: no attempt was handed to a connection, or
+every attempt that was is known to have been refused before it started.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Live:
-    """An attempt without a result yet."""
+class _RunningAttempt:
+    """An attempt without a result yet, and when to hedge it in unix seconds."""
 
     target: services.Target
     freshness: attempt_actions.Freshness
@@ -35,11 +35,12 @@
     kind : services.Kind
         Kind of work.
     deadline : float
-        When the caller no longer waits, in unix seconds like every `now`.
+        Unix seconds after which the caller no longer waits; `now` is in unix seconds
+        in every method.
     chooser : attempt_actions.Chooser
-        Picks targets.
+        Picks targets and limits retries and hedges.
     claim : claim_records.Claim or None
-        The claim to seek; needed for at-most-once work.
+        The claim on the idempotency key to seek; at-most-once work needs one.
     """
 
     def __init__(
@@ -54,7 +55,7 @@
         self._chooser = chooser
         self._claim = claim
         self._start_deadline = deadline if claim is None else claim.start_deadline
-        self._live: dict[int, _Live] = {}
+        self._running: dict[int, _RunningAttempt] = {}
         self._excluded: set[str] = set()
         self._attempts = 0
         self._refusals = 0
@@ -72,11 +73,11 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether some attempt may have started the work."""
-        return self._may_have_run or bool(self._live)
+        """Whether any attempt may have started the work."""
+        return self._may_have_run or bool(self._running)
 
     def start(self, now: float) -> list[attempt_actions.Action]:
-        """Begin: seek the claim, or send at once where none is needed."""
+        """Start the request: seek the claim, or send at once if none is needed."""
         if self._kind.work is services.Work.IDEMPOTENT:
             return self._send_next(now)
         if self._claim is None:
@@ -85,16 +86,22 @@
         return [attempt_actions.SeekClaim(self._claim)]
 
     def find_wake_time(self) -> float:
-        """Return when `wake` is due: a hedge, the start deadline or the deadline."""
+        """Return the unix time at which `wake` is due.
+
+        That is the next hedge, the end of a delay, the start deadline or the deadline,
+        whichever comes first of those that apply.
+        """
         if self._claim_pending:
             return min(self._start_deadline, self._deadline)
         if self._resume_at is not None:
             return min(self._resume_at, self._start_deadline, self._deadline)
-        times = [live.hedge_at for live in self._live.values() if live.hedge_at]
+        times = [
+            running.hedge_at for running in self._running.values() if running.hedge_at
+        ]
         return min([self._deadline, *times])
 
     def handle_grant(self, now: float) -> list[attempt_actions.Action]:
-        """Take in that the claim is ours."""
+        """Send the first attempt, since the claim was granted."""
         if self._ended or not self._claim_pending:
             return []
         self._claim_pending = False
@@ -103,13 +110,13 @@
     def handle_denial(
         self, denied: claimer.Denied, now: float
     ) -> list[attempt_actions.Action]:
-        """Take in that the claim is not ours."""
+        """Refuse the request, since the claim was denied."""
         if self._ended or not self._claim_pending:
             return []
         self._claim_pending = False
         match denied.reason:
             case claimer.Denial.OWNED:
-                return self._refuse_owned(denied.entry, now)
+                return self._refuse_claimed(denied.entry, now)
             case claimer.Denial.KEY_REUSED:
                 return self._refuse(outcomes.Reason.KEY_REUSED)
             case claimer.Denial.LOG_DOWN:
@@ -122,16 +129,29 @@
     def handle_answer(
         self, attempt: int, status: int, now: float
     ) -> list[attempt_actions.Action]:
-        """Take in a whole answer to this request."""
-        live = self._live.pop(attempt, None)
-        if live is None or self._ended:
+        """Relay the complete answer of an attempt, or try another target.
+
+        A server error to idempotent work is tried elsewhere. Late answers, after the
+        caller has been answered, are ignored.
+
+        Parameters
+        ----------
+        attempt : int
+            Number of the attempt.
+        status : int
+            HTTP status of the answer.
+        now : float
+            Unix seconds.
+        """
+        running = self._running.pop(attempt, None)
+        if running is None or self._ended:
             return []
         if self._claim is None and status in FAILED_STATUSES:
-            return self._try_after_error(attempt, live, now)
+            return self._try_after_error(attempt, running, now)
         self._ended = True
         actions: list[attempt_actions.Action] = [
             attempt_actions.Relay(attempt),
-            *self._cancel_live(),
+            *self._cancel_running(),
         ]
         if self._claim is not None:
             done = claim_records.Done(
@@ -143,21 +163,21 @@
     def handle_failure(
         self, attempt: int, failure: attempt_actions.Failure, now: float
     ) -> list[attempt_actions.Action]:
-        """Take in that an attempt gave no whole answer."""
-        live = self._live.pop(attempt, None)
-        if live is None or self._ended:
+        """Send another attempt, wait or refuse, since one gave no complete answer."""
+        running = self._running.pop(attempt, None)
+        if running is None or self._ended:
             return []
         self._last_failure = failure
         if failure not in attempt_actions.NOT_STARTED:
             self._may_have_run = True
-        if self._live:
+        if self._running:
             return []
         if (
             failure is attempt_actions.Failure.SILENT
-            and live.freshness is attempt_actions.Freshness.ANY
+            and running.freshness is attempt_actions.Freshness.ANY
         ):
-            return self._repeat_on_new(live, now)
-        self._excluded.add(live.target.name)
+            return self._retry_on_new_connection(running, now)
+        self._excluded.add(running.target.name)
         if failure in (attempt_actions.Failure.REFUSED, attempt_actions.Failure.BUSY):
             return self._try_after_refusal(now)
         if self._may_run_again() and self._may_attempt(now):
@@ -165,7 +185,7 @@
         return self._finish_without_answer(now)
 
     def wake(self, now: float) -> list[attempt_actions.Action]:
-        """Act on the time: hedge, or give up at the deadline."""
+        """Do what is due by now: hedge, resume after a delay, or end the request."""
         if self._ended:
             return []
         if self._claim_pending and now >= min(self._start_deadline, self._deadline):
@@ -178,7 +198,7 @@
         return self._hedge(now)
 
     def abandon(self, now: float) -> list[attempt_actions.Action]:
-        """The caller went away: stop what is under way and settle the claim."""
+        """Cancel all attempts and settle the claim, since the caller disconnected."""
         if self._ended:
             return []
         return [
@@ -188,26 +208,26 @@
         ]
 
     def _try_after_error(
-        self, attempt: int, live: _Live, now: float
+        self, attempt: int, running: _RunningAttempt, now: float
     ) -> list[attempt_actions.Action]:
         """Try idempotent work elsewhere after a server error.
 
-        A target that fails gray answers with errors, fast and whole. The error is
-        kept, and given to the caller if nothing better comes.
+        A failing target may answer quickly and completely, but with errors. The error
+        is kept, and relayed to the caller if no attempt does better.
         """
         self._fallback = attempt
-        self._excluded.add(live.target.name)
-        if self._live:
+        self._excluded.add(running.target.name)
+        if self._running:
             return []
         if self._may_attempt(now):
             return self._send_next(now)
         return self._finish_without_answer(now)
 
     def _try_after_refusal(self, now: float) -> list[attempt_actions.Action]:
-        """Try another target at once, or after a pause where several were full.
+        """Try another target at once, or after a delay if several were full.
 
-        With few slots shared by many VMs a full target is an everyday thing; the
-        refusal is exact and cheap, and a slot is soon free again.
+        With few slots shared by many VMs, full targets are common. The refusal is
+        cheap and proves that the work did not start, and a slot is soon free again.
         """
         self._refusals += 1
         if not self._may_run_again():
@@ -225,8 +245,9 @@
         return self._send_next(now)
 
     def _send_next(self, now: float) -> list[attempt_actions.Action]:
-        # A holder that was paused wakes up here. Its claim is on the log, but it may
-        # not start any more: callers were told when the work can no longer begin.
+        # A VM that was paused after its claim was granted may get here late. The claim
+        # is on the log, but the work must not start any more: other callers with the
+        # same key rely on the start deadline.
         if self._claim is not None and now >= self._start_deadline:
             return self._finish_without_answer(now)
         if now >= self._deadline:
@@ -248,28 +269,32 @@
         hedge_at = None
         if self._claim is None:
             hedge_at = self._chooser.find_hedge_time(self._kind, target, now)
-        self._live[self._attempts] = _Live(target, freshness, hedge_at)
+        self._running[self._attempts] = _RunningAttempt(target, freshness, hedge_at)
         return attempt_actions.Send(self._attempts, target, freshness, self._deadline)
 
-    def _repeat_on_new(self, live: _Live, now: float) -> list[attempt_actions.Action]:
+    def _retry_on_new_connection(
+        self, running: _RunningAttempt, now: float
+    ) -> list[attempt_actions.Action]:
         """Try the same target on a new connection before blaming it.
 
-        A pooled connection can go silent for good while new ones work. Only a new
-        connection tells the two apart, and costs about a millisecond.
+        A pooled connection can be dead while new ones work. Only a new connection
+        shows whether the target is at fault, and it costs about a millisecond.
         """
         if now >= self._deadline or not self._may_attempt(now):
             return self._finish_without_answer(now)
-        return [self._send(live.target, attempt_actions.Freshness.NEW, now)]
+        return [self._send(running.target, attempt_actions.Freshness.NEW, now)]
 
     def _hedge(self, now: float) -> list[attempt_actions.Action]:
-        due = [n for n, live in self._live.items() if live.hedge_at is not None]
-        due = [n for n in due if (self._live[n].hedge_at or now) <= now]
+        due = [
+            n for n, running in self._running.items() if running.hedge_at is not None
+        ]
+        due = [n for n in due if (self._running[n].hedge_at or now) <= now]
         if not due:
             return []
         for number in due:
-            live = self._live[number]
-            self._live[number] = dataclasses.replace(live, hedge_at=None)
-            self._excluded.add(live.target.name)
+            running = self._running[number]
+            self._running[number] = dataclasses.replace(running, hedge_at=None)
+            self._excluded.add(running.target.name)
         if self._attempts >= MAX_ATTEMPTS or not self._chooser.may_hedge(now):
             return []
         target = self._chooser.choose(self._kind, self._excluded, now)
@@ -278,35 +303,35 @@
         return [self._send(target, attempt_actions.Freshness.ANY, now)]
 
     def _may_attempt(self, now: float) -> bool:
-        tries = self._attempts - self._refusals
-        return tries < MAX_ATTEMPTS and self._chooser.may_retry(now)
+        counted = self._attempts - self._refusals
+        return counted < MAX_ATTEMPTS and self._chooser.may_retry(now)
 
     def _may_run_again(self) -> bool:
         return self._claim is None or not self._may_have_run
 
-    def _cancel_live(self) -> list[attempt_actions.Action]:
+    def _cancel_running(self) -> list[attempt_actions.Action]:
         actions: list[attempt_actions.Action] = [
-            attempt_actions.Cancel(number) for number in self._live
+            attempt_actions.Cancel(number) for number in self._running
         ]
-        self._live.clear()
+        self._running.clear()
         return actions
 
     def _give_up_claim(self, now: float) -> list[attempt_actions.Action]:
-        """Refuse without knowing whether the claim stands on the log.
+        """Refuse without knowing whether the claim is on the log.
 
         Nothing was sent, and after this nothing will be, so "not run" is true. The
-        release frees the key for the caller's next try.
+        release frees the key for the caller's next request.
         """
-        release = self._settle_without_answer(ran=False)
+        release = self._settle_claim(ran=False)
         refusal = self._refuse(outcomes.Reason.CLAIM_LATE, now + REFUSED_DELAY_S)
         return release + refusal
 
-    def _refuse_owned(
+    def _refuse_claimed(
         self, entry: claim_ledger.Entry | None, now: float
     ) -> list[attempt_actions.Action]:
         if entry is None:
-            # The owner released the key meanwhile: this claim is dead, but the
-            # caller may come again with the same key.
+            # The owner has released the key since: this claim is void, but the caller
+            # may send the request again with the same key.
             return self._refuse(outcomes.Reason.CLAIM_LATE, now + REFUSED_DELAY_S)
         if entry.phase is claim_ledger.Phase.DONE:
             refusal = outcomes.Refusal(
@@ -325,7 +350,7 @@
                 now + REFUSED_DELAY_S,
             )
         else:
-            # The holder was lost between its claim and the record of the outcome.
+            # The VM that holds the claim was lost before it recorded the outcome.
             refusal = outcomes.Refusal(
                 outcomes.Outcome.UNKNOWN, outcomes.Reason.KEY_UNKNOWN
             )
@@ -344,18 +369,18 @@
         self._ended = True
         if self._fallback is not None:
             relay = attempt_actions.Relay(self._fallback)
-            return [relay, *self._cancel_live()]
-        actions = self._cancel_live()
-        actions += self._settle_without_answer(ran)
+            return [relay, *self._cancel_running()]
+        actions = self._cancel_running()
+        actions += self._settle_claim(ran)
         outcome = outcomes.Outcome.UNKNOWN if ran else outcomes.Outcome.NOT_RUN
-        reason = self._explain(ran, now)
+        reason = self._find_reason(ran, now)
         retry_at = None if ran and self._claim is not None else now + REFUSED_DELAY_S
         return [
             *actions,
             attempt_actions.Refuse(outcomes.Refusal(outcome, reason, retry_at)),
         ]
 
-    def _settle_without_answer(self, ran: bool) -> list[attempt_actions.Action]:
+    def _settle_claim(self, ran: bool) -> list[attempt_actions.Action]:
         if self._claim is None:
             return []
         key, claim_id = self._claim.key_digest, self._claim.claim_id
@@ -363,7 +388,7 @@
             return [attempt_actions.Settle(claim_records.Unknown(key, claim_id))]
         return [attempt_actions.Settle(claim_records.Released(key, claim_id))]
 
-    def _explain(self, ran: bool, now: float) -> outcomes.Reason:
+    def _find_reason(self, ran: bool, now: float) -> outcomes.Reason:
         if self._last_failure is attempt_actions.Failure.CUT:
             return outcomes.Reason.ANSWER_CUT
         if ran and now < self._deadline:
--- a/tests/core/test_attempts.py
+++ b/tests/core/test_attempts.py
@@ -1,4 +1,4 @@
-"""The plan of one request: what is tried, and what its caller is told."""
+"""The plan of one request: which attempts it makes, and how it answers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class NoHedges(claims.FirstChooser):
-    """Chooses the first target left, without hedges."""
+    """Chooses the first target that is not excluded, and never hedges."""
 
     def may_hedge(self, now: float) -> bool:
         """Return False."""
@@ -54,9 +54,9 @@
     return found
 
 
-def test_a_silent_pooled_connection_is_tried_anew_before_the_target_is_blamed() -> None:
-    # A pooled connection has gone dead without a word. The lookup goes again to the
-    # same target on a new connection; only if that fails is another target tried.
+def test_a_silent_pooled_connection_is_retried_on_a_new_one_first() -> None:
+    # A pooled connection died unnoticed. The lookup is sent to the same target again on
+    # a new connection; another target is tried only if that fails too.
     plan = start_lookup()
     (again,) = plan.handle_failure(1, attempt_actions.Failure.SILENT, NOW)
     assert isinstance(again, attempt_actions.Send)
@@ -68,8 +68,8 @@
 
 
 def test_an_order_is_not_sent_again_after_a_lost_answer() -> None:
-    # The answer to an order is lost. It may have run, so the caller is told "unknown"
-    # and the log says so to whoever asks with the same key.
+    # The order may have run, so the answer is "unknown", and the log records that for
+    # later requests with the same key.
     plan = start_order()
     actions = plan.handle_failure(1, attempt_actions.Failure.SILENT, NOW)
     assert read_refusal(actions).outcome is outcomes.Outcome.UNKNOWN
@@ -84,9 +84,9 @@
     assert again.target.name == "b"
 
 
-def test_a_holder_that_wakes_late_does_not_send() -> None:
-    # The VM was paused between its claim and the sending, past the start deadline.
-    # Callers have been told when the work can no longer start, so it must not.
+def test_a_claim_granted_after_its_start_deadline_sends_nothing() -> None:
+    # The VM was paused between seeking the claim and sending, past the start deadline.
+    # Other callers rely on the work not starting after that.
     plan = attempts.Plan(claims.KIND, NOW + 10, NoHedges(), CLAIM)
     plan.start(NOW)
     actions = plan.handle_grant(NOW + 6)
@@ -96,16 +96,17 @@
     assert settled == [claim_records.Released(CLAIM.key_digest, CLAIM.claim_id)]
 
 
-def test_the_final_answer_of_a_request_given_up_comes_at_once() -> None:
+def test_an_order_whose_answer_is_cut_ends_at_once_as_unknown() -> None:
     plan = start_order()
     refusal = read_refusal(plan.handle_failure(1, attempt_actions.Failure.CUT, NOW + 1))
     assert refusal.outcome is outcomes.Outcome.UNKNOWN
     assert plan.has_ended
 
 
-def test_a_busy_fleet_is_waited_out() -> None:
-    # All targets are full. Two more are tried at once, then one after each pause, as
-    # long as an answer can still come in time; then the caller is told "not run".
+def test_a_lookup_waits_between_attempts_while_all_targets_are_full() -> None:
+    # Two more targets are tried at once, then one after each delay, as long as an
+    # answer can still arrive in time. An attempt still runs at the deadline, so the
+    # outcome is "unknown".
     plan = start_lookup()
     for attempt in (1, 2):
         (send,) = plan.handle_failure(attempt, attempt_actions.Failure.REFUSED, NOW)
@@ -117,7 +118,7 @@
     assert read_refusal(plan.wake(NOW + 10)).outcome is outcomes.Outcome.UNKNOWN
 
 
-def test_a_hedge_races_and_the_loser_is_cancelled() -> None:
+def test_the_first_answer_wins_and_the_other_attempt_is_cancelled() -> None:
     plan = start_lookup(claims.FirstChooser())
     (hedge,) = plan.wake(NOW)
     assert isinstance(hedge, attempt_actions.Send)
@@ -129,7 +130,7 @@
     assert plan.handle_answer(1, 200, NOW + 2) == []
 
 
-def test_a_caller_that_goes_away_takes_its_work_with_it() -> None:
+def test_a_caller_that_disconnects_cancels_its_attempts() -> None:
     plan = start_order()
     actions = plan.abandon(NOW + 1)
     assert attempt_actions.Cancel(1) in actions
@@ -137,9 +138,9 @@
     assert settled == [claim_records.Unknown(CLAIM.key_digest, CLAIM.claim_id)]
 
 
-def test_a_server_error_is_tried_elsewhere_and_given_only_as_the_last_resort() -> None:
-    # A target fails gray: it answers lookups with errors, fast. Another target is
-    # asked; the caller sees an error only if every try ends in one.
+def test_a_server_error_is_relayed_only_if_every_attempt_fails() -> None:
+    # A failing target answers lookups quickly, but with errors. Another target is
+    # tried; the caller gets an error only if every attempt ends in one.
     plan = start_lookup()
     (other,) = plan.handle_answer(1, 500, NOW)
     assert isinstance(other, attempt_actions.Send)
@@ -151,7 +152,7 @@
     assert failing.handle_answer(3, 500, NOW) == [attempt_actions.Relay(3)]
 
 
-def test_an_order_that_ends_in_an_error_is_not_tried_again() -> None:
+def test_an_order_that_ends_in_a_server_error_is_not_sent_again() -> None:
     plan = start_order()
     relay, settle = plan.handle_answer(1, 500, NOW)
     assert relay == attempt_actions.Relay(1)
--- a/tests/core/test_steering.py
+++ b/tests/core/test_steering.py
@@ -1,4 +1,4 @@
-"""Steering and admission: who gets work, and who is let in."""
+"""Steering and admission: which targets get work, and which requests are admitted."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 
 
 def choose_many(routing: router.Router, kind: services.Kind, now: float) -> list[str]:
-    """Return the targets of a thousand choices."""
+    """Return the names of the targets chosen in a thousand choices."""
     found = [routing.choose(kind, set(), now) for _ in range(1000)]
     return [target.name for target in found if target is not None]
 
 
 def fail(routing: router.Router, target: str, times: int, now: float) -> None:
-    """Let a target fail while the others do well."""
+    """Record `times` errors of one target, and as many good answers of the others."""
     for _ in range(times):
         for other in routing.service.targets:
             sign = evidence.Sign.GOOD
@@ -45,7 +45,7 @@
             routing.observe(other.name, "lookup", sign, now)
 
 
-def test_a_failing_target_keeps_only_a_trickle() -> None:
+def test_a_failing_target_gets_few_lookups_and_no_orders() -> None:
     routing = make_router()
     fail(routing, "t0", 10, 1.0)
     share = choose_many(routing, KINDS[0], 1.0).count("t0") / 1000
@@ -53,9 +53,9 @@
     assert "t0" not in choose_many(routing, KINDS[1], 1.0)
 
 
-def test_steering_spares_the_floor_when_everything_looks_bad() -> None:
-    # A VM behind a bad link sees failures everywhere. Its least suspect targets, up
-    # to the floor, keep their whole weight; work goes on.
+def test_the_floor_keeps_its_weight_when_every_target_looks_bad() -> None:
+    # A VM behind a bad link sees failures everywhere. The targets with the lowest
+    # scores, up to the floor, keep their whole weight, so that work goes on.
     conditions = [
         steering.Condition(target, 5.0, 1.0) for target in make_service().targets
     ]
@@ -63,14 +63,14 @@
     assert sum(item.weight == 1.0 for item in weighted) == 3
 
 
-def test_a_leaving_target_gets_nothing_at_once() -> None:
+def test_a_leaving_target_gets_no_work_from_then_on() -> None:
     routing = make_router()
     choose_many(routing, KINDS[0], 1.0)
     routing.mark_leaving("t2", 1.0)
     assert "t2" not in choose_many(routing, KINDS[0], 1.0)
 
 
-def test_a_target_comes_back_cold() -> None:
+def test_a_readmitted_target_starts_cold() -> None:
     routing = make_router()
     routing.set_ejected({"t1"}, 1.0)
     assert "t1" not in choose_many(routing, KINDS[0], 2.0)
@@ -80,7 +80,7 @@
     assert soon < 0.6 * later
 
 
-def test_heavier_work_goes_first_and_hopeless_work_is_refused_at_once() -> None:
+def test_heavier_work_is_admitted_first_and_work_too_late_is_refused() -> None:
     door = admission.Admission(1, 10)
     door.enter(admission.Ticket(1, 1.0, 10.0), 0.0)
     door.enter(admission.Ticket(2, 1.0, 10.0), 0.0)
@@ -93,7 +93,7 @@
     ]
 
 
-def test_a_full_queue_pushes_out_the_lightest() -> None:
+def test_a_full_queue_drops_the_last_of_the_lightest_requests() -> None:
     door = admission.Admission(1, 2)
     for number, weight in ((1, 1.0), (2, 1.0), (3, 1.0)):
         door.enter(admission.Ticket(number, weight, 10.0), 0.0)
