--- a/bench/arrivals.py
+++ b/bench/arrivals.py
@@ -229,7 +229,7 @@
     def _send(self, request: _Request, send: attempt_actions.Send) -> None:
         vm, name = request.vm, send.target.name
         index = int(name)
-        vm.router.start(name, is_first=send.attempt == 1)
+        vm.router.record_start(name, is_first=send.attempt == 1)
         self.sent.append((self.now, index))
         subject = baselines.Subject(name, request.kind.name)
         overdue = vm.router.health.find_overdue_after(subject)
@@ -291,7 +291,7 @@
     def _expire(self, state: _Attempt) -> None:
         if not state.is_over:
             state.is_over = True
-            state.request.vm.router.end(state.send.target.name)
+            state.request.vm.router.record_end(state.send.target.name)
             self._observe(state, evidence.Sign.ERROR)
 
     def _finish(self, state: _Attempt, result: str) -> None:
@@ -300,26 +300,26 @@
         state.is_over = True
         request, send = state.request, state.send
         vm, name = request.vm, send.target.name
-        vm.router.end(name)
+        vm.router.record_end(name)
         plan = request.plan
         if plan is None:
             return
         if result == "refused":
-            vm.router.take_shed(name, self.now)
+            vm.router.record_shed(name, self.now)
             failure = attempt_actions.Failure.REFUSED
-            self._act(request, plan.take_failure(send.attempt, failure, self.now))
+            self._act(request, plan.handle_failure(send.attempt, failure, self.now))
             return
         if result == "error":
             self._observe(state, evidence.Sign.ERROR)
             request.errors.add(send.attempt)
-            self._act(request, plan.take_answer(send.attempt, 500, self.now))
+            self._act(request, plan.handle_answer(send.attempt, 500, self.now))
             return
         subject = baselines.Subject(name, request.kind.name)
         sign = vm.router.health.judge_latency(subject, self.now - state.sent_at)
         if not state.was_counted:
             self._observe(state, sign)
         vm.router.admission.raise_limit()
-        self._act(request, plan.take_answer(send.attempt, 200, self.now))
+        self._act(request, plan.handle_answer(send.attempt, 200, self.now))
 
     def _observe(self, state: _Attempt, sign: evidence.Sign) -> None:
         vm, name = state.request.vm, state.send.target.name
--- a/tests/machines/plants.py
+++ b/tests/machines/plants.py
@@ -119,7 +119,7 @@
 
 
 _SEND_NEXT = attempts.Plan._send_next
-_TAKE_FAILURE = attempts.Plan.take_failure
+_TAKE_FAILURE = attempts.Plan.handle_failure
 _HANDLE_APPENDED = claimer.Claimer.handle_appended
 _APPLY_PROPOSAL = chain.Chain.apply_proposal
 _APPLY_SNAPSHOT = chain.Chain._apply_snapshot
@@ -150,7 +150,7 @@
         "a lost answer counts as not run",
         claims.ClaimsMachine,
         attempts.Plan,
-        "take_failure",
+        "handle_failure",
         _treat_loss_as_not_run,
     ),
     Plant(
