--- a/bench/arrivals.py
+++ b/bench/arrivals.py
@@ -335,7 +335,7 @@
         sightings = tuple(vm.control.members.own_sighting for vm in self.vms)
         for vm in self.vms:
             for sighting in sightings:
-                vm.control.members.take_sighting(sighting, 0.0)
+                vm.control.members.apply_sighting(sighting, 0.0)
 
     def _make_tick(self, vm: _Vm) -> collections.abc.Callable[[], None]:
         def _tick() -> None:
@@ -349,21 +349,21 @@
     ) -> None:
         for action in actions:
             match action:
-                case control_actions.Tell():
+                case control_actions.SendMessage():
                     self._deliver(vm, action)
                 case control_actions.AppendConfig():
                     self._at(self.now + 0.005, self._make_append(action.data))
                 case _:
                     pass
 
-    def _deliver(self, vm: _Vm, action: control_actions.Tell) -> None:
+    def _deliver(self, vm: _Vm, action: control_actions.SendMessage) -> None:
         self.control_messages += 1
         self.control_bytes += len(peer_messages.encode(action.message))
         receiver = self._by_name[action.vm]
 
         def _take() -> None:
             message = action.message
-            actions = receiver.control.take_message(vm.name, message, self.now)
+            actions = receiver.control.handle_message(vm.name, message, self.now)
             self._carry_out(receiver, actions)
 
         self._at(self.now + 2 * HOP, _take)
--- a/packages/zinniastand-core/src/zinniastand_core/config_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/config_exchange.py
@@ -105,7 +105,7 @@
         asked = peer_messages.ConfigAsked(
             self.config.next_offset, self.config.chain.version
         )
-        return [control_actions.Tell(vm, asked)]
+        return [control_actions.SendMessage(vm, asked)]
 
     def answer(
         self, sender: str, asked: peer_messages.ConfigAsked, now: float
@@ -115,14 +115,14 @@
         first = self._entries[0][0] if self._entries else self.config.next_offset
         if kept and first <= asked.next_offset:
             entries = peer_messages.Entries(asked.next_offset, tuple(kept))
-            return [control_actions.Tell(sender, entries)]
+            return [control_actions.SendMessage(sender, entries)]
         granted = self.config.ejections.list_granted()
         state = peer_messages.ConfigState(
             self.config.next_offset,
             self.config.chain.pack_snapshot() or b"",
             tuple(ejections.pack(ejection) for ejection in granted),
         )
-        return [control_actions.Tell(sender, state)]
+        return [control_actions.SendMessage(sender, state)]
 
     def take_state(
         self, sender: str, state: peer_messages.ConfigState, now: float
--- a/packages/zinniastand-core/src/zinniastand_core/control.py
+++ b/packages/zinniastand-core/src/zinniastand_core/control.py
@@ -19,7 +19,7 @@
     timeline,
 )
 
-BEAT_PAUSE = 0.9
+HEARTBEAT_INTERVAL_S = 0.9
 
 Actions = list[control_actions.Action]
 
@@ -48,13 +48,13 @@
     ) -> None:
         self.events = events
         self._beat_at = 0.0
-        self._neighbours = member_exchange.MemberExchange(own, events)
-        self.members = self._neighbours.members
-        flood = self._neighbours.flood
-        self._exchange = config_exchange.ConfigExchange(
+        self._member_exchange = member_exchange.MemberExchange(own, events)
+        self.members = self._member_exchange.members
+        flood = self._member_exchange.flood
+        self._config_exchange = config_exchange.ConfigExchange(
             trusted, retention, events, flood
         )
-        self.config = self._exchange.config
+        self.config = self._config_exchange.config
         self.evidence = evidence_exchange.EvidenceExchange(
             self.members, self.config.ejections, events, flood
         )
@@ -63,54 +63,54 @@
         """Do what is due; call about twice a second."""
         actions: Actions = []
         if now >= self._beat_at:
-            self._beat_at = now + BEAT_PAUSE
-            actions += self._neighbours.make_beats(
+            self._beat_at = now + HEARTBEAT_INTERVAL_S
+            actions += self._member_exchange.make_beats(
                 self.config.next_offset, self.config.chain.version, now
             )
-        actions += self._neighbours.check_links(now)
+        actions += self._member_exchange.check_links(now)
         actions += self.evidence.report(now)
-        actions += self.evidence.tell_levels(now)
+        actions += self.evidence.announce_levels(now)
         actions += self.evidence.propose_ejections(now)
         self.evidence.apply_ejections(now)
-        self.members.forget_gone(now)
+        self.members.remove_departed(now)
         return actions
 
     def list_neighbours(self, now: float) -> list[str]:
         """Return the VMs that this one calls."""
-        return self._neighbours.list_neighbours(now)
+        return self._member_exchange.list_neighbours(now)
 
     def leave(self, now: float) -> Actions:
         """Announce that this VM is stopping."""
-        return self._neighbours.leave(now)
+        return self._member_exchange.leave(now)
 
-    def take_message(
+    def handle_message(
         self, sender: str, message: peer_messages.Message, now: float
     ) -> Actions:
         """Take in a message of another VM."""
         match message:
             case peer_messages.Beat():
-                return self._take_beat(sender, message, now)
+                return self._handle_beat(sender, message, now)
             case peer_messages.Sightings():
-                return self._neighbours.take_sightings(sender, message, now)
+                return self._member_exchange.apply_sightings(sender, message, now)
             case peer_messages.MembersAsked():
-                return self._neighbours.answer_members(sender)
+                return self._member_exchange.answer_members(sender)
             case peer_messages.ConfigAsked():
-                return self._exchange.answer(sender, message, now)
+                return self._config_exchange.answer(sender, message, now)
             case peer_messages.Entries():
-                return self._exchange.take_entries(sender, message, now)
+                return self._config_exchange.take_entries(sender, message, now)
             case peer_messages.ConfigState():
-                return self._exchange.take_state(sender, message, now)
+                return self._config_exchange.take_state(sender, message, now)
             case peer_messages.ConfigNotice(next_offset=offset, version=version):
-                return self._exchange.take_notice(sender, offset, version, now)
+                return self._config_exchange.take_notice(sender, offset, version, now)
             case peer_messages.Reports():
-                self.evidence.take_reports(message, now)
+                self.evidence.pool_reports(message, now)
                 return []
             case peer_messages.Levels():
-                return self.evidence.take_levels(sender, message, now)
+                return self.evidence.apply_levels(sender, message, now)
             case _:
                 return []
 
-    def take_log_entries(
+    def apply_log_entries(
         self, offset: int, data: collections.abc.Sequence[bytes], now: float
     ) -> Actions:
         """Take in entries of the configuration stream, read from the log.
@@ -120,20 +120,22 @@
         """
         self.config.skip_to(offset)
         entries = peer_messages.Entries(offset, tuple(data))
-        return self._exchange.take_entries("", entries, now)
+        return self._config_exchange.take_entries("", entries, now)
 
     def find_due_snapshot(self, now: float) -> bytes | None:
         """Return the head as a record, if this VM is to append it again now."""
         others = [member.vm for member in self.members.list_alive()]
-        return self._exchange.find_due_snapshot(self.members.own.vm, others, now)
+        return self._config_exchange.find_due_snapshot(self.members.own.vm, others, now)
 
-    def _take_beat(self, sender: str, beat: peer_messages.Beat, now: float) -> Actions:
-        actions, wants_reply = self._neighbours.take_beat(sender, beat, now)
+    def _handle_beat(
+        self, sender: str, beat: peer_messages.Beat, now: float
+    ) -> Actions:
+        actions, wants_reply = self._member_exchange.handle_beat(sender, beat, now)
         if wants_reply:
-            reply = self._neighbours.make_beat(
+            reply = self._member_exchange.make_beat(
                 sender, self.config.next_offset, self.config.chain.version, True, now
             )
-            actions.append(control_actions.Tell(sender, reply))
-        return actions + self._exchange.take_notice(
+            actions.append(control_actions.SendMessage(sender, reply))
+        return actions + self._config_exchange.take_notice(
             sender, beat.next_offset, beat.version, now
         )
--- a/packages/zinniastand-core/src/zinniastand_core/control_actions.py
+++ b/packages/zinniastand-core/src/zinniastand_core/control_actions.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tell:
+class SendMessage:
     """Send a message to a VM, calling it if need be."""
 
     vm: str
@@ -34,4 +34,4 @@
     """Its version."""
 
 
-Action = Tell | AppendConfig | Reconfigure
+Action = SendMessage | AppendConfig | Reconfigure
--- a/packages/zinniastand-core/src/zinniastand_core/ejections.py
+++ b/packages/zinniastand-core/src/zinniastand_core/ejections.py
@@ -16,11 +16,11 @@
 from . import bundles, codec, services
 
 EJECTION = "ejection"
-MAX_LEASE = 600.0
-MILLISECONDS = 1000
-CLOCK_ERROR = 1.0
-RAMP = 10.0
-HOLD_AFTER = 2 * CLOCK_ERROR + RAMP
+MAX_LEASE_S = 600.0
+MS_PER_S = 1000
+MAX_CLOCK_ERROR_S = 1.0
+RAMP_S = 10.0
+HOLD_AFTER_DEADLINE_S = 2 * MAX_CLOCK_ERROR_S + RAMP_S
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -65,8 +65,8 @@
 
     def __init__(self) -> None:
         self._granted: list[Ejection] = []
-        self._last: dict[tuple[str, str], tuple[int, Ejection]] = {}
-        self._latest = 0.0
+        self._counts: dict[tuple[str, str], tuple[int, Ejection]] = {}
+        self._latest_grant_at = 0.0
 
     def apply(self, ejection: Ejection, bundle: bundles.Bundle) -> Decision:
         """Rule on the next ejection of the log."""
@@ -80,12 +80,14 @@
 
     def grant(self, ejection: Ejection) -> None:
         """Put an ejection in force that nothing objects to."""
-        self._latest = max(self._latest, ejection.proposed_at)
-        self._granted = [e for e in self._granted if _holds(e, ejection.proposed_at)]
+        self._latest_grant_at = max(self._latest_grant_at, ejection.proposed_at)
+        self._granted = [
+            e for e in self._granted if _holds_slots(e, ejection.proposed_at)
+        ]
         self._granted.append(ejection)
         key = (ejection.service, ejection.target)
-        count, _ = self._last.get(key, (0, ejection))
-        self._last[key] = (count + 1, ejection)
+        count, _ = self._counts.get(key, (0, ejection))
+        self._counts[key] = (count + 1, ejection)
 
     def revoke_for(self, bundle: bundles.Bundle) -> list[Ejection]:
         """Revoke the latest grants that a new bundle leaves no room for.
@@ -96,9 +98,12 @@
         """
         revoked: list[Ejection] = []
         for service in bundle.services:
-            while self._count_left(service, self._latest) < service.floor_slots:
+            while (
+                self._count_available(service, self._latest_grant_at)
+                < service.floor_slots
+            ):
                 ours = [e for e in self._granted if e.service == service.name]
-                ours = [e for e in ours if _holds(e, self._latest)]
+                ours = [e for e in ours if _holds_slots(e, self._latest_grant_at)]
                 if not ours:
                     break
                 self._granted.remove(ours[-1])
@@ -130,7 +135,7 @@
 
     def count_ejections(self, service: str, target: str, since: float) -> int:
         """Return how often a target was ejected, or 0 if not since `since`."""
-        known = self._last.get((service, target))
+        known = self._counts.get((service, target))
         if known is None or known[1].deadline < since:
             return 0
         return known[0]
@@ -143,7 +148,7 @@
         if target.draining:
             return "already draining"
         length = ejection.deadline - ejection.proposed_at
-        if not 0 < length <= MAX_LEASE:
+        if not 0 < length <= MAX_LEASE_S:
             return "lease out of bounds"
         at = ejection.proposed_at
         if any(
@@ -152,12 +157,12 @@
             if e.deadline > at
         ):
             return "already ejected"
-        left = self._count_left(service, at) - target.slots
+        left = self._count_available(service, at) - target.slots
         if left < service.floor_slots:
             return f"{left} slots would be left, under the floor"
         return ""
 
-    def _count_left(self, service: services.Service, at: float) -> int:
+    def _count_available(self, service: services.Service, at: float) -> int:
         """Return slots not draining and not held by a grant.
 
         A grant holds its slots a while past its deadline: clocks differ, and a target
@@ -166,7 +171,7 @@
         held = {
             ejection.target
             for ejection in self._granted
-            if ejection.service == service.name and _holds(ejection, at)
+            if ejection.service == service.name and _holds_slots(ejection, at)
         }
         return sum(
             target.slots
@@ -175,8 +180,8 @@
         )
 
 
-def _holds(ejection: Ejection, at: float) -> bool:
-    return ejection.deadline + HOLD_AFTER > at
+def _holds_slots(ejection: Ejection, at: float) -> bool:
+    return ejection.deadline + HOLD_AFTER_DEADLINE_S > at
 
 
 def pack(ejection: Ejection) -> bytes:
@@ -185,9 +190,9 @@
         ejection.service,
         ejection.target,
         ejection.ejected_by,
-        round(ejection.proposed_at * MILLISECONDS),
-        round(ejection.deadline * MILLISECONDS),
-        round(ejection.level * MILLISECONDS),
+        round(ejection.proposed_at * MS_PER_S),
+        round(ejection.deadline * MS_PER_S),
+        round(ejection.level * MS_PER_S),
     ]
     return codec.encode([EJECTION, fields])
 
@@ -200,9 +205,9 @@
                 service,
                 target,
                 by,
-                at / MILLISECONDS,
-                until / MILLISECONDS,
-                level / MILLISECONDS,
+                at / MS_PER_S,
+                until / MS_PER_S,
+                level / MS_PER_S,
             )
         case _:
             return None
--- a/packages/zinniastand-core/src/zinniastand_core/evidence.py
+++ b/packages/zinniastand-core/src/zinniastand_core/evidence.py
@@ -17,7 +17,7 @@
 MIN_SLOW_RATE = 0.08
 MAX_SLOW_RATE = 0.6
 MAX_SCORE = 40.0
-LOWEST_THRESHOLD = 6.0
+MIN_THRESHOLD = 6.0
 THRESHOLD_SPAN = 8.0
 
 
@@ -70,14 +70,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Test:
+class _Hypothesis:
     """Log likelihood ratios of one hypothesis about a failing target."""
 
     error: float
     slow: float
     good: float
 
-    def move(self, tally: Tally) -> float:
+    def find_change(self, tally: Tally) -> float:
         """Return by how much the outcomes move the score."""
         return (
             tally.error * self.error + tally.slow * self.slow + tally.good * self.good
@@ -90,7 +90,7 @@
     The weight goes from 0 (spare healthy targets) to 1 (detect sooner). A false alarm
     becomes about e times rarer with each unit of the score.
     """
-    return LOWEST_THRESHOLD + THRESHOLD_SPAN * (1.0 - detection_weight)
+    return MIN_THRESHOLD + THRESHOLD_SPAN * (1.0 - detection_weight)
 
 
 class Score:
@@ -106,8 +106,8 @@
 
     def add(self, tally: Tally, baseline: Baseline) -> None:
         """Take in outcomes."""
-        for index, test in enumerate(_make_tests(baseline)):
-            moved = self._levels[index] + test.move(tally)
+        for index, test in enumerate(_make_hypotheses(baseline)):
+            moved = self._levels[index] + test.find_change(tally)
             self._levels[index] = min(MAX_SCORE, max(0.0, moved))
 
     def shift(self, amount: float) -> None:
@@ -119,7 +119,9 @@
         self._levels = [level] * len(self._levels)
 
 
-def _make_tests(baseline: Baseline) -> tuple[_Test, _Test, _Test]:
+def _make_hypotheses(
+    baseline: Baseline,
+) -> tuple[_Hypothesis, _Hypothesis, _Hypothesis]:
     """Return the tests: fails often, fails now and then, is slow."""
     usual = min(MAX_ERROR_RATE, max(MIN_ERROR_RATE, baseline.error_rate))
     often = _test_errors(usual, max(0.5, min(0.95, 3 * usual)))
@@ -128,11 +130,11 @@
     return often, sometimes, _test_slowness(slow, max(0.5, min(0.95, 3 * slow)))
 
 
-def _test_errors(usual: float, failing: float) -> _Test:
+def _test_errors(usual: float, failing: float) -> _Hypothesis:
     good = math.log((1 - failing) / (1 - usual))
-    return _Test(error=math.log(failing / usual), slow=good, good=good)
+    return _Hypothesis(error=math.log(failing / usual), slow=good, good=good)
 
 
-def _test_slowness(usual: float, failing: float) -> _Test:
+def _test_slowness(usual: float, failing: float) -> _Hypothesis:
     good = math.log((1 - failing) / (1 - usual))
-    return _Test(error=0.0, slow=math.log(failing / usual), good=good)
+    return _Hypothesis(error=0.0, slow=math.log(failing / usual), good=good)
--- a/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
@@ -15,15 +15,15 @@
     timeline,
 )
 
-POOLS_PER_SERVICE = 2
-LEVELS_VALID_FOR = 3.0
-FIRST_LEASE = 20.0
-MOST_LEASE = 320.0
-FLAP_MEMORY = 900.0
-PROPOSAL_PAUSE = 2.0
-NOTICED_SHARE = 0.45
+POOLING_VMS_PER_SERVICE = 2
+LEVELS_VALIDITY_S = 3.0
+FIRST_LEASE_S = 20.0
+MAX_LEASE_S = 320.0
+FLAP_WINDOW_S = 900.0
+PROPOSAL_INTERVAL_S = 2.0
+ANNOUNCED_SHARE = 0.45
 CHANGED_SHARE = 0.3
-RETELL_AFTER = 1.4
+REPEAT_INTERVAL_S = 1.4
 
 Flood = collections.abc.Callable[
     [peer_messages.Message, str, float], list[control_actions.Action]
@@ -64,14 +64,14 @@
         self._routers: Routers = {}
         self._pools: dict[str, evidence_pool.EvidencePool] = {}
         self._levels_sent: dict[str, dict[str, float]] = {}
-        self._told_at: dict[str, float] = {}
+        self._announced_at: dict[str, float] = {}
         self._levels_seen: dict[tuple[str, str], int] = {}
-        self._picked: dict[str, list[str]] = {}
+        self._pooling_vms: dict[str, list[str]] = {}
         self._picked_at = -1
         self._sequence = 0
         self._proposed_at: dict[tuple[str, str], float] = {}
-        self._doubting: set[str] = set()
-        self._noticed: set[tuple[str, str]] = set()
+        self._self_doubting: set[str] = set()
+        self._suspected: set[tuple[str, str]] = set()
 
     def use_routers(self, routers: Routers) -> None:
         """Name the routers whose health is shared and steered, by service."""
@@ -100,26 +100,26 @@
             if not items:
                 continue
             message = peer_messages.Reports(name, observer, items)
-            for vm in self._pick_pools(name):
+            for vm in self._pick_pooling_vms(name):
                 if vm == own.vm:
-                    self.take_reports(message, now)
+                    self.pool_reports(message, now)
                 else:
-                    actions.append(control_actions.Tell(vm, message))
+                    actions.append(control_actions.SendMessage(vm, message))
         return actions
 
-    def take_reports(self, message: peer_messages.Reports, now: float) -> None:
+    def pool_reports(self, message: peer_messages.Reports, now: float) -> None:
         """Pool another VM's evidence."""
         pool = self._find_pool(message.service)
         if pool is not None:
             for report in message.items:
                 pool.add(message.observer, report, now)
 
-    def tell_levels(self, now: float) -> Actions:
+    def announce_levels(self, now: float) -> Actions:
         """Tell the fleet the pooled scores that matter."""
         actions: Actions = []
-        watch = self._members.watch()
+        watch = self._members.count_observers()
         for service, pool in self._pools.items():
-            least = NOTICED_SHARE * pool.threshold
+            least = ANNOUNCED_SHARE * pool.threshold
             levels = [
                 level
                 for level in pool.list_levels(watch, now)
@@ -127,20 +127,20 @@
             ]
             scores = {level.target: _find_highest(level) for level in levels}
             cleared = set(self._levels_sent.get(service, {})) - set(scores)
-            if not self._is_worth_telling(service, scores, pool.threshold, now):
+            if not self._must_announce(service, scores, pool.threshold, now):
                 continue
             self._levels_sent[service] = scores
-            self._told_at[service] = now
+            self._announced_at[service] = now
             self._sequence += 1
             levels += [evidence_pool.Level(name, 0.0, ()) for name in sorted(cleared)]
             message = peer_messages.Levels(
                 service, self._members.own.vm, self._sequence, tuple(levels)
             )
-            self._use_levels(message, now)
+            self._steer_by_levels(message, now)
             actions += self._flood(message, "", now)
         return actions
 
-    def _is_worth_telling(
+    def _must_announce(
         self, service: str, scores: dict[str, float], threshold: float, now: float
     ) -> bool:
         """Return whether scores have changed, or are about to lapse.
@@ -153,9 +153,12 @@
         step = CHANGED_SHARE * threshold
         if any(abs(scores[name] - before[name]) > step for name in scores):
             return True
-        return bool(scores) and now >= self._told_at.get(service, now) + RETELL_AFTER
+        return (
+            bool(scores)
+            and now >= self._announced_at.get(service, now) + REPEAT_INTERVAL_S
+        )
 
-    def take_levels(
+    def apply_levels(
         self, sender: str, message: peer_messages.Levels, now: float
     ) -> Actions:
         """Steer by another VM's pooled scores, and tell them on."""
@@ -163,23 +166,26 @@
         if message.sequence <= self._levels_seen.get(key, 0):
             return []
         self._levels_seen[key] = message.sequence
-        self._use_levels(message, now)
+        self._steer_by_levels(message, now)
         return self._flood(message, sender, now)
 
     def propose_ejections(self, now: float) -> Actions:
         """Propose what the evidence supports, where this VM pools first."""
         actions: Actions = []
-        watch = self._members.watch()
+        watch = self._members.count_observers()
         for service, pool in self._pools.items():
             routing = self._routers.get(service)
-            if routing is None or self._pick_pools(service)[0] != self._members.own.vm:
+            if (
+                routing is None
+                or self._pick_pooling_vms(service)[0] != self._members.own.vm
+            ):
                 continue
             places = {
                 target.name: target.data_centre
                 for target in routing.service.targets
                 if routing.is_in_service(target, now)
             }
-            for level in pool.list_condemned(places, watch, now):
+            for level in pool.list_ejectable(places, watch, now):
                 actions += self._propose(service, level.target, level.overall, now)
         return actions
 
@@ -194,32 +200,32 @@
         fresh = routing.health.take_fresh()
         targets = [target.name for target in routing.service.targets]
         doubts = routing.health.doubts_itself(targets, now)
-        self._note_doubt(name, doubts, now)
+        self._record_self_doubt(name, doubts, now)
         if doubts:
             return ()
         return tuple(
             evidence_pool.Report(subject, tally) for subject, tally in fresh.items()
         )
 
-    def _note_doubt(self, name: str, doubts: bool, now: float) -> None:
-        if doubts and name not in self._doubting:
-            self._doubting.add(name)
+    def _record_self_doubt(self, name: str, doubts: bool, now: float) -> None:
+        if doubts and name not in self._self_doubting:
+            self._self_doubting.add(name)
             kind = timeline.EventKind.SELF_DOUBTED
             detail = "most targets look bad from here: evidence is kept back"
             self._events.record(kind, name, detail, now)
         elif not doubts:
-            self._doubting.discard(name)
+            self._self_doubting.discard(name)
 
-    def _pick_pools(self, service: str) -> list[str]:
+    def _pick_pooling_vms(self, service: str) -> list[str]:
         if self._members.revision != self._picked_at:
             self._picked_at = self._members.revision
-            self._picked.clear()
-        found = self._picked.get(service)
+            self._pooling_vms.clear()
+        found = self._pooling_vms.get(service)
         if found is None:
             names = [member.vm for member in self._members.list_alive()]
             names.append(self._members.own.vm)
-            found = rendezvous.pick(f"pool/{service}", names, POOLS_PER_SERVICE)
-            self._picked[service] = found
+            found = rendezvous.pick(f"pool/{service}", names, POOLING_VMS_PER_SERVICE)
+            self._pooling_vms[service] = found
         return found
 
     def _find_pool(self, service: str) -> evidence_pool.EvidencePool | None:
@@ -232,7 +238,7 @@
             self._pools[service] = pool
         return pool
 
-    def _use_levels(self, message: peer_messages.Levels, now: float) -> None:
+    def _steer_by_levels(self, message: peer_messages.Levels, now: float) -> None:
         routing = self._routers.get(message.service)
         if routing is None:
             return
@@ -240,10 +246,10 @@
         place = self._members.own.data_centre
         for level in message.items:
             score = level.find_for(place)
-            routing.take_pooled(level.target, score, now + LEVELS_VALID_FOR)
-            self._note_level(message, level.target, score, threshold, now)
+            routing.take_pooled(level.target, score, now + LEVELS_VALIDITY_S)
+            self._record_level(message, level.target, score, threshold, now)
 
-    def _note_level(
+    def _record_level(
         self,
         message: peer_messages.Levels,
         target: str,
@@ -253,23 +259,27 @@
     ) -> None:
         key = (message.service, target)
         subject = f"{message.service}/{target}"
-        if level > 0 and key not in self._noticed:
-            self._noticed.add(key)
+        if level > 0 and key not in self._suspected:
+            self._suspected.add(key)
             detail = f"level {level:.1f} of {threshold:.1f}, by {message.pooled_by}"
             kind = timeline.EventKind.SUSPECTED
             self._events.record(kind, subject, detail, now)
-        elif level == 0 and key in self._noticed:
-            self._noticed.discard(key)
+        elif level == 0 and key in self._suspected:
+            self._suspected.discard(key)
             kind = timeline.EventKind.CLEARED
             self._events.record(kind, subject, "evidence has sunk", now)
 
     def _propose(self, service: str, target: str, level: float, now: float) -> Actions:
         key = (service, target)
-        if now < self._proposed_at.get(key, now - PROPOSAL_PAUSE) + PROPOSAL_PAUSE:
+        if (
+            now
+            < self._proposed_at.get(key, now - PROPOSAL_INTERVAL_S)
+            + PROPOSAL_INTERVAL_S
+        ):
             return []
         self._proposed_at[key] = now
-        count = self._ledger.count_ejections(service, target, now - FLAP_MEMORY)
-        lease = min(MOST_LEASE, FIRST_LEASE * 2**count)
+        count = self._ledger.count_ejections(service, target, now - FLAP_WINDOW_S)
+        lease = min(MAX_LEASE_S, FIRST_LEASE_S * 2**count)
         ejection = ejections.Ejection(
             service, target, self._members.own.vm, now, now + lease, level
         )
--- a/packages/zinniastand-core/src/zinniastand_core/evidence_pool.py
+++ b/packages/zinniastand-core/src/zinniastand_core/evidence_pool.py
@@ -12,14 +12,14 @@
 
 from . import baselines, evidence
 
-ACCUSERS_NEEDED = 2
-GROUP_SHARE = 0.6
-MASS_SHARE = 0.34
-MASS_LEAST = 2
-MASS_PAUSE = 5.0
-SUSTAINED_FOR = 1.4
-MEMORY = 30.0
-HALF = 0.5
+MIN_ACCUSING_DATA_CENTRES = 2
+DATA_CENTRE_SHARE = 0.6
+MASS_FAULT_SHARE = 0.34
+MIN_MASS_FAULT_TARGETS = 2
+MASS_FAULT_PAUSE_S = 5.0
+MIN_FAILING_DURATION_S = 1.4
+ACCUSATION_RETENTION_S = 30.0
+SUSPECT_THRESHOLD_SHARE = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Watch:
+class ObserverCounts:
     """How many can be asked to agree."""
 
     vms: int
@@ -76,7 +76,7 @@
         return max(self.overall, dict(self.by_data_centre).get(data_centre, 0.0))
 
 
-class _Case:
+class _PooledScores:
     """What has been pooled about one subject."""
 
     def __init__(self) -> None:
@@ -103,40 +103,40 @@
 
     def __init__(self, threshold: float) -> None:
         self.threshold = threshold
-        self._cases: dict[baselines.Subject, _Case] = {}
+        self._scores: dict[baselines.Subject, _PooledScores] = {}
         self._baselines = baselines.Baselines()
-        self._condemned_since: dict[str, float] = {}
-        self._calm_at = 0.0
+        self._failing_since: dict[str, float] = {}
+        self._paused_until = 0.0
 
     def add(self, observer: Observer, report: Report, now: float) -> None:
         """Take in what one observer saw."""
         tally = report.tally
         self._baselines.add(report.subject, tally)
         accuses = tally.error + tally.slow > 0
-        case = self._cases.get(report.subject)
+        case = self._scores.get(report.subject)
         if case is None:
             if not accuses:
                 return
-            case = self._cases[report.subject] = _Case()
+            case = self._scores[report.subject] = _PooledScores()
         case.add(observer.data_centre, tally, self._baselines.find(report.subject))
         if accuses:
             case.accused_at = now
 
-    def list_levels(self, watch: Watch, now: float) -> list[Level]:
+    def list_levels(self, watch: ObserverCounts, now: float) -> list[Level]:
         """Return the score of each accused target, over all kinds of work."""
         found: dict[str, Level] = {}
-        for subject, case in self._cases.items():
-            if now - case.accused_at > MEMORY:
+        for subject, case in self._scores.items():
+            if now - case.accused_at > ACCUSATION_RETENTION_S:
                 continue
-            level = self._judge(subject.target, case, watch)
+            level = self._make_level(subject.target, case, watch)
             known = found.get(subject.target)
             found[subject.target] = _merge(known, level) if known else level
         return list(found.values())
 
-    def list_condemned(
+    def list_ejectable(
         self,
         places: collections.abc.Mapping[str, str],
-        watch: Watch,
+        watch: ObserverCounts,
         now: float,
     ) -> list[Level]:
         """Return the targets fit for ejection, worst first.
@@ -152,7 +152,7 @@
         """
         levels = {v.target: v for v in self.list_levels(watch, now)}
         suspects = {name for name in places if self._is_suspect(levels.get(name))}
-        if self._look_for_mass(suspects, places, now):
+        if self._is_mass_fault(suspects, places, now):
             return []
         bad = {
             name
@@ -160,30 +160,38 @@
             if levels[name].overall >= self.threshold
             and not _blames_link(name, suspects, places)
         }
-        for name in set(self._condemned_since) - bad:
-            del self._condemned_since[name]
+        for name in set(self._failing_since) - bad:
+            del self._failing_since[name]
         for name in bad:
-            self._condemned_since.setdefault(name, now)
-        ripe = [n for n in bad if now - self._condemned_since[n] >= SUSTAINED_FOR]
+            self._failing_since.setdefault(name, now)
+        ripe = [
+            n for n in bad if now - self._failing_since[n] >= MIN_FAILING_DURATION_S
+        ]
         return sorted(
             (levels[name] for name in ripe), key=lambda v: (-v.overall, v.target)
         )
 
     def forget(self, target: str) -> None:
         """Drop what was pooled about a target."""
-        for subject in [s for s in self._cases if s.target == target]:
-            del self._cases[subject]
+        for subject in [s for s in self._scores if s.target == target]:
+            del self._scores[subject]
         self._baselines.forget(target)
-        self._condemned_since.pop(target, None)
+        self._failing_since.pop(target, None)
 
-    def _judge(self, target: str, case: _Case, watch: Watch) -> Level:
+    def _make_level(
+        self, target: str, case: _PooledScores, watch: ObserverCounts
+    ) -> Level:
         by_place = tuple(
             (place, score.level)
             for place, score in sorted(case.places.items())
             if score.level > 0
         )
-        needed = min(ACCUSERS_NEEDED, watch.data_centres)
-        accusers = [level for _, level in by_place if level >= HALF * self.threshold]
+        needed = min(MIN_ACCUSING_DATA_CENTRES, watch.data_centres)
+        accusers = [
+            level
+            for _, level in by_place
+            if level >= SUSPECT_THRESHOLD_SHARE * self.threshold
+        ]
         overall = case.overall.level if len(accusers) >= needed else 0.0
         return Level(target, overall, by_place)
 
@@ -191,9 +199,9 @@
         if level is None:
             return False
         highest = max((score for _, score in level.by_data_centre), default=0.0)
-        return max(level.overall, highest) >= HALF * self.threshold
+        return max(level.overall, highest) >= SUSPECT_THRESHOLD_SHARE * self.threshold
 
-    def _look_for_mass(
+    def _is_mass_fault(
         self,
         suspects: set[str],
         places: collections.abc.Mapping[str, str],
@@ -205,10 +213,12 @@
         followed, the evidence is worth nothing, and ejecting would only move the load
         onto the rest.
         """
-        if len(suspects) >= MASS_LEAST and len(suspects) > MASS_SHARE * len(places):
-            self._calm_at = now + MASS_PAUSE
-            self._condemned_since.clear()
-        return now < self._calm_at
+        if len(suspects) >= MIN_MASS_FAULT_TARGETS and len(
+            suspects
+        ) > MASS_FAULT_SHARE * len(places):
+            self._paused_until = now + MASS_FAULT_PAUSE_S
+            self._failing_since.clear()
+        return now < self._paused_until
 
 
 def _merge(one: Level, other: Level) -> Level:
@@ -226,4 +236,6 @@
     home = places[target]
     neighbours = [name for name, where in places.items() if where == home]
     bad = [name for name in neighbours if name in suspects]
-    return len(bad) >= MASS_LEAST and len(bad) > GROUP_SHARE * len(neighbours)
+    return len(bad) >= MIN_MASS_FAULT_TARGETS and len(bad) > DATA_CENTRE_SHARE * len(
+        neighbours
+    )
--- a/packages/zinniastand-core/src/zinniastand_core/member_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/member_exchange.py
@@ -6,10 +6,10 @@
 
 from . import control_actions, membership, overlay, peer_messages, timeline
 
-NEIGHBOUR_SILENT_FOR = 3.0
-LINK_DOUBTED_FOR = 60.0
-REUNION_PAUSE = 5.0
-RING_VALID_FOR = 2.0
+NEIGHBOUR_TIMEOUT_S = 3.0
+ONE_WAY_LINK_DURATION_S = 60.0
+REUNION_INTERVAL_S = 5.0
+RING_CACHE_S = 2.0
 
 Actions = list[control_actions.Action]
 
@@ -38,7 +38,7 @@
         self.members = membership.Membership(own)
         self._events = events
         self._links: dict[str, _Link] = {}
-        self._doubted_links: dict[str, float] = {}
+        self._one_way_links: dict[str, float] = {}
         self._reunion_at = 0.0
         self._ring_revision = -1
         self._ring_until = 0.0
@@ -52,19 +52,19 @@
             own = self.members.own.vm
             self._neighbours = overlay.pick_neighbours(own, names)
             self._ring_revision = revision
-            self._ring_until = now + RING_VALID_FOR
+            self._ring_until = now + RING_CACHE_S
         return list(self._neighbours)
 
     def make_beats(self, next_offset: int, version: int, now: float) -> Actions:
         """Return the heartbeats that are due."""
         actions: Actions = []
         receivers = self.list_neighbours(now)
-        receivers += self._pick_lost(now)
+        receivers += self._pick_down_vm(now)
         for vm in receivers:
-            known = self._links.get(vm, _Link(0, now + NEIGHBOUR_SILENT_FOR, 0))
+            known = self._links.get(vm, _Link(0, now + NEIGHBOUR_TIMEOUT_S, 0))
             self._links[vm] = dataclasses.replace(known, sent=known.sent + 1)
             beat = self.make_beat(vm, next_offset, version, False, now)
-            actions.append(control_actions.Tell(vm, beat))
+            actions.append(control_actions.SendMessage(vm, beat))
         return actions
 
     def make_beat(
@@ -83,7 +83,7 @@
             is_reply=is_reply,
         )
 
-    def take_beat(
+    def handle_beat(
         self, sender: str, beat: peer_messages.Beat, now: float
     ) -> tuple[Actions, bool]:
         """Take in a heartbeat; return actions, and whether it wants a reply."""
@@ -93,35 +93,37 @@
         wants_reply = not beat.is_reply and sender not in self.list_neighbours(now)
         known = self._links.get(sender, _Link(0, now, 0))
         self._links[sender] = _Link(
-            beat.sequence, now + NEIGHBOUR_SILENT_FOR, known.sent + int(wants_reply)
+            beat.sequence, now + NEIGHBOUR_TIMEOUT_S, known.sent + int(wants_reply)
         )
-        actions = self.take_sightings(
+        actions = self.apply_sightings(
             sender, peer_messages.Sightings((beat.sighting,)), now
         )
         if beat.members_digest != self.members.digest():
-            actions.append(control_actions.Tell(sender, peer_messages.MembersAsked()))
+            actions.append(
+                control_actions.SendMessage(sender, peer_messages.MembersAsked())
+            )
         return actions, wants_reply
 
     def answer_members(self, sender: str) -> Actions:
         """Return all news, for a VM that knows something else."""
         sightings = tuple(self.members.list_sightings())
-        return [control_actions.Tell(sender, peer_messages.Sightings(sightings))]
+        return [control_actions.SendMessage(sender, peer_messages.Sightings(sightings))]
 
-    def take_sightings(
+    def apply_sightings(
         self, sender: str, message: peer_messages.Sightings, now: float
     ) -> Actions:
         """Take in news of members and tell on what was new."""
         news: list[membership.Sighting] = []
         for sighting in message.items:
             before = self.members.find_status(sighting.member.vm)
-            told = self.members.take_sighting(sighting, now)
+            told = self.members.apply_sighting(sighting, now)
             if told is None:
                 continue
             news.append(told)
-            self._note_status(told, before, now)
+            self._record_status(told, before, now)
             if told.status is membership.Status.ALIVE and told.beat > 0:
                 # It contradicted a report of its loss: a link is bad, not the VM.
-                self._doubted_links[told.member.vm] = now + LINK_DOUBTED_FOR
+                self._one_way_links[told.member.vm] = now + ONE_WAY_LINK_DURATION_S
         if not news:
             return []
         return self.flood(peer_messages.Sightings(tuple(news)), sender, now)
@@ -137,12 +139,12 @@
             link = self._links.get(vm)
             if link is None or now < link.heard_until:
                 continue
-            if self._doubted_links.get(vm, 0.0) > now:
+            if self._one_way_links.get(vm, 0.0) > now:
                 continue
             news = self.members.declare_down(vm, now)
             del self._links[vm]
             if news is not None:
-                self._note_status(news, membership.Status.ALIVE, now)
+                self._record_status(news, membership.Status.ALIVE, now)
                 actions += self.flood(peer_messages.Sightings((news,)), "", now)
         return actions
 
@@ -155,9 +157,9 @@
         """Tell every neighbour in either direction, but not the one who told us."""
         callers = {vm for vm, link in self._links.items() if now < link.heard_until}
         receivers = callers.union(self.list_neighbours(now)) - {sender}
-        return [control_actions.Tell(vm, message) for vm in sorted(receivers)]
+        return [control_actions.SendMessage(vm, message) for vm in sorted(receivers)]
 
-    def _pick_lost(self, now: float) -> list[str]:
+    def _pick_down_vm(self, now: float) -> list[str]:
         """Return a lost VM to call now and then.
 
         After a partition each side holds the other for down, and nobody would call.
@@ -165,7 +167,7 @@
         """
         if now < self._reunion_at:
             return []
-        self._reunion_at = now + REUNION_PAUSE
+        self._reunion_at = now + REUNION_INTERVAL_S
         lost = [
             sighting.member.vm
             for sighting in self.members.list_sightings()
@@ -173,9 +175,9 @@
         ]
         if not lost:
             return []
-        return [sorted(lost)[int(now / REUNION_PAUSE) % len(lost)]]
+        return [sorted(lost)[int(now / REUNION_INTERVAL_S) % len(lost)]]
 
-    def _note_status(
+    def _record_status(
         self,
         sighting: membership.Sighting,
         before: membership.Status | None,
--- a/packages/zinniastand-core/src/zinniastand_core/membership.py
+++ b/packages/zinniastand-core/src/zinniastand_core/membership.py
@@ -15,8 +15,8 @@
 
 from . import evidence_pool
 
-LISTED_FOR = 15.0
-FORGET_AFTER = 600.0
+UNSEEN_CALL_DURATION_S = 15.0
+GONE_RETENTION_S = 600.0
 DIGEST_BYTES = 8
 
 
@@ -78,10 +78,10 @@
         self._own_sighting = Sighting(own, 0, Status.ALIVE)
         self._sightings: dict[str, Sighting] = {}
         self._listed: dict[str, tuple[Member, float]] = {}
-        self._forget_at: dict[str, float] = {}
+        self._remove_at: dict[str, float] = {}
         self._digest: bytes | None = None
         self._alive: list[Member] | None = None
-        self._watch: evidence_pool.Watch | None = None
+        self._observer_counts: evidence_pool.ObserverCounts | None = None
         self.revision = 0
 
     @property
@@ -94,18 +94,20 @@
         self._own_sighting = dataclasses.replace(
             self._own_sighting, status=Status.LEAVING
         )
-        self._forget_views()
+        self._invalidate_caches()
         return self._own_sighting
 
-    def take_list(self, members: collections.abc.Iterable[Member], now: float) -> None:
+    def merge_list(self, members: collections.abc.Iterable[Member], now: float) -> None:
         """Take in the platform's list, which tells whom to call at first."""
         for member in members:
             if member.vm == self.own.vm:
                 continue
-            _, deadline = self._listed.get(member.vm, (member, now + LISTED_FOR))
+            _, deadline = self._listed.get(
+                member.vm, (member, now + UNSEEN_CALL_DURATION_S)
+            )
             self._listed[member.vm] = (member, deadline)
 
-    def take_sighting(self, sighting: Sighting, now: float) -> Sighting | None:
+    def apply_sighting(self, sighting: Sighting, now: float) -> Sighting | None:
         """Take in news; return what is to be told on, or None where it is no news."""
         if sighting.member.vm == self.own.vm:
             return self._contradict(sighting)
@@ -113,11 +115,11 @@
         if known is not None and sighting.rank <= known.rank:
             return None
         self._sightings[sighting.member.vm] = sighting
-        self._forget_views()
+        self._invalidate_caches()
         if sighting.status is Status.ALIVE:
-            self._forget_at.pop(sighting.member.vm, None)
+            self._remove_at.pop(sighting.member.vm, None)
         else:
-            self._forget_at[sighting.member.vm] = now + FORGET_AFTER
+            self._remove_at[sighting.member.vm] = now + GONE_RETENTION_S
         return sighting
 
     def declare_down(self, vm: str, now: float) -> Sighting | None:
@@ -125,7 +127,7 @@
         known = self._sightings.get(vm)
         if known is None or known.status is not Status.ALIVE:
             return None
-        return self.take_sighting(dataclasses.replace(known, status=Status.DOWN), now)
+        return self.apply_sighting(dataclasses.replace(known, status=Status.DOWN), now)
 
     def find(self, vm: str) -> Member | None:
         """Return what is known of a VM, alive or not."""
@@ -167,16 +169,16 @@
     def digest(self) -> bytes:
         """Return a digest of all news, equal where two VMs know the same."""
         if self._digest is None:
-            self._digest = self._work_out_digest()
+            self._digest = self._compute_digest()
         return self._digest
 
-    def _forget_views(self) -> None:
+    def _invalidate_caches(self) -> None:
         self._digest = None
         self._alive = None
-        self._watch = None
+        self._observer_counts = None
         self.revision += 1
 
-    def _work_out_digest(self) -> bytes:
+    def _compute_digest(self) -> bytes:
         total = 0
         for sighting in self.list_sightings():
             content = f"{sighting.member.vm}\0{sighting.rank}".encode()
@@ -184,26 +186,28 @@
             total ^= int.from_bytes(hashed, "big")
         return total.to_bytes(DIGEST_BYTES, "big")
 
-    def watch(self) -> evidence_pool.Watch:
+    def count_observers(self) -> evidence_pool.ObserverCounts:
         """Return how many VMs and data centres can give evidence, with this one."""
-        if self._watch is None:
+        if self._observer_counts is None:
             alive = self.list_alive()
             places = {member.data_centre for member in alive} | {self.own.data_centre}
-            self._watch = evidence_pool.Watch(len(alive) + 1, len(places))
-        return self._watch
+            self._observer_counts = evidence_pool.ObserverCounts(
+                len(alive) + 1, len(places)
+            )
+        return self._observer_counts
 
-    def forget_gone(self, now: float) -> None:
+    def remove_departed(self, now: float) -> None:
         """Drop members that have been gone for long.
 
         They are remembered for a while, or late news of their being alive would bring
         them back.
         """
-        for vm, deadline in list(self._forget_at.items()):
+        for vm, deadline in list(self._remove_at.items()):
             if deadline <= now:
-                del self._forget_at[vm]
+                del self._remove_at[vm]
                 self._sightings.pop(vm, None)
                 self._listed.pop(vm, None)
-                self._forget_views()
+                self._invalidate_caches()
 
     def _contradict(self, sighting: Sighting) -> Sighting | None:
         own = self._own_sighting
@@ -213,5 +217,5 @@
             # This VM was paused and has been replaced under its name.
             return None
         self._own_sighting = dataclasses.replace(own, beat=sighting.beat + 1)
-        self._forget_views()
+        self._invalidate_caches()
         return self._own_sighting
--- a/packages/zinniastand-core/src/zinniastand_core/overlay.py
+++ b/packages/zinniastand-core/src/zinniastand_core/overlay.py
@@ -5,11 +5,11 @@
 import collections.abc
 import hashlib
 
-MOST_NEIGHBOURS = 4
+MAX_NEIGHBOURS = 4
 
 
 def pick_neighbours(
-    own: str, members: collections.abc.Iterable[str], most: int = MOST_NEIGHBOURS
+    own: str, members: collections.abc.Iterable[str], most: int = MAX_NEIGHBOURS
 ) -> list[str]:
     """Return the members that `own` calls: its successor, then ever longer strides.
 
@@ -17,7 +17,7 @@
     about log2(n) / 2 steps over edges used both ways, and any single loss leaves
     other ways round.
     """
-    ring = sorted({*members, own}, key=_place)
+    ring = sorted({*members, own}, key=_find_ring_position)
     count = len(ring)
     start = ring.index(own)
     strides = [1]
@@ -33,5 +33,5 @@
     return found
 
 
-def _place(vm: str) -> tuple[bytes, str]:
+def _find_ring_position(vm: str) -> tuple[bytes, str]:
     return hashlib.blake2b(vm.encode(), digest_size=8).digest(), vm
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/fleet.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/fleet.py
@@ -194,7 +194,7 @@
                 self._handle_settlement(message)
             case _:
                 now = self._timer.now()
-                self._execute(self._core.take_message(sender, message, now))
+                self._execute(self._core.handle_message(sender, message, now))
 
     async def _answer_claim(
         self, sender: str, message: peer_messages.ClaimAsked
@@ -216,7 +216,7 @@
     def _execute(self, actions: list[control_actions.Action]) -> None:
         for action in actions:
             match action:
-                case control_actions.Tell():
+                case control_actions.SendMessage():
                     self._send(action.vm, action.message)
                 case control_actions.AppendConfig():
                     self._group.start_soon(self._append_config, action.data)
@@ -248,7 +248,7 @@
             await anyio.sleep(TICK_INTERVAL_S)
             now = self._timer.now()
             self._execute(self._core.tick(now))
-            vms = self._core.members.watch().vms
+            vms = self._core.members.count_observers().vms
             self._table.set_vm_count(vms, now)
 
     async def _follow_config_stream(self) -> None:
@@ -274,7 +274,7 @@
             if page.entries:
                 now = self._timer.now()
                 self._execute(
-                    self._core.take_log_entries(page.offset, page.entries, now)
+                    self._core.apply_log_entries(page.offset, page.entries, now)
                 )
 
     def _is_config_reader(self) -> bool:
@@ -305,7 +305,7 @@
                 _logger.info("VM list unreadable", extra={"error": str(error)})
             else:
                 now = self._timer.now()
-                self._core.members.take_list(listed_vms.entry_vms, now)
+                self._core.members.merge_list(listed_vms.entry_vms, now)
                 self._mark_leaving_targets(listed_vms.leaving_hosts, now)
             await anyio.sleep(LIST_INTERVAL_S)
 
--- a/packages/zinniastand-standins/src/zinniastand_standins/virtual_fleet.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/virtual_fleet.py
@@ -59,14 +59,14 @@
     def _list_all(self) -> None:
         listed = [other.members.own for other in self.vms.values()]
         for other in self.vms.values():
-            other.members.take_list(listed, self.now)
+            other.members.merge_list(listed, self.now)
 
     def introduce(self) -> None:
         """Let every VM know every other, without the news of a common start."""
         sightings = [vm.members.own_sighting for vm in self.vms.values()]
         for process in self.vms.values():
             for sighting in sightings:
-                process.members.take_sighting(sighting, self.now)
+                process.members.apply_sighting(sighting, self.now)
 
     def publish(self, floor: int, by: str = "p") -> None:
         """Append a bundle with another floor."""
@@ -98,7 +98,7 @@
         start = max(process.config.next_offset, self.first_offset)
         entries = self.log[start:]
         if vm not in self.off_log and entries:
-            actions = process.take_log_entries(start, entries, self.now)
+            actions = process.apply_log_entries(start, entries, self.now)
             self.carry_out(vm, actions)
 
     def carry_out(self, vm: str, actions: list[control_actions.Action]) -> None:
@@ -106,13 +106,13 @@
         pending = collections.deque((vm, action) for action in actions)
         while pending:
             sender, action = pending.popleft()
-            if not isinstance(action, control_actions.Tell):
+            if not isinstance(action, control_actions.SendMessage):
                 continue
             self.told[sender] += len(peer_messages.encode(action.message))
             receiver = self.vms.get(action.vm)
             if receiver is None or (sender, action.vm) in self.cut:
                 continue
-            caused = receiver.take_message(sender, action.message, self.now)
+            caused = receiver.handle_message(sender, action.message, self.now)
             pending.extend((action.vm, item) for item in caused)
 
     def versions(self) -> set[int]:
--- a/tests/core/test_control.py
+++ b/tests/core/test_control.py
@@ -62,7 +62,7 @@
     fleet.run(8)
     assert fleet.count_alive("vm-0") == 7
     late = peer_messages.Sightings((old.members.own_sighting,))
-    fleet.carry_out("vm-1", [control_actions.Tell("vm-0", late)])
+    fleet.carry_out("vm-1", [control_actions.SendMessage("vm-0", late)])
     found = fleet.vms["vm-0"].members.find("vm-3")
     assert found is not None
     assert found.incarnation == 2
@@ -150,21 +150,21 @@
         if vm != "vm-0" and vm not in fleet.vms["vm-0"].list_neighbours(fleet.now)
     ]
     for tell in fleet.vms["vm-0"].tick(fleet.now + 1):
-        if isinstance(tell, control_actions.Tell):
+        if isinstance(tell, control_actions.SendMessage):
             if isinstance(tell.message, peer_messages.Beat):
                 beats.append(tell.message)
     stranger = fleet.vms[strangers[0]]
     (reply,) = [
         tell.message
-        for tell in stranger.take_message("vm-far", beats[0], fleet.now)
-        if isinstance(tell, control_actions.Tell)
+        for tell in stranger.handle_message("vm-far", beats[0], fleet.now)
+        if isinstance(tell, control_actions.SendMessage)
         and isinstance(tell.message, peer_messages.Beat)
     ]
     assert reply.is_reply
-    again = fleet.vms["vm-0"].take_message("vm-far", reply, fleet.now)
+    again = fleet.vms["vm-0"].handle_message("vm-far", reply, fleet.now)
     assert not [
         tell
         for tell in again
-        if isinstance(tell, control_actions.Tell)
+        if isinstance(tell, control_actions.SendMessage)
         and isinstance(tell.message, peer_messages.Beat)
     ]
--- a/tests/core/test_evidence_pool.py
+++ b/tests/core/test_evidence_pool.py
@@ -5,7 +5,7 @@
 from zinniastand_core import baselines, evidence, evidence_pool
 
 THRESHOLD = evidence.find_threshold(0.8)
-WATCH = evidence_pool.Watch(36, 3)
+WATCH = evidence_pool.ObserverCounts(36, 3)
 PLACES = {f"t{number}": f"dc-{number % 3}" for number in range(9)}
 GOOD = evidence.Tally(good=3)
 BAD = evidence.Tally(error=3)
@@ -26,7 +26,7 @@
                 tally = BAD if vm in bad.get(target, set()) else GOOD
                 subject = baselines.Subject(target, "lookup")
                 pool.add(observer, evidence_pool.Report(subject, tally), now)
-        pool.list_condemned(PLACES, WATCH, now)
+        pool.list_ejectable(PLACES, WATCH, now)
     return now
 
 
@@ -34,7 +34,7 @@
     """Return whom the pool condemns after four seconds."""
     pool = evidence_pool.EvidencePool(THRESHOLD)
     now = feed(pool, bad)
-    return [level.target for level in pool.list_condemned(PLACES, WATCH, now)]
+    return [level.target for level in pool.list_ejectable(PLACES, WATCH, now)]
 
 
 EVERYBODY = set(range(12))
@@ -55,7 +55,7 @@
     # not, and it stays in service.
     pool = evidence_pool.EvidencePool(THRESHOLD)
     now = feed(pool, {"t1": {0, 3, 6, 9}})
-    assert pool.list_condemned(PLACES, WATCH, now) == []
+    assert pool.list_ejectable(PLACES, WATCH, now) == []
     (level,) = [v for v in pool.list_levels(WATCH, now) if v.target == "t1"]
     assert level.find_for("dc-0") >= THRESHOLD
     assert level.find_for("dc-1") < 0.3 * THRESHOLD
--- a/tests/machines/floor.py
+++ b/tests/machines/floor.py
@@ -28,7 +28,7 @@
 VMS = 3
 KEY = ed25519.Ed25519PrivateKey.from_private_bytes(bytes(range(32)))
 TRUSTED = documents.make_operators({"a": KEY})
-SKEWS = (-ejections.CLOCK_ERROR / 2, 0.0, ejections.CLOCK_ERROR / 2)
+SKEWS = (-ejections.MAX_CLOCK_ERROR_S / 2, 0.0, ejections.MAX_CLOCK_ERROR_S / 2)
 
 
 class FloorMachine(hypothesis.stateful.RuleBasedStateMachine):
--- a/tests/machines/plants.py
+++ b/tests/machines/plants.py
@@ -193,8 +193,8 @@
         "slots are free again the moment a lease ends",
         floor.FloorMachine,
         ejections,
-        "HOLD_AFTER",
-        -2 * ejections.CLOCK_ERROR,
+        "HOLD_AFTER_DEADLINE_S",
+        -2 * ejections.MAX_CLOCK_ERROR_S,
     ),
 )
 
