--- a/packages/zinniastand-core/src/zinniastand_core/control.py
+++ b/packages/zinniastand-core/src/zinniastand_core/control.py
@@ -1,7 +1,7 @@
 """The control plane of one VM: members, configuration and pooled evidence.
 
-A state machine without I/O. It takes messages of peers, entries of the log and ticks,
-and returns what to tell whom and what to append.
+A state machine without I/O. Its inputs are messages of peers, entries of the log and
+ticks; it returns the messages to send and the records to append.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
     own : membership.Member
         This VM.
     trusted : services.Operators
-        The operators whom the settings name.
+        Operators named in the settings.
     retention : float
         Seconds for which the log keeps a record.
     events : timeline.Timeline
-        Where events are recorded.
+        Timeline in which events are recorded.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         )
 
     def tick(self, now: float) -> Actions:
-        """Do what is due; call about twice a second."""
+        """Return the actions that are due; call about twice a second."""
         actions: Actions = []
         if now >= self._beat_at:
             self._beat_at = now + HEARTBEAT_INTERVAL_S
@@ -76,17 +76,20 @@
         return actions
 
     def list_neighbours(self, now: float) -> list[str]:
-        """Return the VMs that this one calls."""
+        """Return the names of the VMs that this one connects to."""
         return self._member_exchange.list_neighbours(now)
 
     def leave(self, now: float) -> Actions:
-        """Announce that this VM is stopping."""
+        """Return the messages that announce that this VM is stopping."""
         return self._member_exchange.leave(now)
 
     def handle_message(
         self, sender: str, message: peer_messages.Message, now: float
     ) -> Actions:
-        """Take in a message of another VM."""
+        """Handle a message of another VM.
+
+        Messages of kinds that do not concern the control plane cause no actions.
+        """
         match message:
             case peer_messages.Beat():
                 return self._handle_beat(sender, message, now)
@@ -113,17 +116,18 @@
     def apply_log_entries(
         self, offset: int, data: collections.abc.Sequence[bytes], now: float
     ) -> Actions:
-        """Take in entries of the configuration stream, read from the log.
+        """Apply entries of the configuration stream, read from the log.
 
-        An `offset` past what was read means that the log no longer keeps the entries
-        between; the head is appended again often enough not to be among them.
+        If `offset` is past the next entry expected, the log has dropped the entries
+        between. The head is appended again within each retention period, so it is not
+        among them.
         """
         self.config.skip_to(offset)
         entries = peer_messages.Entries(offset, tuple(data))
         return self._config_exchange.take_entries("", entries, now)
 
     def find_due_snapshot(self, now: float) -> bytes | None:
-        """Return the head as a record, if this VM is to append it again now."""
+        """Return the head as a record if it is due to be appended, else None."""
         others = [member.vm for member in self.members.list_alive()]
         return self._config_exchange.find_due_snapshot(self.members.own.vm, others, now)
 
--- a/packages/zinniastand-core/src/zinniastand_core/control_actions.py
+++ b/packages/zinniastand-core/src/zinniastand_core/control_actions.py
@@ -1,4 +1,4 @@
-"""What the control plane of a VM asks its adapters to do."""
+"""Actions that the control plane of a VM hands to its I/O adapters."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message to a VM, calling it if need be."""
+    """Send a message to a VM, connecting to it first if necessary."""
 
     vm: str
-    """Whom."""
+    """Name of the receiving VM."""
 
     message: peer_messages.Message
-    """What."""
+    """Message to send."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -23,15 +23,15 @@
     """Append a record to the configuration stream."""
 
     data: bytes
-    """The record."""
+    """Encoded record."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reconfigure:
-    """A new bundle is in force."""
+    """Apply the bundle that has come into force."""
 
     version: int
-    """Its version."""
+    """Version of the bundle."""
 
 
 Action = SendMessage | AppendConfig | Reconfigure
--- a/packages/zinniastand-core/src/zinniastand_core/ejections.py
+++ b/packages/zinniastand-core/src/zinniastand_core/ejections.py
@@ -1,9 +1,10 @@
-"""Ejections from service, granted by one pure rule in log order under the floor.
+"""Ejections of targets from service, granted in log order without breaking the floor.
 
-An ejection is a record on the same stream as the bundles, so every VM that has read
-equally far grants the same ones. Each is a lease: it ends by itself at its deadline,
-and a VM that cannot read the log ejects nothing new. A VM that has not heard of an
-ejection goes on using the target, which never lowers capacity.
+An ejection is a record on the same stream as the bundles, and the rule that grants it
+is a pure function, so all VMs that have read the same entries grant the same
+ejections. Each is a lease: it ends by itself at its deadline, and a VM that cannot
+read the log ejects nothing new. A VM that has not yet read an ejection continues to
+use the target, which never lowers capacity.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ejection:
-    """A target taken out of service for a while."""
+    """Lease that takes a target out of service until a deadline."""
 
     service: str
     """Name of the service."""
@@ -40,10 +41,10 @@
     """Unix seconds, whole milliseconds, by the proposer's clock."""
 
     deadline: float
-    """Unix seconds, whole milliseconds, at which it ends by itself."""
+    """Unix seconds, whole milliseconds, at which the lease ends."""
 
     level: float
-    """Pooled score that it rests on."""
+    """Pooled score of the target when it was proposed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -51,17 +52,17 @@
     """Whether an ejection was granted."""
 
     ejection: Ejection
-    """Which."""
+    """Ejection that was decided on."""
 
     granted: bool
-    """Whether it is in force."""
+    """Whether the ejection is in force."""
 
     reason: str
-    """Why not, or empty."""
+    """Why it was refused, or empty if granted."""
 
 
 class EjectionLedger:
-    """The ejections granted so far, as one VM has read them."""
+    """Ejections granted in the part of the log that this VM has read."""
 
     def __init__(self) -> None:
         self._granted: list[Ejection] = []
@@ -69,7 +70,7 @@
         self._latest_grant_at = 0.0
 
     def apply(self, ejection: Ejection, bundle: bundles.Bundle) -> Decision:
-        """Rule on the next ejection of the log."""
+        """Decide on the next ejection of the log, and grant it if nothing objects."""
         service = bundle.find_service(ejection.service)
         if service is None:
             return Decision(ejection, False, "no such service")
@@ -79,7 +80,7 @@
         return Decision(ejection, not reason, reason)
 
     def grant(self, ejection: Ejection) -> None:
-        """Put an ejection in force that nothing objects to."""
+        """Put an ejection in force without checking for objections."""
         self._latest_grant_at = max(self._latest_grant_at, ejection.proposed_at)
         self._granted = [
             e for e in self._granted if _holds_slots(e, ejection.proposed_at)
@@ -90,11 +91,11 @@
         self._counts[key] = (count + 1, ejection)
 
     def revoke_for(self, bundle: bundles.Bundle) -> list[Ejection]:
-        """Revoke the latest grants that a new bundle leaves no room for.
+        """Revoke the latest grants for which a new bundle leaves too few slots.
 
-        It goes by the time of the latest grant, not by this VM's clock: two VMs that
-        read the bundle at different times must revoke the same, or their later grants
-        would differ and together go below the floor.
+        The time used is that of the latest grant, not this VM's clock. VMs that read
+        the bundle at different times must revoke the same grants; otherwise their
+        later grants would differ and together go below the floor.
         """
         revoked: list[Ejection] = []
         for service in bundle.services:
@@ -111,10 +112,10 @@
         return revoked
 
     def list_ejected(self, service: services.Service, now: float) -> set[str]:
-        """Return the targets of `service` that are out now.
+        """Return the names of the targets of `service` that are ejected now.
 
-        The oldest grants come first, and no more than the floor allows in the view of
-        this VM: drains that only this VM knows of may have lowered the capacity.
+        Grants are applied from the oldest on, as far as the floor allows on this VM:
+        drains that only this VM knows of may have lowered the capacity.
         """
         left = sum(target.slots for target in service.targets if not target.draining)
         ejected: set[str] = set()
@@ -130,18 +131,24 @@
         return ejected
 
     def list_granted(self) -> list[Ejection]:
-        """Return the grants that may still hold slots, oldest first."""
+        """Return the grants that may still hold slots, oldest first.
+
+        Expired grants are dropped only when another is granted.
+        """
         return list(self._granted)
 
     def count_ejections(self, service: str, target: str, since: float) -> int:
-        """Return how often a target was ejected, or 0 if not since `since`."""
+        """Return how often a target was ejected in all.
+
+        The count is 0 if its last ejection ended before `since` (Unix seconds).
+        """
         known = self._counts.get((service, target))
         if known is None or known[1].deadline < since:
             return 0
         return known[0]
 
     def find_objection(self, ejection: Ejection, service: services.Service) -> str:
-        """Return why an ejection is not granted, or an empty string."""
+        """Return why an ejection is refused, or an empty string if it is not."""
         target = service.find_target(ejection.target)
         if target is None:
             return "no such target"
@@ -163,10 +170,11 @@
         return ""
 
     def _count_available(self, service: services.Service, at: float) -> int:
-        """Return slots not draining and not held by a grant.
+        """Return the number of slots neither draining nor held by a grant.
 
-        A grant holds its slots a while past its deadline: clocks differ, and a target
-        that comes back ramps up, so its capacity is not whole yet.
+        A grant holds its slots for `HOLD_AFTER_DEADLINE_S` past its deadline: clocks
+        differ by up to `MAX_CLOCK_ERROR_S`, and a target that returns reaches its full
+        capacity only after `RAMP_S`.
         """
         held = {
             ejection.target
@@ -198,7 +206,7 @@
 
 
 def unpack(body: typing.Any) -> Ejection | None:
-    """Return the ejection in the body of a record, or None."""
+    """Return the ejection in the body of a record, or None if it is malformed."""
     match body:
         case [str(service), str(target), str(by), int(at), int(until), int(level)]:
             return Ejection(
@@ -214,7 +222,7 @@
 
 
 def read(data: bytes) -> Ejection | None:
-    """Return the ejection in a log record, or None."""
+    """Return the ejection in a log record, or None if it holds none."""
     match codec.decode(data):
         case expression.Result(tag="ok", ok=[kind, body]) if kind == EJECTION:
             return unpack(body)
--- a/packages/zinniastand-core/src/zinniastand_core/evidence.py
+++ b/packages/zinniastand-core/src/zinniastand_core/evidence.py
@@ -1,9 +1,9 @@
-"""Evidence for and against a target, tested one outcome at a time.
+"""Scores whether a target is failing, one outcome at a time.
 
 Each outcome moves a CUSUM score by its log likelihood ratio: how much likelier it is
 from a failing target than from a healthy one (Page, 1954, "Continuous inspection
-schemes"). "Healthy" is what the service's other targets do at the same time, so a
-fault that is everybody's accuses nobody.
+schemes"). "Healthy" is measured on the service's other targets at the same time,
+so a fault that all targets share accuses none of them.
 """
 
 from __future__ import annotations
@@ -22,30 +22,30 @@
 
 
 class Sign(enum.IntEnum):
-    """What one outcome says about a target."""
+    """Category of one outcome."""
 
     GOOD = 0
-    """A whole answer in the usual time."""
+    """A complete answer in the usual time."""
 
     ERROR = 1
-    """No answer, a cut one, or a server error."""
+    """No answer, a truncated answer, or a server error."""
 
     SLOW = 2
-    """A whole answer, far later than the other targets'."""
+    """A complete answer, but much later than those of the other targets."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tally:
-    """Outcomes of one target and kind of work, counted."""
+    """Numbers of outcomes of one target and kind of work."""
 
     good: int = 0
-    """Whole answers in the usual time."""
+    """Complete answers in the usual time."""
 
     error: int = 0
-    """Failures."""
+    """Missing or truncated answers and server errors."""
 
     slow: int = 0
-    """Late answers."""
+    """Complete but late answers."""
 
     def __add__(self, other: Tally) -> Tally:
         return Tally(
@@ -54,13 +54,13 @@
 
     @property
     def total(self) -> int:
-        """All outcomes."""
+        """Number of all outcomes."""
         return self.good + self.error + self.slow
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Baseline:
-    """How often the service's other targets fail or are slow."""
+    """Error and slowness rates of the service's other targets."""
 
     error_rate: float = MIN_ERROR_RATE
     """Share of outcomes that are errors."""
@@ -71,14 +71,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Hypothesis:
-    """Log likelihood ratios of one hypothesis about a failing target."""
+    """Log likelihood ratio of each outcome under one hypothesis of failure."""
 
     error: float
     slow: float
     good: float
 
     def find_change(self, tally: Tally) -> float:
-        """Return by how much the outcomes move the score."""
+        """Return the change of the score for these outcomes."""
         return (
             tally.error * self.error + tally.slow * self.slow + tally.good * self.good
         )
@@ -87,8 +87,12 @@
 def find_threshold(detection_weight: float) -> float:
     """Return the score at which a target counts as failing.
 
-    The weight goes from 0 (spare healthy targets) to 1 (detect sooner). A false alarm
-    becomes about e times rarer with each unit of the score.
+    Each unit of the score makes a false alarm about e times rarer.
+
+    Parameters
+    ----------
+    detection_weight : float
+        From 0 (fewest false alarms) to 1 (fastest detection).
     """
     return MIN_THRESHOLD + THRESHOLD_SPAN * (1.0 - detection_weight)
 
@@ -105,36 +109,36 @@
         return max(self._levels)
 
     def add(self, tally: Tally, baseline: Baseline) -> None:
-        """Take in outcomes."""
-        for index, test in enumerate(_make_hypotheses(baseline)):
-            moved = self._levels[index] + test.find_change(tally)
-            self._levels[index] = min(MAX_SCORE, max(0.0, moved))
+        """Update the scores with outcomes, each kept within 0 and `MAX_SCORE`."""
+        for index, hypothesis in enumerate(_make_hypotheses(baseline)):
+            updated = self._levels[index] + hypothesis.find_change(tally)
+            self._levels[index] = min(MAX_SCORE, max(0.0, updated))
 
     def shift(self, amount: float) -> None:
-        """Move every score, not below zero."""
+        """Add `amount` to every score, with zero as the lower bound."""
         self._levels = [max(0.0, level + amount) for level in self._levels]
 
     def reset(self, level: float = 0.0) -> None:
-        """Begin anew at `level`."""
+        """Set every score to `level`."""
         self._levels = [level] * len(self._levels)
 
 
 def _make_hypotheses(
     baseline: Baseline,
 ) -> tuple[_Hypothesis, _Hypothesis, _Hypothesis]:
-    """Return the tests: fails often, fails now and then, is slow."""
+    """Return the hypotheses: fails often, fails sometimes, is slow."""
     usual = min(MAX_ERROR_RATE, max(MIN_ERROR_RATE, baseline.error_rate))
-    often = _test_errors(usual, max(0.5, min(0.95, 3 * usual)))
-    sometimes = _test_errors(usual, min(0.9, 8 * usual))
+    often = _hypothesize_errors(usual, max(0.5, min(0.95, 3 * usual)))
+    sometimes = _hypothesize_errors(usual, min(0.9, 8 * usual))
     slow = min(MAX_SLOW_RATE, max(MIN_SLOW_RATE, baseline.slow_rate))
-    return often, sometimes, _test_slowness(slow, max(0.5, min(0.95, 3 * slow)))
+    return often, sometimes, _hypothesize_slowness(slow, max(0.5, min(0.95, 3 * slow)))
 
 
-def _test_errors(usual: float, failing: float) -> _Hypothesis:
+def _hypothesize_errors(usual: float, failing: float) -> _Hypothesis:
     good = math.log((1 - failing) / (1 - usual))
     return _Hypothesis(error=math.log(failing / usual), slow=good, good=good)
 
 
-def _test_slowness(usual: float, failing: float) -> _Hypothesis:
+def _hypothesize_slowness(usual: float, failing: float) -> _Hypothesis:
     good = math.log((1 - failing) / (1 - usual))
     return _Hypothesis(error=0.0, slow=math.log(failing / usual), good=good)
--- a/packages/zinniastand-core/src/zinniastand_core/evidence_pool.py
+++ b/packages/zinniastand-core/src/zinniastand_core/evidence_pool.py
@@ -1,8 +1,9 @@
-"""Evidence of many VMs about one service, summed where no VM alone sees enough.
+"""Pools the evidence of many VMs about the targets of one service.
 
-Steering follows the sum at once. Ejection is rarer: the VMs of two data centres must
-each find the target failing, for some time, while most of the service looks well. One
-observer or one link cannot bring that about, nor can a fault that is everybody's.
+A single VM often sees too few outcomes to judge a target. Routing follows the pooled
+scores at once. Ejection needs more: the VMs of two data centres must each find the
+target failing for `MIN_FAILING_DURATION_S`, while most of the service looks healthy.
+Neither one observer, one broken link nor a fault of the whole service can eject.
 """
 
 from __future__ import annotations
@@ -24,21 +25,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Observer:
-    """A VM that reports evidence."""
+    """VM that reports evidence."""
 
     vm: str
     """Name of the VM."""
 
     data_centre: str
-    """Where it runs."""
+    """Data centre in which the VM runs."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ObserverCounts:
-    """How many can be asked to agree."""
+    """How many VMs and data centres can contribute evidence."""
 
     vms: int
-    """VMs known to be alive."""
+    """VMs known to be alive, the counting one included."""
 
     data_centres: int
     """Data centres in which they run."""
@@ -46,50 +47,52 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """Fresh outcomes of one target and kind, from one VM."""
+    """Outcomes of one target and kind of work that one VM has not reported before."""
 
     subject: baselines.Subject
-    """What they are about."""
+    """Target and kind of work."""
 
     tally: evidence.Tally
-    """Outcomes since this VM's last report."""
+    """Outcomes since this VM's previous report."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Level:
-    """The score of one target."""
+    """Pooled score of one target."""
 
     target: str
     """Name of the target."""
 
     overall: float
-    """Score over all VMs, where several data centres accuse; else 0."""
+    """Score over all VMs if enough data centres accuse the target, else 0."""
 
     by_data_centre: tuple[tuple[str, float], ...]
-    """Score of each accusing data centre's own VMs."""
+    """Positive scores from the VMs of each data centre alone, sorted by name."""
 
     def find_for(self, data_centre: str) -> float:
-        """Return the score that a VM of a data centre should go by.
+        """Return the score that VMs of a data centre should use for routing.
 
-        A link that is bad from one data centre concerns the VMs there, and no others.
+        A link that is bad from one data centre affects only the VMs in it.
         """
         return max(self.overall, dict(self.by_data_centre).get(data_centre, 0.0))
 
 
 class _PooledScores:
-    """What has been pooled about one subject."""
+    """Scores pooled for one target and kind of work."""
 
     def __init__(self) -> None:
         self.overall = evidence.Score()
-        self.places: dict[str, evidence.Score] = {}
+        self.by_data_centre: dict[str, evidence.Score] = {}
         self.accused_at = 0.0
 
     def add(
-        self, place: str, tally: evidence.Tally, baseline: evidence.Baseline
+        self, data_centre: str, tally: evidence.Tally, baseline: evidence.Baseline
     ) -> None:
-        """Take in outcomes that the VMs of one data centre saw."""
+        """Add outcomes seen by the VMs of one data centre."""
         self.overall.add(tally, baseline)
-        self.places.setdefault(place, evidence.Score()).add(tally, baseline)
+        self.by_data_centre.setdefault(data_centre, evidence.Score()).add(
+            tally, baseline
+        )
 
 
 class EvidencePool:
@@ -109,91 +112,96 @@
         self._paused_until = 0.0
 
     def add(self, observer: Observer, report: Report, now: float) -> None:
-        """Take in what one observer saw."""
+        """Add the outcomes reported by one observer."""
         tally = report.tally
         self._baselines.add(report.subject, tally)
         accuses = tally.error + tally.slow > 0
-        case = self._scores.get(report.subject)
-        if case is None:
+        pooled = self._scores.get(report.subject)
+        if pooled is None:
             if not accuses:
                 return
-            case = self._scores[report.subject] = _PooledScores()
-        case.add(observer.data_centre, tally, self._baselines.find(report.subject))
+            pooled = self._scores[report.subject] = _PooledScores()
+        pooled.add(observer.data_centre, tally, self._baselines.find(report.subject))
         if accuses:
-            case.accused_at = now
+            pooled.accused_at = now
+
+    def list_levels(self, observer_counts: ObserverCounts, now: float) -> list[Level]:
+        """Return the highest score of each accused target over all kinds of work.
 
-    def list_levels(self, watch: ObserverCounts, now: float) -> list[Level]:
-        """Return the score of each accused target, over all kinds of work."""
+        Targets without a bad outcome for `ACCUSATION_RETENTION_S` are left out.
+        """
         found: dict[str, Level] = {}
-        for subject, case in self._scores.items():
-            if now - case.accused_at > ACCUSATION_RETENTION_S:
+        for subject, pooled in self._scores.items():
+            if now - pooled.accused_at > ACCUSATION_RETENTION_S:
                 continue
-            level = self._make_level(subject.target, case, watch)
+            level = self._make_level(subject.target, pooled, observer_counts)
             known = found.get(subject.target)
             found[subject.target] = _merge(known, level) if known else level
         return list(found.values())
 
     def list_ejectable(
         self,
-        places: collections.abc.Mapping[str, str],
-        watch: ObserverCounts,
+        target_data_centres: collections.abc.Mapping[str, str],
+        observer_counts: ObserverCounts,
         now: float,
     ) -> list[Level]:
-        """Return the targets fit for ejection, worst first.
+        """Return the targets that may be ejected, highest score first.
 
         Parameters
         ----------
-        places : mapping
+        target_data_centres : mapping
             Data centre of each target that is in service.
-        watch : Watch
-            Who could have reported.
+        observer_counts : ObserverCounts
+            VMs and data centres that can contribute evidence.
         now : float
             Unix seconds.
         """
-        levels = {v.target: v for v in self.list_levels(watch, now)}
-        suspects = {name for name in places if self._is_suspect(levels.get(name))}
-        if self._is_mass_fault(suspects, places, now):
+        levels = {v.target: v for v in self.list_levels(observer_counts, now)}
+        suspects = {
+            name for name in target_data_centres if self._is_suspect(levels.get(name))
+        }
+        if self._is_mass_fault(suspects, target_data_centres, now):
             return []
         bad = {
             name
             for name in suspects
             if levels[name].overall >= self.threshold
-            and not _blames_link(name, suspects, places)
+            and not _blames_link(name, suspects, target_data_centres)
         }
         for name in set(self._failing_since) - bad:
             del self._failing_since[name]
         for name in bad:
             self._failing_since.setdefault(name, now)
-        ripe = [
+        sustained = [
             n for n in bad if now - self._failing_since[n] >= MIN_FAILING_DURATION_S
         ]
         return sorted(
-            (levels[name] for name in ripe), key=lambda v: (-v.overall, v.target)
+            (levels[name] for name in sustained), key=lambda v: (-v.overall, v.target)
         )
 
     def forget(self, target: str) -> None:
-        """Drop what was pooled about a target."""
+        """Drop all evidence about a target."""
         for subject in [s for s in self._scores if s.target == target]:
             del self._scores[subject]
         self._baselines.forget(target)
         self._failing_since.pop(target, None)
 
     def _make_level(
-        self, target: str, case: _PooledScores, watch: ObserverCounts
+        self, target: str, pooled: _PooledScores, observer_counts: ObserverCounts
     ) -> Level:
-        by_place = tuple(
-            (place, score.level)
-            for place, score in sorted(case.places.items())
+        level_by_data_centre = tuple(
+            (data_centre, score.level)
+            for data_centre, score in sorted(pooled.by_data_centre.items())
             if score.level > 0
         )
-        needed = min(MIN_ACCUSING_DATA_CENTRES, watch.data_centres)
+        needed = min(MIN_ACCUSING_DATA_CENTRES, observer_counts.data_centres)
         accusers = [
             level
-            for _, level in by_place
+            for _, level in level_by_data_centre
             if level >= SUSPECT_THRESHOLD_SHARE * self.threshold
         ]
-        overall = case.overall.level if len(accusers) >= needed else 0.0
-        return Level(target, overall, by_place)
+        overall = pooled.overall.level if len(accusers) >= needed else 0.0
+        return Level(target, overall, level_by_data_centre)
 
     def _is_suspect(self, level: Level | None) -> bool:
         if level is None:
@@ -204,37 +212,46 @@
     def _is_mass_fault(
         self,
         suspects: set[str],
-        places: collections.abc.Mapping[str, str],
+        target_data_centres: collections.abc.Mapping[str, str],
         now: float,
     ) -> bool:
-        """Return whether much of the service looks bad, or did a moment ago.
+        """Return whether much of the service looks bad, or did recently.
 
-        Then the fault is everybody's, or the observers'. Until the baseline has
-        followed, the evidence is worth nothing, and ejecting would only move the load
-        onto the rest.
+        The fault then lies in the whole service or with the observers. Until the
+        baseline has adapted (`MASS_FAULT_PAUSE_S`), the evidence says nothing about
+        single targets, and ejecting would only move the load onto the others.
         """
         if len(suspects) >= MIN_MASS_FAULT_TARGETS and len(
             suspects
-        ) > MASS_FAULT_SHARE * len(places):
+        ) > MASS_FAULT_SHARE * len(target_data_centres):
             self._paused_until = now + MASS_FAULT_PAUSE_S
             self._failing_since.clear()
         return now < self._paused_until
 
 
 def _merge(one: Level, other: Level) -> Level:
-    places = dict(one.by_data_centre)
-    for place, level in other.by_data_centre:
-        places[place] = max(level, places.get(place, 0.0))
+    merged = dict(one.by_data_centre)
+    for data_centre, level in other.by_data_centre:
+        merged[data_centre] = max(level, merged.get(data_centre, 0.0))
     overall = max(one.overall, other.overall)
-    return Level(one.target, overall, tuple(sorted(places.items())))
+    return Level(one.target, overall, tuple(sorted(merged.items())))
 
 
 def _blames_link(
-    target: str, suspects: set[str], places: collections.abc.Mapping[str, str]
+    target: str,
+    suspects: set[str],
+    target_data_centres: collections.abc.Mapping[str, str],
 ) -> bool:
-    """Return whether most of the target's data centre looks bad at once."""
-    home = places[target]
-    neighbours = [name for name, where in places.items() if where == home]
+    """Return whether most targets in the target's data centre look bad at once.
+
+    The link to the data centre is then a likelier cause than its targets.
+    """
+    own_data_centre = target_data_centres[target]
+    neighbours = [
+        name
+        for name, location in target_data_centres.items()
+        if location == own_data_centre
+    ]
     bad = [name for name in neighbours if name in suspects]
     return len(bad) >= MIN_MASS_FAULT_TARGETS and len(bad) > DATA_CENTRE_SHARE * len(
         neighbours
--- a/packages/zinniastand-core/src/zinniastand_core/membership.py
+++ b/packages/zinniastand-core/src/zinniastand_core/membership.py
@@ -1,9 +1,9 @@
-"""Which VMs are alive: the platform's list, corrected by the VMs' own news.
+"""Tracks which VMs are alive, from the platform's list and sightings among VMs.
 
-The list lags: it names VMs that are gone and misses new ones. News of a member carries
-its incarnation, so a replaced VM is not mistaken for its predecessor, nor a paused one
-that wakes up for its replacement. Only changes travel; a steady fleet of any size says
-nothing but its neighbours' heartbeats.
+The list lags: it names VMs that are gone and misses new ones. A sighting carries the
+member's incarnation, so a replaced VM is not mistaken for its predecessor, nor a paused
+one that resumes for its replacement. Only changes are sent; a steady fleet of any size
+sends only heartbeats between neighbours.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Status(enum.IntEnum):
-    """State of a member; of two claims about one beat the higher one holds."""
+    """State of a member; of two sightings with equal beats the higher state wins."""
 
     ALIVE = 0
     LEAVING = 1
@@ -33,34 +33,34 @@
     """A VM of the fleet."""
 
     vm: str
-    """Name."""
+    """Name of the VM."""
 
     data_centre: str
-    """Where it runs."""
+    """Data centre in which the VM runs."""
 
     url: str
-    """Where peers reach it."""
+    """URL at which peers reach it."""
 
     incarnation: int
-    """Grows with every start."""
+    """Number that increases with every start."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sighting:
-    """News of a member."""
+    """Reported state of a member."""
 
     member: Member
-    """Who."""
+    """Member that the sighting is about."""
 
     beat: int
-    """Grows when the member contradicts a false report about itself."""
+    """Number that the member increases to contradict a false report about itself."""
 
     status: Status
-    """Its state."""
+    """State of the member."""
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Order of news about one member; the highest holds."""
+        """Sort key of sightings of one member; the highest wins."""
         return self.member.incarnation, self.beat, self.status.value
 
 
@@ -86,11 +86,11 @@
 
     @property
     def own_sighting(self) -> Sighting:
-        """What this VM says of itself."""
+        """Sighting of this VM by itself."""
         return self._own_sighting
 
     def leave(self) -> Sighting:
-        """Say from now on that this VM is stopping."""
+        """Mark this VM as stopping and return its new sighting."""
         self._own_sighting = dataclasses.replace(
             self._own_sighting, status=Status.LEAVING
         )
@@ -98,7 +98,7 @@
         return self._own_sighting
 
     def merge_list(self, members: collections.abc.Iterable[Member], now: float) -> None:
-        """Take in the platform's list, which tells whom to call at first."""
+        """Merge the platform's list, which names the VMs to connect to at first."""
         for member in members:
             if member.vm == self.own.vm:
                 continue
@@ -108,7 +108,11 @@
             self._listed[member.vm] = (member, deadline)
 
     def apply_sighting(self, sighting: Sighting, now: float) -> Sighting | None:
-        """Take in news; return what is to be told on, or None where it is no news."""
+        """Apply a sighting.
+
+        Returns the sighting to relay: the given one, or this VM's contradiction of it.
+        Returns None if it adds nothing.
+        """
         if sighting.member.vm == self.own.vm:
             return self._contradict(sighting)
         known = self._sightings.get(sighting.member.vm)
@@ -123,26 +127,29 @@
         return sighting
 
     def declare_down(self, vm: str, now: float) -> Sighting | None:
-        """Say that a neighbour fell silent; return the news to be told on."""
+        """Record that a neighbour stopped sending heartbeats.
+
+        Returns the sighting to relay, or None if the VM was not known to be alive.
+        """
         known = self._sightings.get(vm)
         if known is None or known.status is not Status.ALIVE:
             return None
         return self.apply_sighting(dataclasses.replace(known, status=Status.DOWN), now)
 
     def find(self, vm: str) -> Member | None:
-        """Return what is known of a VM, alive or not."""
+        """Return a VM by name, alive or not, or None if it is unknown."""
         sighting = self._sightings.get(vm)
         if sighting is not None:
             return sighting.member
         return self._listed[vm][0] if vm in self._listed else None
 
     def find_status(self, vm: str) -> Status | None:
-        """Return the state of a VM, or None where nobody has seen it."""
+        """Return the state of a VM, or None if there is no sighting of it."""
         sighting = self._sightings.get(vm)
         return sighting.status if sighting else None
 
     def list_alive(self) -> list[Member]:
-        """Return the other members that were seen and are thought to be up."""
+        """Return the other members whose latest sighting says that they are alive."""
         if self._alive is None:
             self._alive = self._find_alive()
         return self._alive
@@ -155,7 +162,11 @@
         ]
 
     def list_callable(self, now: float) -> list[Member]:
-        """Return the members worth calling: alive, or listed and not seen yet."""
+        """Return the members to connect to, sorted by name.
+
+        They are alive, or were listed less than `UNSEEN_CALL_DURATION_S` ago and not
+        seen yet.
+        """
         found = {member.vm: member for member in self.list_alive()}
         for vm, (member, deadline) in self._listed.items():
             if vm not in self._sightings and now < deadline:
@@ -163,11 +174,11 @@
         return [found[vm] for vm in sorted(found)]
 
     def list_sightings(self) -> list[Sighting]:
-        """Return the news of every member, this one included."""
+        """Return the sightings of all members, this one included."""
         return [self._own_sighting, *self._sightings.values()]
 
     def digest(self) -> bytes:
-        """Return a digest of all news, equal where two VMs know the same."""
+        """Return a digest of all sightings, equal on VMs with equal knowledge."""
         if self._digest is None:
             self._digest = self._compute_digest()
         return self._digest
@@ -187,20 +198,21 @@
         return total.to_bytes(DIGEST_BYTES, "big")
 
     def count_observers(self) -> evidence_pool.ObserverCounts:
-        """Return how many VMs and data centres can give evidence, with this one."""
+        """Return how many VMs and data centres can give evidence, this VM included."""
         if self._observer_counts is None:
             alive = self.list_alive()
-            places = {member.data_centre for member in alive} | {self.own.data_centre}
+            data_centres = {member.data_centre for member in alive} | {
+                self.own.data_centre
+            }
             self._observer_counts = evidence_pool.ObserverCounts(
-                len(alive) + 1, len(places)
+                len(alive) + 1, len(data_centres)
             )
         return self._observer_counts
 
     def remove_departed(self, now: float) -> None:
-        """Drop members that have been gone for long.
+        """Drop members that have been gone for `GONE_RETENTION_S`.
 
-        They are remembered for a while, or late news of their being alive would bring
-        them back.
+        Until then they are kept, since a late sighting could otherwise bring them back.
         """
         for vm, deadline in list(self._remove_at.items()):
             if deadline <= now:
@@ -214,7 +226,7 @@
         if sighting.rank <= own.rank:
             return None
         if sighting.member.incarnation > own.member.incarnation:
-            # This VM was paused and has been replaced under its name.
+            # This VM was paused, and a replacement has taken its name meanwhile.
             return None
         self._own_sighting = dataclasses.replace(own, beat=sighting.beat + 1)
         self._invalidate_caches()
--- a/packages/zinniastand-core/src/zinniastand_core/overlay.py
+++ b/packages/zinniastand-core/src/zinniastand_core/overlay.py
@@ -1,4 +1,7 @@
-"""Whom a VM talks to: a few neighbours on a ring, so the cost stays flat."""
+"""Picks the neighbours of a VM on a ring.
+
+Their number is bounded, so heartbeats cost a VM the same in a fleet of any size.
+"""
 
 from __future__ import annotations
 
@@ -9,22 +12,22 @@
 
 
 def pick_neighbours(
-    own: str, members: collections.abc.Iterable[str], most: int = MAX_NEIGHBOURS
+    own: str, members: collections.abc.Iterable[str], limit: int = MAX_NEIGHBOURS
 ) -> list[str]:
-    """Return the members that `own` calls: its successor, then ever longer strides.
+    """Return the members that `own` calls: its successor and some at longer strides.
 
-    Strides that halve (a half, a quarter, ... of the ring) let news reach everybody in
-    about log2(n) / 2 steps over edges used both ways, and any single loss leaves
-    other ways round.
+    With strides of a half, a quarter, ... of the ring, and edges used both ways,
+    updates reach all members in about log2(n) / 2 steps. After the loss of any single
+    member or edge, other paths remain.
     """
     ring = sorted({*members, own}, key=_find_ring_position)
     count = len(ring)
     start = ring.index(own)
     strides = [1]
-    reach = count // 2
-    while reach > 1 and len(strides) < most:
-        strides.append(reach)
-        reach //= 2
+    next_stride = count // 2
+    while next_stride > 1 and len(strides) < limit:
+        strides.append(next_stride)
+        next_stride //= 2
     found: list[str] = []
     for stride in strides:
         member = ring[(start + stride) % count]
