--- a/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
@@ -1,4 +1,4 @@
-"""Evidence about targets, pooled by a few VMs and acted on by all."""
+"""Exchanges evidence about targets: a few VMs pool it, and all act on the scores."""
 
 from __future__ import annotations
 
@@ -33,21 +33,21 @@
 
 
 class EvidenceExchange:
-    """The part of the control plane that judges targets together.
+    """The part of the control plane that combines the VMs' evidence about targets.
 
-    Each service has two VMs that pool its evidence, by rendezvous hashing. They tell
-    the scores to the whole fleet, and the first of them proposes ejections.
+    Rendezvous hashing picks two VMs for each service to pool its evidence. They
+    announce the scores to the whole fleet, and the first of them proposes ejections.
 
     Parameters
     ----------
     members : membership.Membership
-        Who is there.
+        Members of the fleet.
     ledger : ejections.EjectionLedger
         Ejections granted so far.
     events : timeline.Timeline
-        Where events are recorded.
+        Timeline in which events are recorded.
     flood : callable
-        Makes the actions that tell a message to all neighbours but one.
+        Returns the actions that send a message to all neighbours but one.
     """
 
     def __init__(
@@ -74,24 +74,24 @@
         self._suspected: set[tuple[str, str]] = set()
 
     def use_routers(self, routers: Routers) -> None:
-        """Name the routers whose health is shared and steered, by service."""
+        """Set the routers, by service, that supply outcomes and follow the scores."""
         self._routers = routers
 
     def apply_ejections(self, now: float) -> None:
-        """Bring every router up to the ejections in force."""
+        """Apply the ejections in force to every router."""
         for name, routing in self._routers.items():
             ejected = self._ledger.list_ejected(routing.service, now)
             for target in routing.list_ejected() - ejected:
                 kind = timeline.EventKind.READMITTED
                 self._events.record(kind, f"{name}/{target}", "ramping up", now)
             for target in ejected - routing.list_ejected():
-                # Old evidence must not eject it again the moment it comes back.
+                # Outdated evidence must not eject the target again once it returns.
                 if name in self._pools:
                     self._pools[name].forget(target)
             routing.take_ejected(ejected, now)
 
     def report(self, now: float) -> Actions:
-        """Send fresh evidence to the VMs that pool it."""
+        """Return the reports of new outcomes for the VMs that pool them."""
         actions: Actions = []
         own = self._members.own
         observer = evidence_pool.Observer(own.vm, own.data_centre)
@@ -108,22 +108,22 @@
         return actions
 
     def pool_reports(self, message: peer_messages.Reports, now: float) -> None:
-        """Pool another VM's evidence."""
+        """Add reported evidence to the pool of its service."""
         pool = self._find_pool(message.service)
         if pool is not None:
             for report in message.items:
                 pool.add(message.observer, report, now)
 
     def announce_levels(self, now: float) -> Actions:
-        """Tell the fleet the pooled scores that matter."""
+        """Announce pooled scores from `ANNOUNCED_SHARE` of the threshold on."""
         actions: Actions = []
-        watch = self._members.count_observers()
+        observer_counts = self._members.count_observers()
         for service, pool in self._pools.items():
-            least = ANNOUNCED_SHARE * pool.threshold
+            minimum = ANNOUNCED_SHARE * pool.threshold
             levels = [
                 level
-                for level in pool.list_levels(watch, now)
-                if _find_highest(level) >= least
+                for level in pool.list_levels(observer_counts, now)
+                if _find_highest(level) >= minimum
             ]
             scores = {level.target: _find_highest(level) for level in levels}
             cleared = set(self._levels_sent.get(service, {})) - set(scores)
@@ -143,9 +143,10 @@
     def _must_announce(
         self, service: str, scores: dict[str, float], threshold: float, now: float
     ) -> bool:
-        """Return whether scores have changed, or are about to lapse.
+        """Return whether scores have changed notably or are about to expire.
 
-        Every VM hears each telling about eight times, so noise must not be told.
+        Flooding delivers each announcement to every VM about eight times, so small
+        fluctuations are not announced.
         """
         before = self._levels_sent.get(service, {})
         if set(before) != set(scores):
@@ -161,7 +162,10 @@
     def apply_levels(
         self, sender: str, message: peer_messages.Levels, now: float
     ) -> Actions:
-        """Steer by another VM's pooled scores, and tell them on."""
+        """Apply another VM's pooled scores to routing, and relay them.
+
+        Announcements already received are ignored.
+        """
         key = (message.service, message.pooled_by)
         if message.sequence <= self._levels_seen.get(key, 0):
             return []
@@ -170,9 +174,9 @@
         return self._flood(message, sender, now)
 
     def propose_ejections(self, now: float) -> Actions:
-        """Propose what the evidence supports, where this VM pools first."""
+        """Propose ejections for services whose first pooling VM is this one."""
         actions: Actions = []
-        watch = self._members.count_observers()
+        observer_counts = self._members.count_observers()
         for service, pool in self._pools.items():
             routing = self._routers.get(service)
             if (
@@ -180,31 +184,33 @@
                 or self._pick_pooling_vms(service)[0] != self._members.own.vm
             ):
                 continue
-            places = {
+            target_data_centres = {
                 target.name: target.data_centre
                 for target in routing.service.targets
                 if routing.is_in_service(target, now)
             }
-            for level in pool.list_ejectable(places, watch, now):
+            for level in pool.list_ejectable(target_data_centres, observer_counts, now):
                 actions += self._propose(service, level.target, level.overall, now)
         return actions
 
     def _collect(
         self, name: str, routing: router.Router, now: float
     ) -> tuple[evidence_pool.Report, ...]:
-        """Return all fresh outcomes.
+        """Return all new outcomes, or none while this VM doubts its own view.
 
-        The good ones matter as much: told only of the bad, a pool would sum up the
-        bad luck of many VMs, and condemn healthy targets (see docs/DETECTION.md).
+        The good ones matter as much: from bad outcomes alone, a pool would add up
+        random failures seen by many VMs and eject healthy targets (see
+        docs/DETECTION.md).
         """
-        fresh = routing.health.take_fresh()
+        new_outcomes = routing.health.take_fresh()
         targets = [target.name for target in routing.service.targets]
         doubts = routing.health.doubts_itself(targets, now)
         self._record_self_doubt(name, doubts, now)
         if doubts:
             return ()
         return tuple(
-            evidence_pool.Report(subject, tally) for subject, tally in fresh.items()
+            evidence_pool.Report(subject, tally)
+            for subject, tally in new_outcomes.items()
         )
 
     def _record_self_doubt(self, name: str, doubts: bool, now: float) -> None:
@@ -220,13 +226,15 @@
         if self._members.revision != self._picked_at:
             self._picked_at = self._members.revision
             self._pooling_vms.clear()
-        found = self._pooling_vms.get(service)
-        if found is None:
+        pooling_vms = self._pooling_vms.get(service)
+        if pooling_vms is None:
             names = [member.vm for member in self._members.list_alive()]
             names.append(self._members.own.vm)
-            found = rendezvous.pick(f"pool/{service}", names, POOLING_VMS_PER_SERVICE)
-            self._pooling_vms[service] = found
-        return found
+            pooling_vms = rendezvous.pick(
+                f"pool/{service}", names, POOLING_VMS_PER_SERVICE
+            )
+            self._pooling_vms[service] = pooling_vms
+        return pooling_vms
 
     def _find_pool(self, service: str) -> evidence_pool.EvidencePool | None:
         routing = self._routers.get(service)
@@ -243,9 +251,9 @@
         if routing is None:
             return
         threshold = routing.health.threshold
-        place = self._members.own.data_centre
+        data_centre = self._members.own.data_centre
         for level in message.items:
-            score = level.find_for(place)
+            score = level.find_for(data_centre)
             routing.take_pooled(level.target, score, now + LEVELS_VALIDITY_S)
             self._record_level(message, level.target, score, threshold, now)
 
--- a/packages/zinniastand-core/src/zinniastand_core/member_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/member_exchange.py
@@ -1,4 +1,4 @@
-"""Heartbeats between neighbours, and news of members over the whole fleet."""
+"""Exchanges heartbeats with neighbours and sightings of members with the fleet."""
 
 from __future__ import annotations
 
@@ -16,7 +16,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Link:
-    """What is known of the link to a neighbour."""
+    """Heartbeats sent and received over the link to a neighbour.
+
+    `heard` is the sequence number received last, `heard_until` the time (Unix seconds)
+    at which the neighbour counts as silent, and `sent` the number sent.
+    """
 
     heard: int
     heard_until: float
@@ -24,14 +28,14 @@
 
 
 class MemberExchange:
-    """The part of the control plane that knows who is there.
+    """The part of the control plane that tracks the members of the fleet.
 
     Parameters
     ----------
     own : membership.Member
         This VM.
     events : timeline.Timeline
-        Where events are recorded.
+        Timeline in which events are recorded.
     """
 
     def __init__(self, own: membership.Member, events: timeline.Timeline) -> None:
@@ -45,7 +49,7 @@
         self._neighbours: list[str] = []
 
     def list_neighbours(self, now: float) -> list[str]:
-        """Return the VMs that this one calls."""
+        """Return the names of the VMs that this one connects to."""
         revision = self.members.revision
         if revision != self._ring_revision or now >= self._ring_until:
             names = [member.vm for member in self.members.list_callable(now)]
@@ -70,7 +74,7 @@
     def make_beat(
         self, vm: str, next_offset: int, version: int, is_reply: bool, now: float
     ) -> peer_messages.Beat:
-        """Return a heartbeat for one VM."""
+        """Return a heartbeat for a VM with which a link exists."""
         link = self._links[vm]
         return peer_messages.Beat(
             sighting=self.members.own_sighting,
@@ -86,10 +90,10 @@
     def handle_beat(
         self, sender: str, beat: peer_messages.Beat, now: float
     ) -> tuple[Actions, bool]:
-        """Take in a heartbeat; return actions, and whether it wants a reply."""
+        """Handle a heartbeat; return the actions and whether to send a reply."""
         self._events.clock.merge(beat.stamp, now)
-        # While two VMs see different members, each may hold the other for a caller
-        # and no neighbour. Replies to replies would then go back and forth for ever.
+        # While two VMs know different members, neither may have the other among its
+        # neighbours. Replies to replies would then go back and forth endlessly.
         wants_reply = not beat.is_reply and sender not in self.list_neighbours(now)
         known = self._links.get(sender, _Link(0, now, 0))
         self._links[sender] = _Link(
@@ -105,34 +109,35 @@
         return actions, wants_reply
 
     def answer_members(self, sender: str) -> Actions:
-        """Return all news, for a VM that knows something else."""
+        """Return all sightings, for a VM whose digest differs."""
         sightings = tuple(self.members.list_sightings())
         return [control_actions.SendMessage(sender, peer_messages.Sightings(sightings))]
 
     def apply_sightings(
         self, sender: str, message: peer_messages.Sightings, now: float
     ) -> Actions:
-        """Take in news of members and tell on what was new."""
-        news: list[membership.Sighting] = []
+        """Apply sightings of members and relay those that are new."""
+        changed: list[membership.Sighting] = []
         for sighting in message.items:
             before = self.members.find_status(sighting.member.vm)
-            told = self.members.apply_sighting(sighting, now)
-            if told is None:
+            relayed = self.members.apply_sighting(sighting, now)
+            if relayed is None:
                 continue
-            news.append(told)
-            self._record_status(told, before, now)
-            if told.status is membership.Status.ALIVE and told.beat > 0:
-                # It contradicted a report of its loss: a link is bad, not the VM.
-                self._one_way_links[told.member.vm] = now + ONE_WAY_LINK_DURATION_S
-        if not news:
+            changed.append(relayed)
+            self._record_status(relayed, before, now)
+            if relayed.status is membership.Status.ALIVE and relayed.beat > 0:
+                # The VM contradicted a report that it is down: only a link is broken.
+                self._one_way_links[relayed.member.vm] = now + ONE_WAY_LINK_DURATION_S
+        if not changed:
             return []
-        return self.flood(peer_messages.Sightings(tuple(news)), sender, now)
+        return self.flood(peer_messages.Sightings(tuple(changed)), sender, now)
 
     def check_links(self, now: float) -> Actions:
-        """Declare neighbours down that have not been heard for long.
+        """Declare neighbours down that sent no heartbeat for `NEIGHBOUR_TIMEOUT_S`.
 
-        Where a link works one way only, the VM behind it contradicts; the report is
-        then not repeated for a while, so that membership does not flap.
+        If a link works in one direction only, the VM behind it contradicts the report.
+        The report is then not repeated for `ONE_WAY_LINK_DURATION_S`, so that
+        membership does not flap.
         """
         actions: Actions = []
         for vm in self.list_neighbours(now):
@@ -141,41 +146,43 @@
                 continue
             if self._one_way_links.get(vm, 0.0) > now:
                 continue
-            news = self.members.declare_down(vm, now)
+            sighting = self.members.declare_down(vm, now)
             del self._links[vm]
-            if news is not None:
-                self._record_status(news, membership.Status.ALIVE, now)
-                actions += self.flood(peer_messages.Sightings((news,)), "", now)
+            if sighting is not None:
+                self._record_status(sighting, membership.Status.ALIVE, now)
+                actions += self.flood(peer_messages.Sightings((sighting,)), "", now)
         return actions
 
     def leave(self, now: float) -> Actions:
-        """Announce that this VM is stopping."""
+        """Return the messages that announce that this VM is stopping."""
         sighting = self.members.leave()
         return self.flood(peer_messages.Sightings((sighting,)), "", now)
 
     def flood(self, message: peer_messages.Message, sender: str, now: float) -> Actions:
-        """Tell every neighbour in either direction, but not the one who told us."""
+        """Return the messages to all neighbours in both directions except `sender`."""
         callers = {vm for vm, link in self._links.items() if now < link.heard_until}
         receivers = callers.union(self.list_neighbours(now)) - {sender}
         return [control_actions.SendMessage(vm, message) for vm in sorted(receivers)]
 
     def _pick_down_vm(self, now: float) -> list[str]:
-        """Return a lost VM to call now and then.
+        """Return a VM thought to be down to contact, every `REUNION_INTERVAL_S`.
 
-        After a partition each side holds the other for down, and nobody would call.
-        One heartbeat across is enough: the news that it brings is contradicted.
+        After a partition each side takes the other for down, and none would connect
+        again. One heartbeat across is enough: the receiver contradicts the outdated
+        sightings, and both sides learn of each other. The list has one name, or none
+        if no attempt is due.
         """
         if now < self._reunion_at:
             return []
         self._reunion_at = now + REUNION_INTERVAL_S
-        lost = [
+        down_vms = [
             sighting.member.vm
             for sighting in self.members.list_sightings()
             if sighting.status is membership.Status.DOWN
         ]
-        if not lost:
+        if not down_vms:
             return []
-        return [sorted(lost)[int(now / REUNION_INTERVAL_S) % len(lost)]]
+        return [sorted(down_vms)[int(now / REUNION_INTERVAL_S) % len(down_vms)]]
 
     def _record_status(
         self,
--- a/tests/core/test_control.py
+++ b/tests/core/test_control.py
@@ -1,4 +1,4 @@
-"""Control planes of several VMs, joined by a network and a log made of lists."""
+"""Tests of the control planes of several VMs with a simulated network and log."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 
 def test_a_bundle_reaches_vms_that_are_cut_off_from_the_log() -> None:
-    # Half of the VMs cannot reach the log. The operator's bundle is in force on them
-    # too after a moment, because their peers tell on what they read.
+    # Half of the VMs cannot reach the log. The operator's bundle is applied on them
+    # within a second, because their peers relay the entries that they read.
     fleet = virtual_fleet.Fleet(12)
     fleet.run(3)
     fleet.off_log = {f"vm-{number}" for number in range(0, 12, 2)}
@@ -18,8 +18,8 @@
 
 
 def test_an_empty_vm_starts_from_peers_while_the_log_is_down() -> None:
-    # A VM starts while nobody reaches the log. It hears the proven head from a peer
-    # and serves by it. Another, with neither log nor peers, stays without a bundle.
+    # A VM starts while no VM reaches the log. It receives the verified head from a
+    # peer and applies it. Another, with neither log nor peers, has no bundle.
     fleet = virtual_fleet.Fleet(4)
     fleet.publish(floor=1)
     fleet.run(3)
@@ -34,8 +34,8 @@
 
 
 def test_a_bundle_never_reverts_when_old_peers_and_old_entries_come_back() -> None:
-    # A VM that was cut off from everybody holds an old bundle. When the cut heals it
-    # moves forward; nobody moves back.
+    # A VM that was disconnected from all others holds an old bundle. Once connected
+    # again it applies the newer one; no VM goes back to the old one.
     fleet = virtual_fleet.Fleet(6)
     fleet.publish(floor=1)
     fleet.run(3)
@@ -50,9 +50,9 @@
     assert fleet.versions() == {2}
 
 
-def test_a_silent_vm_is_declared_down_and_its_successor_is_told_apart() -> None:
-    # A VM dies without a word. Its neighbours miss its heartbeats and all hear of it.
-    # Its replacement has the same name; late news of the old one does not harm it.
+def test_a_silent_vm_is_declared_down_and_its_replacement_is_distinguished() -> None:
+    # A VM dies without notice. Its neighbours miss its heartbeats and inform the fleet.
+    # Its replacement has the same name; a late sighting of the old VM is ignored.
     fleet = virtual_fleet.Fleet(8)
     fleet.run(3)
     old = fleet.vms.pop("vm-3")
@@ -69,27 +69,27 @@
 
 
 def test_a_link_that_works_one_way_does_not_make_membership_flap() -> None:
-    # vm-0 does not hear one of its neighbours, everybody else does. The neighbour
-    # contradicts the report of its loss, and the report is not repeated.
+    # vm-0 receives nothing from one of its neighbours, all other VMs do. The neighbour
+    # contradicts the report that it is down, and the report is not repeated.
     fleet = virtual_fleet.Fleet(8)
     fleet.run(3)
-    deaf = fleet.vms["vm-0"]
-    callee = deaf.list_neighbours(fleet.now)[0]
+    receiver = fleet.vms["vm-0"]
+    callee = receiver.list_neighbours(fleet.now)[0]
     fleet.cut = {(callee, "vm-0")}
     fleet.run(30)
     events = [
         event
-        for process in fleet.vms.values()
-        for event in process.events.list_events()
+        for vm_control in fleet.vms.values()
+        for event in vm_control.events.list_events()
         if event.kind is timeline.EventKind.PEER_DOWN and event.subject == callee
     ]
     assert len(events) <= 2 * len(fleet.vms)
     assert all(fleet.count_alive(vm) == 7 for vm in fleet.vms if vm != "vm-0")
 
 
-def test_two_halves_find_each_other_again() -> None:
-    # The fleet is split in two for a minute; each half holds the other for down.
-    # After the split each hears of the other again, without the platform's list.
+def test_two_halves_rejoin_after_a_partition() -> None:
+    # The fleet is partitioned for a minute; each half takes the other for down. After
+    # the partition each learns of the other again, without the platform's list.
     fleet = virtual_fleet.Fleet(10)
     fleet.run(3)
     half = {f"vm-{number}" for number in range(5)}
@@ -103,9 +103,9 @@
     assert {fleet.count_alive(vm) for vm in fleet.vms} == {9}
 
 
-def test_the_head_outlives_many_retention_periods_without_a_stampede() -> None:
-    # The log forgets entries after a while, and VMs are replaced all the time. The
-    # head is appended again before it is forgotten, about once a period, by somebody.
+def test_the_head_outlives_many_retention_periods_with_few_appends() -> None:
+    # The log drops entries after its retention period, and VMs are replaced all the
+    # time. Before the head is dropped, some VM appends it again, about once a period.
     fleet = virtual_fleet.Fleet(6, retention=200.0)
     fleet.publish(floor=1)
     appended_at = {0: fleet.now}
@@ -126,7 +126,7 @@
 
 
 def test_heartbeats_cost_the_same_in_a_larger_fleet() -> None:
-    # A VM has at most four neighbours that it calls, whatever the size of the fleet.
+    # A VM connects to at most four neighbours, whatever the size of the fleet.
     costs = []
     for count in (12, 48):
         fleet = virtual_fleet.Fleet(count)
@@ -138,9 +138,9 @@
 
 
 def test_a_reply_is_never_replied_to() -> None:
-    # A VM of a large fleet is lost, and while the news spreads two VMs each hold the
-    # other for a caller but no neighbour. Each used to reply to the other's reply, for
-    # ever; a heartbeat now brings one reply at most.
+    # While sightings spread, two VMs may both receive heartbeats of the other without
+    # counting it as a neighbour. If each replied to the other's reply, this would never
+    # end; a heartbeat causes one reply at most.
     fleet = virtual_fleet.Fleet(8)
     fleet.run(3)
     beats: list[peer_messages.Beat] = []
@@ -149,22 +149,22 @@
         for vm in fleet.vms
         if vm != "vm-0" and vm not in fleet.vms["vm-0"].list_neighbours(fleet.now)
     ]
-    for tell in fleet.vms["vm-0"].tick(fleet.now + 1):
-        if isinstance(tell, control_actions.SendMessage):
-            if isinstance(tell.message, peer_messages.Beat):
-                beats.append(tell.message)
+    for action in fleet.vms["vm-0"].tick(fleet.now + 1):
+        if isinstance(action, control_actions.SendMessage):
+            if isinstance(action.message, peer_messages.Beat):
+                beats.append(action.message)
     stranger = fleet.vms[strangers[0]]
     (reply,) = [
-        tell.message
-        for tell in stranger.handle_message("vm-far", beats[0], fleet.now)
-        if isinstance(tell, control_actions.SendMessage)
-        and isinstance(tell.message, peer_messages.Beat)
+        action.message
+        for action in stranger.handle_message("vm-far", beats[0], fleet.now)
+        if isinstance(action, control_actions.SendMessage)
+        and isinstance(action.message, peer_messages.Beat)
     ]
     assert reply.is_reply
     again = fleet.vms["vm-0"].handle_message("vm-far", reply, fleet.now)
     assert not [
-        tell
-        for tell in again
-        if isinstance(tell, control_actions.SendMessage)
-        and isinstance(tell.message, peer_messages.Beat)
+        action
+        for action in again
+        if isinstance(action, control_actions.SendMessage)
+        and isinstance(action.message, peer_messages.Beat)
     ]
