--- a/packages/zinniastand-core/src/zinniastand_core/config_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/config_exchange.py
@@ -121,7 +121,7 @@
         request = peer_messages.ConfigRequest(
             self.config.next_offset, self.config.chain.version
         )
-        return [control_actions.Tell(vm, request)]
+        return [control_actions.SendMessage(vm, request)]
 
     def answer_request(
         self, sender: str, request: peer_messages.ConfigRequest, now: float
@@ -136,14 +136,14 @@
         first = self._entries[0][0] if self._entries else self.config.next_offset
         if missing and first <= request.next_offset:
             entries = peer_messages.ConfigEntries(request.next_offset, tuple(missing))
-            return [control_actions.Tell(sender, entries)]
+            return [control_actions.SendMessage(sender, entries)]
         granted = self.config.ejections.list_granted()
         state = peer_messages.ConfigState(
             self.config.next_offset,
             self.config.chain.pack_snapshot() or b"",
             tuple(ejections.pack(ejection) for ejection in granted),
         )
-        return [control_actions.Tell(sender, state)]
+        return [control_actions.SendMessage(sender, state)]
 
     def apply_state(
         self, sender: str, state: peer_messages.ConfigState, now: float
--- a/tests/machines/plants.py
+++ b/tests/machines/plants.py
@@ -200,8 +200,8 @@
         "slots are released at the moment when a lease ends",
         floor.FloorMachine,
         ejections,
-        "HOLD_AFTER",
-        -2 * ejections.CLOCK_ERROR,
+        "HOLD_AFTER_DEADLINE_S",
+        -2 * ejections.MAX_CLOCK_ERROR_S,
     ),
 )
 
