--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -133,11 +133,11 @@
         fleet = virtual_fleet.Fleet(count)
         fleet.introduce()
         fleet.run(3)
-        fleet.told.clear()
+        fleet.bytes_sent.clear()
         started = time.process_time()
         fleet.run(10)
         spent = time.process_time() - started
-        sent = sorted(fleet.told.values())
+        sent = sorted(fleet.bytes_sent.values())
         rows.append(
             [
                 count,
@@ -154,13 +154,13 @@
 def _measure_news(fleet: virtual_fleet.Fleet) -> str:
     """Return the bytes that each VM sends because one is lost and replaced."""
     count = len(fleet.vms)
-    fleet.told.clear()
+    fleet.bytes_sent.clear()
     fleet.run(10)
-    usual = sum(fleet.told.values())
-    fleet.told.clear()
+    usual = sum(fleet.bytes_sent.values())
+    fleet.bytes_sent.clear()
     del fleet.vms["vm-3"]
     fleet.run(10)
-    return f"{max(0, sum(fleet.told.values()) - usual) / count:.0f}"
+    return f"{max(0, sum(fleet.bytes_sent.values()) - usual) / count:.0f}"
 
 
 def report_claims() -> str:
--- a/bench/rolling.py
+++ b/bench/rolling.py
@@ -38,7 +38,7 @@
 
 
 async def _start(place: site.Site, number: int) -> None:
-    where = users.AUTHORITY_PLACES[number % len(users.AUTHORITY_PLACES)]
+    where = users.AUTHORITY_DATA_CENTRES[number % len(users.AUTHORITY_DATA_CENTRES)]
     await place.start_daemon(f"vm-{number}", where, unready_for=UNREADY_FOR)
 
 
@@ -52,7 +52,7 @@
 
 def _format(place: site.Site, calls: list[callers.Call]) -> str:
     keyed = {call.name for call in calls if call.work.is_keyed}
-    told = [answer for call in calls for answer in call.told]
+    told = [answer for call in calls for answer in call.answers]
     rows = [
         ("VMs replaced", VMS),
         ("requests", len(calls)),
@@ -62,7 +62,7 @@
             sum(not a.status and not a.outcome for a in told),
         ),
         ("told unknown", sum(a.outcome == "unknown" for a in told)),
-        ("doubled", len(keyed.intersection(place.ledger.list_doubled()))),
+        ("doubled", len(keyed.intersection(place.ledger.list_repeated()))),
     ]
     return tables.format_table(("rolling replacement", "count"), rows)
 
--- a/packages/zinniastand-ctl/src/zinniastand_ctl/cli.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/cli.py
@@ -44,8 +44,8 @@
     """
     report = demo.run(seed)
     typer.echo(report.format_text())
-    if report.broken:
-        output.fail("broken: " + "; ".join(report.broken), output.EXIT_FAILED)
+    if report.broken_promises:
+        output.fail("broken: " + "; ".join(report.broken_promises), output.EXIT_FAILED)
 
 
 def main() -> None:
--- a/packages/zinniastand-standins/src/zinniastand_standins/balancer.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/balancer.py
@@ -9,8 +9,8 @@
 
 from . import site
 
-CHECK_PAUSE = 0.3
-CHECK_TIMEOUT = 1.0
+CHECK_INTERVAL_S = 0.3
+CHECK_TIMEOUT_S = 1.0
 
 
 class Balancer:
@@ -29,18 +29,18 @@
 
     async def run(self) -> None:
         """Check readiness until cancelled."""
-        async with httpx.AsyncClient(timeout=CHECK_TIMEOUT) as client:
+        async with httpx.AsyncClient(timeout=CHECK_TIMEOUT_S) as client:
             while True:
                 for vm, process in list(self._site.daemons.items()):
                     await self._check(client, vm, process.admin_port)
                 for vm in set(self._ready) - set(self._site.daemons):
                     del self._ready[vm]
-                await anyio.sleep(CHECK_PAUSE)
+                await anyio.sleep(CHECK_INTERVAL_S)
 
     async def wait_ready(self, count: int) -> None:
         """Wait until so many VMs are ready."""
         while len(self._ready) < count:
-            await anyio.sleep(CHECK_PAUSE / 4)
+            await anyio.sleep(CHECK_INTERVAL_S / 4)
 
     def pick_port(self) -> int | None:
         """Return the callers' port of the next ready VM, or None."""
--- a/packages/zinniastand-standins/src/zinniastand_standins/callers.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/callers.py
@@ -13,14 +13,14 @@
 
 from . import balancer, site, users
 
-TIMEOUT = 6.0
-MOST_TRIES = 3
+TIMEOUT_S = 6.0
+MAX_TRIES = 3
 BODY = b"content"
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Told:
+class ReceivedAnswer:
     """One answer to one try."""
 
     status: int
@@ -46,16 +46,16 @@
     work: users.Work
     """Its kind."""
 
-    took: float
+    duration: float
     """Seconds over all tries."""
 
-    told: tuple[Told, ...]
+    answers: tuple[ReceivedAnswer, ...]
     """The answer to each try."""
 
     @property
     def is_answered(self) -> bool:
         """Whether the caller got its whole answer in the end."""
-        return self.told[-1].status == 200 and self.told[-1].is_whole
+        return self.answers[-1].status == 200 and self.answers[-1].is_whole
 
 
 class Callers:
@@ -77,7 +77,7 @@
         self._door = door
         self._user = user
         self._generator = generator
-        self._client = httpx.AsyncClient(timeout=TIMEOUT)
+        self._client = httpx.AsyncClient(timeout=TIMEOUT_S)
         self._count = 0
         self.calls: list[Call] = []
 
@@ -101,8 +101,8 @@
         if work.is_keyed:
             headers["idempotency-key"] = str(uuid6.uuid7())
         started = time.monotonic()
-        told: list[Told] = []
-        for _ in range(MOST_TRIES):
+        told: list[ReceivedAnswer] = []
+        for _ in range(MAX_TRIES):
             answer, wait = await self._try(work, name, headers)
             told.append(answer)
             if answer.outcome != "not-run":
@@ -113,10 +113,10 @@
 
     async def _try(
         self, work: users.Work, name: str, headers: dict[str, str]
-    ) -> tuple[Told, float]:
+    ) -> tuple[ReceivedAnswer, float]:
         port = self._door.pick_port()
         if port is None:
-            return Told(0, "not-run", False, None), 0.3
+            return ReceivedAnswer(0, "not-run", False, None), 0.3
         url = f"http://{site.HOST}:{port}{work.path}"
         content = BODY if work.method == "POST" else None
         started = time.monotonic()
@@ -125,12 +125,12 @@
                 work.method, url, headers=headers, content=content
             )
         except httpx.HTTPError:
-            return Told(0, "", False, None), 0.0
+            return ReceivedAnswer(0, "", False, None), 0.0
         took = time.monotonic() - started
         wanted = f"done:{name}:{(content or b'').decode()}"
         worked = reply.headers.get("x-worked-ms")
-        added = took - float(worked) / MILLISECONDS if worked else None
-        told = Told(
+        added = took - float(worked) / MS_PER_S if worked else None
+        told = ReceivedAnswer(
             reply.status_code,
             reply.headers.get("x-outcome", ""),
             reply.text == wanted,
--- a/packages/zinniastand-standins/src/zinniastand_standins/demo.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/demo.py
@@ -17,11 +17,11 @@
 
 from . import balancer, callers, site, target, users
 
-RATE = 14.0
-LENGTH = 36.0
-VMS = 3
-FADED_SHARE = 0.2
-WINDOW = 1.0
+REQUESTS_PER_S = 14.0
+LOAD_DURATION_S = 36.0
+VM_COUNT = 3
+DETECTED_SHARE = 0.2
+WINDOW_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -95,7 +95,7 @@
     """By user."""
 
     @property
-    def broken(self) -> list[str]:
+    def broken_promises(self) -> list[str]:
         """What must always hold and did not."""
         found: list[str] = []
         for name, report in self.sites.items():
@@ -175,14 +175,14 @@
         await place.start_platform()
         await place.start_targets(self._user.plans)
         place.publish()
-        for number in range(VMS):
+        for number in range(VM_COUNT):
             await self._start_vm(place, number)
         door = balancer.Balancer(place)
         group.start_soon(door.run)
-        await door.wait_ready(VMS)
+        await door.wait_ready(VM_COUNT)
         load = callers.Callers(door, self._user, random.Random(self._seed))
         group.start_soon(self._bring_faults, place)
-        await load.run(RATE, LENGTH)
+        await load.run(REQUESTS_PER_S, LOAD_DURATION_S)
         self._collect_ejections(place)
         for process in place.daemons.values():
             process.stop()
@@ -196,11 +196,11 @@
     async def _bring_faults(self, place: site.Site) -> None:
         first = self._user.plans[0].name
         await anyio.sleep(6)
-        gray = target.Mood(target.Fault.ERRORS)
+        gray = target.Behaviour(target.Fault.ERRORS)
         await self._fault(place, f"{first}-2", "errors behind fine probes", gray, 8)
-        straggler = target.Mood(target.Fault.SLOW, factor=10)
+        straggler = target.Behaviour(target.Fault.SLOW, factor=10)
         await self._fault(place, f"{first}-5", "straggler, 10x", straggler, 8)
-        silent = target.Mood(target.Fault.SILENT)
+        silent = target.Behaviour(target.Fault.SILENT)
         await self._fault(place, f"{first}-3", "connections silent", silent, 4)
         place.log.is_down = True
         await anyio.sleep(3)
@@ -212,13 +212,13 @@
         place: site.Site,
         name: str,
         label: str,
-        mood: target.Mood,
+        mood: target.Behaviour,
         seconds: float,
     ) -> None:
         started = time.time()
-        place.targets[name].mood = mood
+        place.targets[name].behaviour = mood
         await anyio.sleep(seconds)
-        place.targets[name].mood = target.Mood()
+        place.targets[name].behaviour = target.Behaviour()
         self._faulted[name] = (label, started, time.time())
 
     async def _replace_vm(self, place: site.Site) -> None:
@@ -227,7 +227,7 @@
         place.daemons[vm].stop()
         await anyio.sleep(2.5)
         place.forget_daemon(vm)
-        await self._start_vm(place, VMS)
+        await self._start_vm(place, VM_COUNT)
 
     def _collect_ejections(self, place: site.Site) -> None:
         for process in place.daemons.values():
@@ -237,13 +237,13 @@
 
     def _judge(self, place: site.Site, calls: list[callers.Call]) -> SiteReport:
         keyed = {call.name for call in calls if call.work.is_keyed}
-        told = [answer for call in calls for answer in call.told]
-        added = sorted(a.added for a in told if a.added is not None)
+        told = [answer for call in calls for answer in call.answers]
+        added = sorted(a.added_latency for a in told if a.added_latency is not None)
         return SiteReport(
             rows=tuple(self._count(work, calls) for work in self._user.work),
-            doubled=len(keyed.intersection(place.ledger.list_doubled())),
+            doubled=len(keyed.intersection(place.ledger.list_repeated())),
             lost=sum(
-                call.told[-1].status == 200 and place.ledger.count(call.name) == 0
+                call.answers[-1].status == 200 and place.ledger.count(call.name) == 0
                 for call in calls
             ),
             false_not_run=sum(_is_false_not_run(place, call) for call in calls),
@@ -270,17 +270,17 @@
         worker = place.targets[name]
         times = [at for at in worker.received_at if start <= at <= end]
         before = [at for at in worker.received_at if start - 5 <= at < start]
-        usual = len(before) / 5.0 * WINDOW
+        usual = len(before) / 5.0 * WINDOW_S
         moments = [start, *times]
         for moment in moments:
-            after = [at for at in times if moment < at <= moment + WINDOW]
-            if len(after) <= FADED_SHARE * usual and moment + WINDOW <= end:
+            after = [at for at in times if moment < at <= moment + WINDOW_S]
+            if len(after) <= DETECTED_SHARE * usual and moment + WINDOW_S <= end:
                 return moment - start
         return None
 
 
 def _is_false_not_run(place: site.Site, call: callers.Call) -> bool:
-    if any(answer.outcome != "not-run" for answer in call.told):
+    if any(answer.outcome != "not-run" for answer in call.answers):
         return False
     return call.work.is_keyed and place.ledger.count(call.name) > 0
 
--- a/packages/zinniastand-standins/src/zinniastand_standins/log_app.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/log_app.py
@@ -11,8 +11,8 @@
 from . import asgi, log_store
 
 PREFIX = "/streams/"
-MOST_WAIT = 30.0
-MILLISECONDS = 1000.0
+MAX_WAIT_S = 30.0
+MS_PER_S = 1000.0
 
 
 class LogApp(http_app.HttpApp):
@@ -52,6 +52,6 @@
     async def _read(self, stream: str, scope: caller_app.Scope) -> list[object]:
         query = urllib.parse.parse_qs(scope["query_string"].decode())
         offset = int(query.get("offset", ["0"])[0])
-        wait = int(query.get("wait_ms", ["0"])[0]) / MILLISECONDS
-        page = await self._store.read(stream, offset, min(wait, MOST_WAIT))
+        wait = int(query.get("wait_ms", ["0"])[0]) / MS_PER_S
+        page = await self._store.read(stream, offset, min(wait, MAX_WAIT_S))
         return [page.offset, list(page.entries)]
--- a/packages/zinniastand-standins/src/zinniastand_standins/retry_audit.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/retry_audit.py
@@ -11,11 +11,11 @@
 import collections.abc
 import dataclasses
 
-STEP = 0.05
+SPAN_STEP_S = 0.05
 """Parts of a second between the spans that are looked at, beside those that begin or
 end with a retry."""
 
-MARGIN = 1e-6
+SPAN_MARGIN_S = 1e-6
 """Seconds by which a span begins before, or ends after, a retry that it holds."""
 
 
@@ -91,11 +91,11 @@
 
 
 def _list_begins(repeated: list[float], span: float) -> list[float]:
-    begins = [at - MARGIN for at in repeated]
-    begins += [at - span + MARGIN for at in repeated]
+    begins = [at - SPAN_MARGIN_S for at in repeated]
+    begins += [at - span + SPAN_MARGIN_S for at in repeated]
     if repeated:
-        count = int((repeated[-1] - repeated[0] + span) / STEP)
-        begins += [repeated[0] - span + number * STEP for number in range(count)]
+        count = int((repeated[-1] - repeated[0] + span) / SPAN_STEP_S)
+        begins += [repeated[0] - span + number * SPAN_STEP_S for number in range(count)]
     return begins
 
 
--- a/packages/zinniastand-standins/src/zinniastand_standins/site.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/site.py
@@ -87,7 +87,7 @@
         self._group = group
         self._generator = random.Random(seed)
         self.log = log_store.LogStore()
-        self.listing = vm_list_app.VmListApp()
+        self.vm_list = vm_list_app.VmListApp()
         self.ledger = work_ledger.WorkLedger()
         self.targets: dict[str, target.Target] = {}
         self.ports: dict[str, int] = {}
@@ -96,16 +96,16 @@
             name: ed25519.Ed25519PrivateKey.generate() for name in ("first", "second")
         }
         self._log_url = ""
-        self._listing_url = ""
+        self._vm_list_url = ""
         self._peer_ports: dict[str, int] = {}
         self.document: dict[str, typing.Any] = {}
 
     async def start_platform(self) -> None:
         """Serve the log and the VM list."""
         log_port = await self.serve(log_app.LogApp(self.log))
-        list_port = await self.serve(self.listing)
+        list_port = await self.serve(self.vm_list)
         self._log_url = f"http://{HOST}:{log_port}"
-        self._listing_url = f"http://{HOST}:{list_port}/vms"
+        self._vm_list_url = f"http://{HOST}:{list_port}/vms"
 
     async def serve(self, app: listeners.App, port: int = 0) -> int:
         """Serve an application on loopback; return its port."""
@@ -184,7 +184,7 @@
 
     def list_vm(self, vm: str, data_centre: str, peers_url: str) -> None:
         """Add a VM to the platform's list."""
-        self.listing.vms.append(
+        self.vm_list.vms.append(
             {
                 "name": vm,
                 "data_centre": data_centre,
@@ -208,14 +208,14 @@
             "admin": {"host": HOST, "port": 0},
             "peers": {"host": HOST, "port": port, "url": f"ws://{HOST}:{port}"},
             "log": {"url": self._log_url or "http://127.0.0.1:9"},
-            "vm_list": {"url": self._listing_url or "http://127.0.0.1:9"},
+            "vm_list": {"url": self._vm_list_url or "http://127.0.0.1:9"},
             "trusted_operators": self._describe_operators(),
             "log_level": "warning",
         }
 
     def forget_daemon(self, vm: str) -> None:
         """Take a VM off the list; a VM of the same name gets a new port."""
-        self.listing.vms = [item for item in self.listing.vms if item["name"] != vm]
+        self.vm_list.vms = [item for item in self.vm_list.vms if item["name"] != vm]
         self.daemons.pop(vm, None)
         self._peer_ports.pop(vm, None)
 
--- a/packages/zinniastand-standins/src/zinniastand_standins/target.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/target.py
@@ -18,7 +18,7 @@
 START_HEADER = b"x-start-deadline-ms"
 ECHO_HEADER = b"x-request-id"
 WORKED_HEADER = b"x-worked-ms"
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
 
 class Fault(enum.StrEnum):
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Mood:
+class Behaviour:
     """How a target behaves at the moment."""
 
     fault: Fault = Fault.NONE
@@ -72,7 +72,7 @@
         generator: random.Random,
     ) -> None:
         self.name = name
-        self.mood = Mood()
+        self.behaviour = Behaviour()
         self.is_leaving = False
         self.received_at: list[float] = []
         self.on_headers: collections.abc.Callable[[dict[bytes, bytes]], object] = (
@@ -115,7 +115,7 @@
         if self._busy >= self._slots:
             return b"busy"
         deadline = headers.get(START_HEADER)
-        if deadline and time.time() * MILLISECONDS > int(deadline):
+        if deadline and time.time() * MS_PER_S > int(deadline):
             return b"late"
         return b""
 
@@ -132,14 +132,14 @@
         started = time.monotonic()
         took = self._work_time * self._generator.lognormvariate(0.0, 0.25)
         if fault is Fault.SLOW:
-            took *= self.mood.factor
+            took *= self.behaviour.factor
         await anyio.sleep(took)
         if fault is Fault.SILENT:
             await anyio.sleep_forever()
         if fault is Fault.ERRORS:
             await asgi.answer(send, 500, b"failed", echo)
             return
-        worked = f"{MILLISECONDS * (time.monotonic() - started):.3f}".encode()
+        worked = f"{MS_PER_S * (time.monotonic() - started):.3f}".encode()
         echo = [*echo, (WORKED_HEADER, worked)]
         if fault is Fault.CROSSED:
             echo = [(ECHO_HEADER, b"somebody-else")]
@@ -150,8 +150,8 @@
         await asgi.answer(send, 200, answer, echo)
 
     def _draw_fault(self) -> Fault:
-        if self._generator.random() < self.mood.share:
-            return self.mood.fault
+        if self._generator.random() < self.behaviour.share:
+            return self.behaviour.fault
         return Fault.NONE
 
 
--- a/packages/zinniastand-standins/src/zinniastand_standins/topic_store.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/topic_store.py
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Copy:
+class Snapshot:
     """What a store held at some moment."""
 
     records: dict[str, list[bytes]]
@@ -131,15 +131,15 @@
         self._first[topic] = self.find_end(topic)
         self._records[topic] = []
 
-    def take_copy(self) -> Copy:
+    def take_snapshot(self) -> Snapshot:
         """Return a copy of all that the store holds."""
-        return Copy(
+        return Snapshot(
             {topic: list(records) for topic, records in self._records.items()},
             dict(self._first),
             {topic: dict(newest) for topic, newest in self._newest.items()},
         )
 
-    def return_from(self, copy: Copy) -> None:
+    def restore(self, copy: Snapshot) -> None:
         """Hold what a copy holds: what was written since is gone."""
         self._records = {topic: list(one) for topic, one in copy.records.items()}
         self._first = dict(copy.first)
--- a/packages/zinniastand-standins/src/zinniastand_standins/topic_store_app.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/topic_store_app.py
@@ -14,18 +14,18 @@
 
 from . import topic_store
 
-POLL_PAUSE = 0.01
+POLL_INTERVAL_S = 0.01
 """Seconds between two looks for new records by a call that waits."""
 
 ERA_HEADER = b"store-era"
 
-PAGE = 500
+KEYS_PER_PAGE = 500
 """Keys on one page."""
 
-LENGTH = struct.Struct(">I")
-HEAD = struct.Struct(">QQ")
-MILLISECONDS = 1000.0
-FOREVER = 3600.0
+RECORD_LENGTH = struct.Struct(">I")
+READ_HEADER = struct.Struct(">QQ")
+MS_PER_S = 1000.0
+SILENCE_S = 3600.0
 
 
 class TopicStoreApp:
@@ -51,12 +51,12 @@
             case topic_store.Fault.BUSY:
                 return calls.Reply(503, [], b"")
             case topic_store.Fault.SILENT:
-                await anyio.sleep(FOREVER)
+                await anyio.sleep(SILENCE_S)
             case topic_store.Fault.RESET:
                 raise anyio.BrokenResourceError
             case topic_store.Fault.LOST:
                 await self._answer(path, query, incoming.request.body)
-                await anyio.sleep(FOREVER)
+                await anyio.sleep(SILENCE_S)
             case topic_store.Fault.NONE:
                 pass
         answer = await self._answer(path, query, incoming.request.body)
@@ -84,26 +84,30 @@
         records: list[bytes] = []
         at = 0
         while at < len(body):
-            (length,) = LENGTH.unpack_from(body, at)
-            records.append(body[at + LENGTH.size : at + LENGTH.size + length])
-            at += LENGTH.size + length
+            (length,) = RECORD_LENGTH.unpack_from(body, at)
+            records.append(
+                body[at + RECORD_LENGTH.size : at + RECORD_LENGTH.size + length]
+            )
+            at += RECORD_LENGTH.size + length
         offset = self._store.append(topic, records)
         return _answer_json(200, {"offset": offset, "end": offset + len(records)})
 
     async def _read(self, query: dict[str, str]) -> calls.Reply:
         topic, start = query["topic"], int(query["from"])
-        wait = int(query.get("wait_ms", "0")) / MILLISECONDS
+        wait = int(query.get("wait_ms", "0")) / MS_PER_S
         records: list[bytes] = []
-        with anyio.move_on_after(wait or POLL_PAUSE):
+        with anyio.move_on_after(wait or POLL_INTERVAL_S):
             while not records:
                 try:
                     records = self._store.read(topic, start)
                 except topic_store.TopicGoneError as error:
                     return _answer_json(410, {"first": error.first})
                 if not records:
-                    await anyio.sleep(POLL_PAUSE)
-        head = HEAD.pack(self._store.find_end(topic), self._store.find_first(topic))
-        content = b"".join(LENGTH.pack(len(one)) + one for one in records)
+                    await anyio.sleep(POLL_INTERVAL_S)
+        head = READ_HEADER.pack(
+            self._store.find_end(topic), self._store.find_first(topic)
+        )
+        content = b"".join(RECORD_LENGTH.pack(len(one)) + one for one in records)
         return calls.Reply(200, [], head + content)
 
     def _list_newest(self, query: dict[str, str]) -> calls.Reply:
@@ -115,10 +119,10 @@
                 "value": base64.b64encode(one.value).decode(),
                 "offset": one.offset,
             }
-            for one in left[:PAGE]
+            for one in left[:KEYS_PER_PAGE]
         ]
         end = self._store.find_end(topic)
-        page = {"items": items, "has_more": len(left) > PAGE, "end": end}
+        page = {"items": items, "has_more": len(left) > KEYS_PER_PAGE, "end": end}
         return _answer_json(200, page)
 
 
--- a/packages/zinniastand-standins/src/zinniastand_standins/users.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/users.py
@@ -53,8 +53,8 @@
     return {"path_prefix": path, "methods": [method], "kind": kind}
 
 
-AUTHORITY_PLACES = ("bagmati-1", "bagmati-2", "bagmati-3")
-FRANCHISE_PLACES = ("uppsala", "vasteras", "orebro", "gavle")
+AUTHORITY_DATA_CENTRES = ("bagmati-1", "bagmati-2", "bagmati-3")
+FRANCHISE_DATA_CENTRES = ("uppsala", "vasteras", "orebro", "gavle")
 
 AUTHORITY = User(
     name="Authority",
@@ -74,7 +74,7 @@
                 _route("/certificates", "GET", "certificate-lookup"),
                 _route("/lodgements", "POST", "sample-lodgement"),
             ),
-            data_centres=AUTHORITY_PLACES,
+            data_centres=AUTHORITY_DATA_CENTRES,
         ),
         site.ServicePlan(
             name="hallmark-register",
@@ -91,10 +91,10 @@
                 _route("/hallmarks", "POST", "hallmark-issue"),
                 _route("/receipts", "POST", "fee-receipt"),
             ),
-            data_centres=AUTHORITY_PLACES,
+            data_centres=AUTHORITY_DATA_CENTRES,
         ),
     ),
-    data_centres=AUTHORITY_PLACES,
+    data_centres=AUTHORITY_DATA_CENTRES,
     work=(
         Work("certificate-lookup", "GET", "/certificates/7", False, 0.7),
         Work("sample-lodgement", "POST", "/lodgements", True, 0.15),
@@ -121,7 +121,7 @@
                 _route("/extensions", "GET", "extension-status"),
                 _route("/filings", "POST", "extension-filing"),
             ),
-            data_centres=FRANCHISE_PLACES,
+            data_centres=FRANCHISE_DATA_CENTRES,
         ),
         site.ServicePlan(
             name="payroll-bridge",
@@ -132,10 +132,10 @@
             detection_weight=0.2,
             kinds=(_kind("salary-amendment", True, 3000, 6),),
             routes=(_route("/amendments", "POST", "salary-amendment"),),
-            data_centres=FRANCHISE_PLACES,
+            data_centres=FRANCHISE_DATA_CENTRES,
         ),
     ),
-    data_centres=FRANCHISE_PLACES,
+    data_centres=FRANCHISE_DATA_CENTRES,
     work=(
         Work("extension-status", "GET", "/extensions/9", False, 0.7),
         Work("extension-filing", "POST", "/filings", True, 0.2),
--- a/packages/zinniastand-standins/src/zinniastand_standins/virtual_fleet.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/virtual_fleet.py
@@ -23,7 +23,7 @@
 
 KEYS = {"a": documents.make_key(1)}
 TRUSTED = documents.make_operators(KEYS)
-TICK = 0.5
+TICK_S = 0.5
 
 
 class Fleet:
@@ -34,11 +34,11 @@
         self.retention = retention
         self.log: list[bytes] = []
         self.first_offset = 0
-        self.cut: set[tuple[str, str]] = set()
-        self.off_log: set[str] = set()
+        self.cut_links: set[tuple[str, str]] = set()
+        self.vms_without_log: set[str] = set()
         self.vms: dict[str, control.Control] = {}
         self.writer = chain.Chain(TRUSTED)
-        self.told: collections.Counter[str] = collections.Counter()
+        self.bytes_sent: collections.Counter[str] = collections.Counter()
         for number in range(count):
             self._add(f"vm-{number}", 1)
         self._list_all()
@@ -84,20 +84,20 @@
 
     def run(self, seconds: float) -> None:
         """Let time pass."""
-        for _ in range(round(seconds / TICK)):
-            self.now += TICK
+        for _ in range(round(seconds / TICK_S)):
+            self.now += TICK_S
             for vm, process in list(self.vms.items()):
                 self.read_log(vm, process)
                 self.carry_out(vm, process.tick(self.now))
                 snapshot = process.find_due_snapshot(self.now)
-                if snapshot is not None and vm not in self.off_log:
+                if snapshot is not None and vm not in self.vms_without_log:
                     self.log.append(snapshot)
 
     def read_log(self, vm: str, process: control.Control) -> None:
         """Let a VM read what it lacks, if it reaches the log."""
         start = max(process.config.next_offset, self.first_offset)
         entries = self.log[start:]
-        if vm not in self.off_log and entries:
+        if vm not in self.vms_without_log and entries:
             actions = process.take_log_entries(start, entries, self.now)
             self.carry_out(vm, actions)
 
@@ -108,14 +108,14 @@
             sender, action = pending.popleft()
             if not isinstance(action, control_actions.Tell):
                 continue
-            self.told[sender] += len(peer_messages.encode(action.message))
+            self.bytes_sent[sender] += len(peer_messages.encode(action.message))
             receiver = self.vms.get(action.vm)
-            if receiver is None or (sender, action.vm) in self.cut:
+            if receiver is None or (sender, action.vm) in self.cut_links:
                 continue
             caused = receiver.take_message(sender, action.message, self.now)
             pending.extend((action.vm, item) for item in caused)
 
-    def versions(self) -> set[int]:
+    def find_versions(self) -> set[int]:
         """Return the versions in force over all VMs."""
         return {process.config.chain.version for process in self.vms.values()}
 
--- a/packages/zinniastand-standins/src/zinniastand_standins/work_ledger.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/work_ledger.py
@@ -36,6 +36,6 @@
         """Return how often a piece of work was started."""
         return self._counts[name]
 
-    def list_doubled(self) -> list[str]:
+    def list_repeated(self) -> list[str]:
         """Return the work that was started more than once."""
         return [name for name, count in self._counts.items() if count > 1]
--- a/soak/shared_store.py
+++ b/soak/shared_store.py
@@ -25,18 +25,18 @@
         self._written.append((topic, key, value))
         self.topics.put(topic, key, value)
 
-    def take_copy(self) -> tuple[topic_store.Copy, int]:
+    def take_copy(self) -> tuple[topic_store.Snapshot, int]:
         """Return a copy, and how much had been written until then."""
-        return self.topics.take_copy(), len(self._written)
+        return self.topics.take_snapshot(), len(self._written)
 
-    async def return_from(self, copy: topic_store.Copy, written: int) -> None:
+    async def return_from(self, copy: topic_store.Snapshot, written: int) -> None:
         """Be away for a moment, and return from a copy.
 
         Whoever wrote since writes again what stands now, not all that was lost.
         """
         self.topics.fault = topic_store.Fault.BUSY
         await anyio.sleep(AWAY_FOR)
-        self.topics.return_from(copy)
+        self.topics.restore(copy)
         self.topics.fault = topic_store.Fault.NONE
         await anyio.sleep(WRITTEN_AGAIN_AFTER)
         newest = {(one[0], one[1]): one for one in self._written[written:]}
--- a/tests/core/test_control.py
+++ b/tests/core/test_control.py
@@ -11,10 +11,10 @@
     # too after a moment, because their peers tell on what they read.
     fleet = virtual_fleet.Fleet(12)
     fleet.run(3)
-    fleet.off_log = {f"vm-{number}" for number in range(0, 12, 2)}
+    fleet.vms_without_log = {f"vm-{number}" for number in range(0, 12, 2)}
     fleet.publish(floor=1)
     fleet.run(1)
-    assert fleet.versions() == {1}
+    assert fleet.find_versions() == {1}
 
 
 def test_an_empty_vm_starts_from_peers_while_the_log_is_down() -> None:
@@ -23,12 +23,12 @@
     fleet = virtual_fleet.Fleet(4)
     fleet.publish(floor=1)
     fleet.run(3)
-    fleet.off_log = {*fleet.vms, "vm-new", "vm-lone"}
+    fleet.vms_without_log = {*fleet.vms, "vm-new", "vm-lone"}
     fleet.start("vm-new")
     fleet.run(2)
     assert fleet.vms["vm-new"].config.chain.version == 1
     lone = fleet.start("vm-lone")
-    fleet.cut = {(vm, "vm-lone") for vm in fleet.vms}
+    fleet.cut_links = {(vm, "vm-lone") for vm in fleet.vms}
     fleet.run(2)
     assert lone.config.chain.version == 0
 
@@ -40,14 +40,14 @@
     fleet.publish(floor=1)
     fleet.run(3)
     others = [vm for vm in fleet.vms if vm != "vm-0"]
-    fleet.cut = {(vm, "vm-0") for vm in others} | {("vm-0", vm) for vm in others}
-    fleet.off_log = {"vm-0"}
+    fleet.cut_links = {(vm, "vm-0") for vm in others} | {("vm-0", vm) for vm in others}
+    fleet.vms_without_log = {"vm-0"}
     fleet.publish(floor=2)
     fleet.run(10)
     assert fleet.vms["vm-0"].config.chain.version == 1
-    fleet.cut.clear()
+    fleet.cut_links.clear()
     fleet.run(15)
-    assert fleet.versions() == {2}
+    assert fleet.find_versions() == {2}
 
 
 def test_a_silent_vm_is_declared_down_and_its_successor_is_told_apart() -> None:
@@ -75,7 +75,7 @@
     fleet.run(3)
     deaf = fleet.vms["vm-0"]
     callee = deaf.list_neighbours(fleet.now)[0]
-    fleet.cut = {(callee, "vm-0")}
+    fleet.cut_links = {(callee, "vm-0")}
     fleet.run(30)
     events = [
         event
@@ -93,12 +93,12 @@
     fleet = virtual_fleet.Fleet(10)
     fleet.run(3)
     half = {f"vm-{number}" for number in range(5)}
-    fleet.cut = {
+    fleet.cut_links = {
         (a, b) for a in fleet.vms for b in fleet.vms if (a in half) != (b in half)
     }
     fleet.run(60)
     assert fleet.count_alive("vm-0") == 4
-    fleet.cut.clear()
+    fleet.cut_links.clear()
     fleet.run(30)
     assert {fleet.count_alive(vm) for vm in fleet.vms} == {9}
 
@@ -120,7 +120,7 @@
         if step % 3 == 0:
             replaced += 1
             fleet.start(f"vm-{replaced % 6}", incarnation=replaced + 1)
-    assert fleet.versions() == {1}
+    assert fleet.find_versions() == {1}
     periods = 200 * 10 / 200.0
     assert len(fleet.log) <= 6 * periods
 
@@ -131,9 +131,9 @@
     for count in (12, 48):
         fleet = virtual_fleet.Fleet(count)
         fleet.run(5)
-        fleet.told.clear()
+        fleet.bytes_sent.clear()
         fleet.run(10)
-        costs.append(max(fleet.told.values()) / 10)
+        costs.append(max(fleet.bytes_sent.values()) / 10)
     assert costs[1] < 1.6 * costs[0]
 
 
--- a/tests/edge/test_store_drill.py
+++ b/tests/edge/test_store_drill.py
@@ -33,11 +33,11 @@
     return used
 
 
-async def restore_store(site: edge_site.Site, copy: topic_store.Copy) -> None:
+async def restore_store(site: edge_site.Site, copy: topic_store.Snapshot) -> None:
     """Make the store unavailable for a moment, then restore it from a copy."""
     site.store.fault = topic_store.Fault.BUSY
     await anyio.sleep(0.3)
-    site.store.return_from(copy)
+    site.store.restore(copy)
     site.store.fault = topic_store.Fault.NONE
 
 
@@ -49,7 +49,7 @@
         for name in ("t1", "t2", "t3"):
             await site.start_target(edge_site.Target(name))
         vms = await start(site, "vm-1", "vm-2")
-        copy = site.store.take_copy()
+        copy = site.store.take_snapshot()
         for name in ("t1", "t2", "t3") * 10:
             site.register(site.targets[name])
         site.register(site.targets["t1"], "draining")
@@ -72,7 +72,7 @@
         site.publish([edge_site.make_route("/old/")])
         await site.start_target(edge_site.Target("t1"))
         vms = await start(site, "vm-1", "vm-2")
-        copy = site.store.take_copy()
+        copy = site.store.take_snapshot()
         site.publish([edge_site.make_route("/new/")])
         await anyio.sleep(1.0)
         await restore_store(site, copy)
@@ -92,7 +92,7 @@
         site.publish([edge_site.make_route()])
         await site.start_target(edge_site.Target("t1"))
         await start(site, "vm-1")
-        copy = site.store.take_copy()
+        copy = site.store.take_snapshot()
         await start(site, "vm-2")
         await restore_store(site, copy)
         await anyio.sleep(2 * SETTLED)
@@ -106,13 +106,13 @@
         await site.start_target(edge_site.Target("t1"))
         vms = await start(site, *(f"vm-{n}" for n in range(6)))
         await anyio.sleep(1.0)
-        copy = site.store.take_copy()
+        copy = site.store.take_snapshot()
         await anyio.sleep(0.5)
         usual = edge_site.count_store_calls(vms)
         await anyio.sleep(5.0)
         usual = edge_site.count_store_calls(vms) - usual
         before = edge_site.count_store_calls(vms)
-        site.store.return_from(copy)
+        site.store.restore(copy)
         await anyio.sleep(5.0)
         made = edge_site.count_store_calls(vms) - before
         assert made.total() - usual.total() <= 3 * len(vms)
--- a/tests/platform_adapter/test_store.py
+++ b/tests/platform_adapter/test_store.py
@@ -65,9 +65,12 @@
 
 async def test_targets_are_read_from_all_pages_of_a_listing() -> None:
     async with run_store() as (topics, client):
-        for n in range(topic_store_app.PAGE + 20):
+        for n in range(topic_store_app.KEYS_PER_PAGE + 20):
             put_target(topics, f"t{n:04}")
-        assert len((await client.read_targets()).changes) == topic_store_app.PAGE + 20
+        assert (
+            len((await client.read_targets()).changes)
+            == topic_store_app.KEYS_PER_PAGE + 20
+        )
 
 
 async def test_new_configuration_ends_the_wait_for_one() -> None:
--- a/tests/proxy/test_whole_path.py
+++ b/tests/proxy/test_whole_path.py
@@ -158,7 +158,7 @@
         proxy_daemon = running_site.daemons["vm-1"]
         for fault in (target.Fault.CUT, target.Fault.CROSSED):
             for stand_in in running_site.targets.values():
-                stand_in.mood = target.Mood(fault)
+                stand_in.behaviour = target.Behaviour(fault)
             name = fault.value
             reply = await send_order(client, proxy_daemon, str(uuid6.uuid7()), name)
             assert reply.status_code == 502
@@ -180,7 +180,7 @@
             running_site.publish()
         elif announced_by == "list":
             address = f"127.0.0.1:{running_site.ports[name]}"
-            running_site.listing.vms.append(
+            running_site.vm_list.vms.append(
                 {"role": "target", "state": "leaving", "address": address}
             )
         else:
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -20,7 +20,7 @@
     fleet = virtual_fleet.Fleet(count)
     fleet.publish(floor=1)
     fleet.run(4)
-    assert fleet.versions() == {1}
+    assert fleet.find_versions() == {1}
     return fleet
 
 
@@ -32,12 +32,12 @@
 
 @pytest_bdd.when("every second VM loses the log")
 def _lose_half(fleet: virtual_fleet.Fleet) -> None:
-    fleet.off_log = set(list(fleet.vms)[::2])
+    fleet.vms_without_log = set(list(fleet.vms)[::2])
 
 
 @pytest_bdd.when("every VM loses the log")
 def _lose_all(fleet: virtual_fleet.Fleet) -> None:
-    fleet.off_log = {*fleet.vms, "vm-new"}
+    fleet.vms_without_log = {*fleet.vms, "vm-new"}
 
 
 @pytest_bdd.when("a VM starts with nothing")
@@ -62,28 +62,28 @@
 def _cut(fleet: virtual_fleet.Fleet, vm: int) -> None:
     name = f"vm-{vm}"
     others = [other for other in fleet.vms if other != name]
-    fleet.cut = {(o, name) for o in others} | {(name, o) for o in others}
-    fleet.off_log = {name}
+    fleet.cut_links = {(o, name) for o in others} | {(name, o) for o in others}
+    fleet.vms_without_log = {name}
 
 
 @pytest_bdd.when(parsers.parse("VM {vm:d} no longer hears the first VM that it calls"))
 def _deafen(fleet: virtual_fleet.Fleet, vm: int) -> None:
     name = f"vm-{vm}"
     callee = fleet.vms[name].list_neighbours(fleet.now)[0]
-    fleet.cut = {(callee, name)}
+    fleet.cut_links = {(callee, name)}
 
 
 @pytest_bdd.when("the fleet is split in two")
 def _split(fleet: virtual_fleet.Fleet) -> None:
     half = set(list(fleet.vms)[: len(fleet.vms) // 2])
     pairs = [(a, b) for a in fleet.vms for b in fleet.vms]
-    fleet.cut = {(a, b) for a, b in pairs if (a in half) != (b in half)}
+    fleet.cut_links = {(a, b) for a, b in pairs if (a in half) != (b in half)}
 
 
 @pytest_bdd.when("all links work again")
 def _heal(fleet: virtual_fleet.Fleet) -> None:
-    fleet.cut.clear()
-    fleet.off_log.clear()
+    fleet.cut_links.clear()
+    fleet.vms_without_log.clear()
 
 
 @pytest_bdd.when(parsers.re(r"(?P<seconds>\d+) seconds? pass(es)?"))
@@ -94,7 +94,7 @@
 @pytest_bdd.then("the new bundle is in force on every VM")
 @pytest_bdd.then("the first of them is in force on every VM")
 def _in_force(fleet: virtual_fleet.Fleet) -> None:
-    assert fleet.versions() == {fleet.writer.version}
+    assert fleet.find_versions() == {fleet.writer.version}
     digests = {vm.config.chain.bundle.digest for vm in fleet.vms.values()}
     assert digests == {fleet.writer.bundle.digest}
 
