--- a/packages/zinniastand-standins/src/zinniastand_standins/__init__.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what surrounds the fleet: log, VM list, targets, balancer."""
+"""Test doubles for what surrounds the fleet: log, VM list, targets and balancer."""
--- a/packages/zinniastand-standins/src/zinniastand_standins/asgi.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/asgi.py
@@ -1,4 +1,4 @@
-"""Two helpers for the stand-ins' ASGI applications."""
+"""Reading requests and sending responses in the stand-ins' ASGI applications."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 async def read_body(receive: caller_app.Receive) -> bytes:
-    """Return the whole body of a request."""
+    """Return the body of a request after all its chunks have arrived."""
     chunks: list[bytes] = []
     while True:
         message = await receive()
@@ -23,7 +23,7 @@
     body: bytes,
     headers: collections.abc.Iterable[tuple[bytes, bytes]] = (),
 ) -> None:
-    """Send a whole answer."""
+    """Send a complete response with its content length."""
     length = (b"content-length", str(len(body)).encode())
     start = {"status": status, "headers": [*headers, length]}
     await send({"type": "http.response.start", **start})
--- a/packages/zinniastand-standins/src/zinniastand_standins/callers.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/callers.py
@@ -1,4 +1,4 @@
-"""Stand-in callers: a mixed load with keys, and a record of what each was told."""
+"""Simulated callers: a mixed load with idempotency keys and a record of answers."""
 
 from __future__ import annotations
 
@@ -21,60 +21,64 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReceivedAnswer:
-    """One answer to one try."""
+    """The answer to one try of a call."""
 
     status: int
-    """HTTP status, or 0 where the connection broke."""
+    """HTTP status, or 0 if no answer arrived."""
 
     outcome: str
-    """``x-outcome``, or empty."""
+    """Value of ``x-outcome``; empty if the header is missing."""
 
     is_whole: bool
-    """Whether a success carried the caller's own answer, whole."""
+    """Whether the body is the complete answer to this caller's own request."""
 
     added: float | None
-    """Seconds that the answer took beyond the target's work."""
+    """Seconds that the answer took beyond the target's work; None if the target did not
+    report how long it worked."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """One piece of work that a caller wanted done."""
+    """One request of a caller, over all its tries."""
 
     name: str
-    """Its unique name."""
+    """Unique name of the work, which the target's ledger records."""
 
     work: users.Work
-    """Its kind."""
+    """Kind of the request."""
 
     duration: float
-    """Seconds over all tries."""
+    """Seconds from the first try to the last answer."""
 
     answers: tuple[ReceivedAnswer, ...]
-    """The answer to each try."""
+    """The answer to each try, in order."""
 
     @property
     def is_answered(self) -> bool:
-        """Whether the caller got its whole answer in the end."""
+        """Whether the last try returned 200 with the complete answer."""
         return self.answers[-1].status == 200 and self.answers[-1].is_whole
 
 
 class Callers:
-    """All callers of one site.
+    """Sends the requests of all callers of one site.
 
     Parameters
     ----------
-    door : balancer.Balancer
-        Where requests go.
+    load_balancer : balancer.Balancer
+        Picks the VM for each try.
     user : users.User
-        What they ask for.
+        The user whose mix of requests is sent.
     generator : random.Random
-        Source of randomness.
+        Source of arrival times and of the mix of requests.
     """
 
     def __init__(
-        self, door: balancer.Balancer, user: users.User, generator: random.Random
+        self,
+        load_balancer: balancer.Balancer,
+        user: users.User,
+        generator: random.Random,
     ) -> None:
-        self._door = door
+        self._load_balancer = load_balancer
         self._user = user
         self._generator = generator
         self._client = httpx.AsyncClient(timeout=TIMEOUT_S)
@@ -82,7 +86,10 @@
         self.calls: list[Call] = []
 
     async def run(self, rate: float, seconds: float) -> None:
-        """Send requests at a mean rate (Poisson) for a time, and wait for the last."""
+        """Send requests for a time, then wait until each has its final answer.
+
+        Arrivals form a Poisson process with a mean of `rate` requests per second.
+        """
         async with anyio.create_task_group() as group:
             until = time.monotonic() + seconds
             while time.monotonic() < until:
@@ -101,20 +108,20 @@
         if work.is_keyed:
             headers["idempotency-key"] = str(uuid6.uuid7())
         started = time.monotonic()
-        told: list[ReceivedAnswer] = []
+        answers: list[ReceivedAnswer] = []
         for _ in range(MAX_TRIES):
-            answer, wait = await self._try(work, name, headers)
-            told.append(answer)
+            answer, wait = await self._send_once(work, name, headers)
+            answers.append(answer)
             if answer.outcome != "not-run":
                 break
             await anyio.sleep(min(wait, 1.0))
         took = time.monotonic() - started
-        self.calls.append(Call(name, work, took, tuple(told)))
+        self.calls.append(Call(name, work, took, tuple(answers)))
 
-    async def _try(
+    async def _send_once(
         self, work: users.Work, name: str, headers: dict[str, str]
     ) -> tuple[ReceivedAnswer, float]:
-        port = self._door.pick_port()
+        port = self._load_balancer.pick_port()
         if port is None:
             return ReceivedAnswer(0, "not-run", False, None), 0.3
         url = f"http://{site.HOST}:{port}{work.path}"
@@ -127,13 +134,13 @@
         except httpx.HTTPError:
             return ReceivedAnswer(0, "", False, None), 0.0
         took = time.monotonic() - started
-        wanted = f"done:{name}:{(content or b'').decode()}"
+        expected = f"done:{name}:{(content or b'').decode()}"
         worked = reply.headers.get("x-worked-ms")
         added = took - float(worked) / MS_PER_S if worked else None
-        told = ReceivedAnswer(
+        answer = ReceivedAnswer(
             reply.status_code,
             reply.headers.get("x-outcome", ""),
-            reply.text == wanted,
+            reply.text == expected,
             added,
         )
-        return told, float(reply.headers.get("retry-after", 0))
+        return answer, float(reply.headers.get("retry-after", 0))
--- a/packages/zinniastand-standins/src/zinniastand_standins/documents.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/documents.py
@@ -1,4 +1,4 @@
-"""Small bundle documents for tests."""
+"""Keys, operators and small bundle documents for tests."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 def make_key(number: int) -> ed25519.Ed25519PrivateKey:
-    """Return the same key for the same number."""
+    """Return a private key that depends only on the number (0 to 255)."""
     return ed25519.Ed25519PrivateKey.from_private_bytes(bytes([number]) * 32)
 
 
 def read_public(key: ed25519.Ed25519PrivateKey) -> bytes:
-    """Return the raw public half."""
+    """Return the raw bytes of the public key."""
     return key.public_key().public_bytes(
         serialization.Encoding.Raw, serialization.PublicFormat.Raw
     )
 
 
 def make_operators(keys: Keys, needed: int = 1) -> services.Operators:
-    """Return operators as settings name them."""
+    """Return operators of whom `needed` must sign a proposal."""
     members = tuple(
         services.Operator(name, read_public(key)) for name, key in keys.items()
     )
@@ -37,7 +37,19 @@
 def make_document(
     keys: Keys, targets: int = 3, floor: int = 2, needed: int = 1
 ) -> dict[str, typing.Any]:
-    """Return a bundle document with one service of targets with two slots each."""
+    """Return a bundle document with one service, whose targets have two slots each.
+
+    Parameters
+    ----------
+    keys : mapping of str to Ed25519PrivateKey
+        Key of each operator, by name.
+    targets : int
+        Number of targets.
+    floor : int
+        Slots that must stay in service.
+    needed : int
+        Operators who must sign a proposal.
+    """
     members = [
         {"name": name, "public_key": base64.b64encode(read_public(key)).decode()}
         for name, key in keys.items()
--- a/packages/zinniastand-standins/src/zinniastand_standins/log_app.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/log_app.py
@@ -1,4 +1,4 @@
-"""HTTP interface of the log stand-in."""
+"""HTTP interface of the in-memory log."""
 
 from __future__ import annotations
 
@@ -16,12 +16,15 @@
 
 
 class LogApp(http_app.HttpApp):
-    """Serves ``POST`` and ``GET /streams/NAME``.
+    """Appends with ``POST`` and reads with ``GET`` at ``/streams/NAME``.
+
+    A refused append is answered with 503 and a header that says that nothing was
+    appended; one whose result is uncertain is answered with 504.
 
     Parameters
     ----------
     store : log_store.LogStore
-        The log.
+        The log that is served.
     """
 
     def __init__(self, store: log_store.LogStore) -> None:
@@ -33,7 +36,7 @@
         receive: caller_app.Receive,
         send: caller_app.Send,
     ) -> None:
-        """Serve one request."""
+        """Append or read, as the method says."""
         stream = scope["path"].removeprefix(PREFIX)
         try:
             if scope["method"] == "POST":
--- a/packages/zinniastand-standins/src/zinniastand_standins/log_store.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/log_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's append-only log, with its faults."""
+"""An in-memory stand-in for the platform's append-only log, with fault injection."""
 
 from __future__ import annotations
 
@@ -12,14 +12,29 @@
 class LogStore:
     """Streams in memory, behind the `platform_log.Log` interface.
 
-    The faults are switches: `is_down` refuses everything, `loses_answers` appends and
-    then fails, `lag` hides the newest entries from readers, and readers named in
-    `cut_readers` read nothing.
+    Tests inject faults by setting attributes.
+
+    Attributes
+    ----------
+    is_down : bool
+        Whether all appends and reads are refused.
+    loses_answers : bool
+        Whether an append takes effect and then fails as uncertain.
+    lag : int
+        Number of newest entries of each stream that readers can't see yet.
+    delay : float
+        Seconds by which each append is delayed.
+    appends : int
+        Entries appended so far.
+    bytes_appended : int
+        Their bytes.
+    reads : int
+        Calls of `read` so far.
     """
 
     def __init__(self) -> None:
         self._streams: dict[str, list[bytes]] = collections.defaultdict(list)
-        self._first: dict[str, int] = collections.defaultdict(int)
+        self._first_offsets: dict[str, int] = collections.defaultdict(int)
         self._changed = anyio.Event()
         self.is_down = False
         self.loses_answers = False
@@ -41,17 +56,17 @@
         return offset
 
     def append_now(self, stream: str, data: bytes) -> int:
-        """Append without any fault."""
+        """Append regardless of injected faults; return the offset of the new entry."""
         entries = self._streams[stream]
         entries.append(data)
         self.appends += 1
         self.bytes_appended += len(data)
         self._changed.set()
         self._changed = anyio.Event()
-        return self._first[stream] + len(entries) - 1
+        return self._first_offsets[stream] + len(entries) - 1
 
     async def read(self, stream: str, offset: int, wait: float) -> platform_log.Page:
-        """Return entries from `offset`; see `platform_log.Log.read`."""
+        """Return entries from `offset` on; see `platform_log.Log.read`."""
         self.reads += 1
         with anyio.move_on_after(wait):
             while not self.is_down and not self.list_entries(stream, offset).entries:
@@ -61,16 +76,16 @@
         return self.list_entries(stream, offset)
 
     def list_entries(self, stream: str, offset: int) -> platform_log.Page:
-        """Return the entries that a reader can see now."""
-        first = self._first[stream]
+        """Return the entries from `offset` on that a reader can see now."""
+        first = self._first_offsets[stream]
         start = max(offset, first)
         entries = self._streams[stream]
-        seen = entries[start - first : max(0, len(entries) - self.lag)]
-        return platform_log.Page(start, tuple(seen))
+        visible = entries[start - first : max(0, len(entries) - self.lag)]
+        return platform_log.Page(start, tuple(visible))
 
     def forget(self, stream: str, before: int) -> None:
-        """Let retention drop the entries before an offset."""
-        first = self._first[stream]
+        """Drop the entries before an offset, as retention does."""
+        first = self._first_offsets[stream]
         drop = max(0, min(before - first, len(self._streams[stream])))
         del self._streams[stream][:drop]
-        self._first[stream] = first + drop
+        self._first_offsets[stream] = first + drop
--- a/packages/zinniastand-standins/src/zinniastand_standins/loopback.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/loopback.py
@@ -1,4 +1,4 @@
-"""Ports on the loopback address for stand-ins and tests."""
+"""Free ports on the loopback address for stand-ins and tests."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 HOST = "127.0.0.1"
 
 PORTS = range(20_000, 32_000)
-"""Ports from which free ones are drawn: below those that the kernel gives to outgoing
-connections (32,768 and up on Linux). A port from there can be taken by a connection of
-any process between its choice and its use; a test beside load failed by that."""
+"""Range from which ports are drawn: below the ephemeral ports that the kernel gives to
+outgoing connections (32,768 and up on Linux). A connection of any process can take an
+ephemeral port between its choice and its use, which made a test fail under load."""
 
 
 def find_free_port() -> int:
-    """Return a port that nothing uses now, for TCP and UDP."""
-    drawn = random.SystemRandom()
+    """Return a port that is free at the moment for both TCP and UDP."""
+    generator = random.SystemRandom()
     while True:
-        port = drawn.choice(PORTS)
+        port = generator.choice(PORTS)
         if _is_free(port):
             return port
 
