--- a/packages/zinniastand-standins/src/zinniastand_standins/callers.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/callers.py
@@ -32,7 +32,7 @@
     is_whole: bool
     """Whether the body is the complete answer to this caller's own request."""
 
-    added: float | None
+    added_latency: float | None
     """Seconds that the answer took beyond the target's work; None if the target did not
     report how long it worked."""
 
@@ -136,11 +136,11 @@
         took = time.monotonic() - started
         expected = f"done:{name}:{(content or b'').decode()}"
         worked = reply.headers.get("x-worked-ms")
-        added = took - float(worked) / MS_PER_S if worked else None
+        added_latency = took - float(worked) / MS_PER_S if worked else None
         answer = ReceivedAnswer(
             reply.status_code,
             reply.headers.get("x-outcome", ""),
             reply.text == expected,
-            added,
+            added_latency,
         )
         return answer, float(reply.headers.get("retry-after", 0))
--- a/packages/zinniastand-standins/src/zinniastand_standins/demo.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/demo.py
@@ -1,6 +1,7 @@
-"""The demo: two small sites through a series of faults, judged by the targets' ledger.
+"""The demo: runs two small sites through a series of faults and reports the result.
 
-Nothing in the verdict comes from the proxy's own counters.
+The result comes from the ledger of the targets, the answers that callers received and
+the ejections in the event logs, not from the proxy's own counters.
 """
 
 from __future__ import annotations
@@ -26,89 +27,89 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Detection:
-    """How long a failing target kept receiving work."""
+    """Time until a failing target received hardly any requests."""
 
     fault: str
-    """The fault."""
+    """Description of the fault."""
 
     seconds: float | None
-    """Seconds until its work had faded to a fifth; None if it never did."""
+    """Seconds from the fault until requests fell to a fifth; None if they never did."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """One kind of one user in the table."""
+    """A row of the table: one kind of work of one user."""
 
     user: str
-    """The user."""
+    """Name of the user."""
 
     kind: str
-    """The kind."""
+    """Name of the kind."""
 
     sent: int
-    """Pieces of work."""
+    """Number of requests of the kind, not counting repeated tries."""
 
     answered: int
-    """Of these, answered whole and in time."""
+    """Number of them that got a complete answer in the end."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SiteReport:
-    """What became of one user's site."""
+    """Results of one user's site."""
 
     rows: tuple[Row, ...]
-    """By kind."""
+    """Counts for each kind of work."""
 
     doubled: int
-    """At-most-once work that ran twice."""
+    """Number of at-most-once requests whose work ran more than once."""
 
     lost: int
-    """Work reported as done that never ran."""
+    """Number of requests answered with 200 whose work never ran."""
 
     false_not_run: int
-    """Work that ran though every try was told "not run"."""
+    """Number of at-most-once requests that ran although every try got "not run"."""
 
     not_whole: int
-    """Successes with a cut or crossed answer."""
+    """Number of 200 answers that were cut or belonged to another request."""
 
     told_unknown: int
-    """Callers told "unknown"."""
+    """Number of answers with the outcome "unknown"."""
 
     broken_connections: int
-    """Requests cut off without any answer."""
+    """Number of tries that ended without an answer or a known outcome."""
 
     detections: tuple[Detection, ...]
-    """Detection times."""
+    """Detection time of each fault, in the order of the faults."""
 
     false_ejections: int
-    """Ejections of targets that had no fault."""
+    """Number of targets ejected without a fault."""
 
     added: tuple[float, ...]
-    """Latency added to each answered request, in seconds, sorted."""
+    """Seconds that each answer took beyond the target's work, sorted."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """What became of the demo."""
+    """Results of the demo."""
 
     sites: dict[str, SiteReport]
-    """By user."""
+    """Results of each site, by name of the user."""
 
     @property
     def broken_promises(self) -> list[str]:
-        """What must always hold and did not."""
-        found: list[str] = []
+        """Descriptions of the promises that were broken; empty if all were kept."""
+        broken: list[str] = []
         for name, report in self.sites.items():
             for label in ("doubled", "lost", "false_not_run", "not_whole"):
                 count = getattr(report, label)
                 if count:
-                    found.append(f"{name}: {label} {count}")
+                    broken.append(f"{name}: {label} {count}")
             if report.broken_connections:
-                found.append(f"{name}: cut off {report.broken_connections}")
-        return found
+                broken.append(f"{name}: cut off {report.broken_connections}")
+        return broken
 
     def format_text(self) -> str:
-        """Return the table."""
+        """Return the tables of requests and of other results."""
         lines = [f"{'':11}{'kind':22}{'sent':>6}{'answered in time':>18}"]
         for name, report in self.sites.items():
             for row in report.rows:
@@ -117,8 +118,8 @@
                     f"{name:11}{row.kind:22}{row.sent:6}{row.answered:9}{share:>9}"
                 )
         lines.append("")
-        head = "".join(f"{name:>12}" for name in self.sites)
-        lines.append(f"{'':38}{head}")
+        heading = "".join(f"{name:>12}" for name in self.sites)
+        lines.append(f"{'':38}{heading}")
         for label, values in self._list_counts():
             cells = "".join(f"{value:>12}" for value in values)
             lines.append(f"{label:38}{cells}")
@@ -144,29 +145,29 @@
 
 
 class SiteDemo:
-    """The demo at one user's site.
+    """Runs the demo at one user's site.
 
     Parameters
     ----------
     user : users.User
-        The user.
+        The user whose site is run.
     seed : int
-        Seed of the stand-ins.
+        Seed of the targets and the load.
     """
 
     def __init__(self, user: users.User, seed: int) -> None:
         self._user = user
         self._seed = seed
-        self._faulted: dict[str, tuple[str, float, float]] = {}
-        self._ejected: set[str] = set()
+        self._faulty_targets: dict[str, tuple[str, float, float]] = {}
+        self._ejected_targets: set[str] = set()
 
     async def run(self) -> SiteReport:
-        """Return what became of the site."""
+        """Run the site through all faults and return the results."""
         async with anyio.create_task_group() as group:
             place = site.Site(group, self._seed)
             calls = await self._run_site(place, group)
             group.cancel_scope.cancel()
-            return self._judge(place, calls)
+            return self._evaluate(place, calls)
         raise RuntimeError("the site was cancelled")
 
     async def _run_site(
@@ -177,11 +178,11 @@
         place.publish()
         for number in range(VM_COUNT):
             await self._start_vm(place, number)
-        door = balancer.Balancer(place)
-        group.start_soon(door.run)
-        await door.wait_ready(VM_COUNT)
-        load = callers.Callers(door, self._user, random.Random(self._seed))
-        group.start_soon(self._bring_faults, place)
+        load_balancer = balancer.Balancer(place)
+        group.start_soon(load_balancer.run)
+        await load_balancer.wait_ready(VM_COUNT)
+        load = callers.Callers(load_balancer, self._user, random.Random(self._seed))
+        group.start_soon(self._inject_faults, place)
         await load.run(REQUESTS_PER_S, LOAD_DURATION_S)
         self._collect_ejections(place)
         for process in place.daemons.values():
@@ -193,33 +194,35 @@
         vm = f"{self._user.name.lower()}-vm-{number + 1}"
         await place.start_daemon(vm, places[number % len(places)], unready_for=1.0)
 
-    async def _bring_faults(self, place: site.Site) -> None:
+    async def _inject_faults(self, place: site.Site) -> None:
         first = self._user.plans[0].name
         await anyio.sleep(6)
-        gray = target.Behaviour(target.Fault.ERRORS)
-        await self._fault(place, f"{first}-2", "errors behind fine probes", gray, 8)
+        errors = target.Behaviour(target.Fault.ERRORS)
+        await self._inject_fault(
+            place, f"{first}-2", "errors behind fine probes", errors, 8
+        )
         straggler = target.Behaviour(target.Fault.SLOW, factor=10)
-        await self._fault(place, f"{first}-5", "straggler, 10x", straggler, 8)
+        await self._inject_fault(place, f"{first}-5", "straggler, 10x", straggler, 8)
         silent = target.Behaviour(target.Fault.SILENT)
-        await self._fault(place, f"{first}-3", "connections silent", silent, 4)
+        await self._inject_fault(place, f"{first}-3", "connections silent", silent, 4)
         place.log.is_down = True
         await anyio.sleep(3)
         place.log.is_down = False
         await self._replace_vm(place)
 
-    async def _fault(
+    async def _inject_fault(
         self,
         place: site.Site,
         name: str,
         label: str,
-        mood: target.Behaviour,
+        behaviour: target.Behaviour,
         seconds: float,
     ) -> None:
         started = time.time()
-        place.targets[name].behaviour = mood
+        place.targets[name].behaviour = behaviour
         await anyio.sleep(seconds)
         place.targets[name].behaviour = target.Behaviour()
-        self._faulted[name] = (label, started, time.time())
+        self._faulty_targets[name] = (label, started, time.time())
 
     async def _replace_vm(self, place: site.Site) -> None:
         vm = f"{self._user.name.lower()}-vm-1"
@@ -233,32 +236,32 @@
         for process in place.daemons.values():
             for event in process.events.list_events():
                 if event.kind is timeline.EventKind.EJECTED:
-                    self._ejected.add(event.subject.partition("/")[2])
+                    self._ejected_targets.add(event.subject.partition("/")[2])
 
-    def _judge(self, place: site.Site, calls: list[callers.Call]) -> SiteReport:
+    def _evaluate(self, place: site.Site, calls: list[callers.Call]) -> SiteReport:
         keyed = {call.name for call in calls if call.work.is_keyed}
-        told = [answer for call in calls for answer in call.answers]
-        added = sorted(a.added_latency for a in told if a.added_latency is not None)
+        answers = [answer for call in calls for answer in call.answers]
+        added = sorted(a.added_latency for a in answers if a.added_latency is not None)
         return SiteReport(
-            rows=tuple(self._count(work, calls) for work in self._user.work),
+            rows=tuple(self._count_row(work, calls) for work in self._user.work),
             doubled=len(keyed.intersection(place.ledger.list_repeated())),
             lost=sum(
                 call.answers[-1].status == 200 and place.ledger.count(call.name) == 0
                 for call in calls
             ),
-            false_not_run=sum(_is_false_not_run(place, call) for call in calls),
-            not_whole=sum(a.status == 200 and not a.is_whole for a in told),
-            told_unknown=sum(a.outcome == "unknown" for a in told),
-            broken_connections=sum(a.status == 0 and not a.outcome for a in told),
+            false_not_run=sum(_ran_despite_not_run(place, call) for call in calls),
+            not_whole=sum(a.status == 200 and not a.is_whole for a in answers),
+            told_unknown=sum(a.outcome == "unknown" for a in answers),
+            broken_connections=sum(a.status == 0 and not a.outcome for a in answers),
             detections=tuple(
                 Detection(label, self._find_detection(place, name, start, end))
-                for name, (label, start, end) in self._faulted.items()
+                for name, (label, start, end) in self._faulty_targets.items()
             ),
-            false_ejections=len(self._ejected - set(self._faulted)),
+            false_ejections=len(self._ejected_targets - set(self._faulty_targets)),
             added=tuple(added),
         )
 
-    def _count(self, work: users.Work, calls: list[callers.Call]) -> Row:
+    def _count_row(self, work: users.Work, calls: list[callers.Call]) -> Row:
         ours = [call for call in calls if call.work is work]
         answered = sum(call.is_answered for call in ours)
         return Row(self._user.name, work.kind, len(ours), answered)
@@ -266,20 +269,24 @@
     def _find_detection(
         self, place: site.Site, name: str, start: float, end: float
     ) -> float | None:
-        """Return when the target's work had faded for a whole window."""
-        worker = place.targets[name]
-        times = [at for at in worker.received_at if start <= at <= end]
-        before = [at for at in worker.received_at if start - 5 <= at < start]
-        usual = len(before) / 5.0 * WINDOW_S
+        """Return the seconds until the target's requests stayed low for a whole window.
+
+        Low means at most `DETECTED_SHARE` of the requests that it received per window
+        in the five seconds before the fault. None if that never happened.
+        """
+        faulty_target = place.targets[name]
+        times = [at for at in faulty_target.received_at if start <= at <= end]
+        before = [at for at in faulty_target.received_at if start - 5 <= at < start]
+        usual_count = len(before) / 5.0 * WINDOW_S
         moments = [start, *times]
         for moment in moments:
             after = [at for at in times if moment < at <= moment + WINDOW_S]
-            if len(after) <= DETECTED_SHARE * usual and moment + WINDOW_S <= end:
+            if len(after) <= DETECTED_SHARE * usual_count and moment + WINDOW_S <= end:
                 return moment - start
         return None
 
 
-def _is_false_not_run(place: site.Site, call: callers.Call) -> bool:
+def _ran_despite_not_run(place: site.Site, call: callers.Call) -> bool:
     if any(answer.outcome != "not-run" for answer in call.answers):
         return False
     return call.work.is_keyed and place.ledger.count(call.name) > 0
@@ -296,7 +303,7 @@
 
 
 def run(seed: int) -> Report:
-    """Run the demo at both users' sites at once."""
+    """Run the demo at both users' sites at the same time and return the results."""
     sites: dict[str, SiteReport] = {}
 
     async def _run_one(user: users.User) -> None:
--- a/packages/zinniastand-standins/src/zinniastand_standins/retry_audit.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/retry_audit.py
@@ -1,8 +1,9 @@
-"""Audits the retries of a service from outside: what callers sent, what targets got.
+"""Audits the retries of a service by what callers sent and what targets received.
 
-An arrival counts as a retry if its request has arrived before. In no span of time may
-there be more of them than a share of the requests of the busiest of three spans (that
-one, the one before it, and the one between them) and a fixed number beyond.
+An arrival at a target is a retry if the same request has arrived before. The retries of
+any span of time may not exceed a share of the requests of the busiest of three spans
+plus a fixed number. The three are the span itself, the one before it, and the one that
+begins halfway between them.
 """
 
 from __future__ import annotations
@@ -12,50 +13,50 @@
 import dataclasses
 
 SPAN_STEP_S = 0.05
-"""Parts of a second between the spans that are looked at, beside those that begin or
-end with a retry."""
+"""Seconds between the begins of the spans that are examined in addition to those that
+begin or end with a retry."""
 
 SPAN_MARGIN_S = 1e-6
-"""Seconds by which a span begins before, or ends after, a retry that it holds."""
+"""Seconds by which a span begins before its first retry or ends after its last."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bound:
-    """How many retries a service may get."""
+    """Limit of the retries of a service."""
 
     ratio: float
-    """Retries per request."""
+    """Allowed retries per request."""
 
     slack: float
-    """Retries beyond that."""
+    """Number of retries allowed in addition."""
 
     span: float
-    """Seconds over which both are counted."""
+    """Seconds over which requests and retries are counted."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Span:
-    """The retries of one span of time."""
+    """The retries that arrived in one span of time, against their limit."""
 
     begin: float
-    """When it begins."""
+    """Time of its begin, in seconds."""
 
     retries: int
-    """Retries that arrived in it."""
+    """Number of retries that arrived in it."""
 
     allowed: float
-    """How many may."""
+    """Number of retries that may arrive in it."""
 
     @property
     def excess(self) -> float:
-        """Retries beyond what is allowed; negative where some are left."""
+        """Retries beyond the limit; negative if the limit is not used up."""
         return self.retries - self.allowed
 
 
 def find_retries(
     arrivals: collections.abc.Iterable[tuple[float, str]],
 ) -> list[float]:
-    """Return when retries arrived, in order, of arrivals with their request's name."""
+    """Return the times of retries, in order, from pairs of time and request name."""
     seen: set[str] = set()
     retries: list[float] = []
     for at, request in sorted(arrivals):
@@ -70,46 +71,48 @@
     retries: collections.abc.Iterable[float],
     bound: Bound,
 ) -> Span:
-    """Return the span with the most retries beyond what is allowed.
+    """Return the span that exceeds its limit most, or stays closest below it.
 
     Parameters
     ----------
     sent : iterable of float
-        When callers sent requests for the service, in seconds.
+        Times at which callers sent requests for the service, in seconds.
     retries : iterable of float
-        When retries arrived at its targets.
+        Times at which retries arrived at its targets, in seconds.
     bound : Bound
-        How many may.
+        Limit of the retries.
     """
-    asked, repeated = sorted(sent), sorted(retries)
+    request_times, retry_times = sorted(sent), sorted(retries)
     spans = [
-        _look_at(begin, asked, repeated, bound)
-        for begin in _list_begins(repeated, bound.span)
+        _examine_span(begin, request_times, retry_times, bound)
+        for begin in _list_begins(retry_times, bound.span)
     ]
     empty = Span(0.0, 0, bound.slack)
     return max(spans, key=lambda span: span.excess, default=empty)
 
 
-def _list_begins(repeated: list[float], span: float) -> list[float]:
-    begins = [at - SPAN_MARGIN_S for at in repeated]
-    begins += [at - span + SPAN_MARGIN_S for at in repeated]
-    if repeated:
-        count = int((repeated[-1] - repeated[0] + span) / SPAN_STEP_S)
-        begins += [repeated[0] - span + number * SPAN_STEP_S for number in range(count)]
+def _list_begins(retry_times: list[float], span: float) -> list[float]:
+    begins = [at - SPAN_MARGIN_S for at in retry_times]
+    begins += [at - span + SPAN_MARGIN_S for at in retry_times]
+    if retry_times:
+        count = int((retry_times[-1] - retry_times[0] + span) / SPAN_STEP_S)
+        begins += [
+            retry_times[0] - span + number * SPAN_STEP_S for number in range(count)
+        ]
     return begins
 
 
-def _look_at(
-    begin: float, asked: list[float], repeated: list[float], bound: Bound
+def _examine_span(
+    begin: float, request_times: list[float], retry_times: list[float], bound: Bound
 ) -> Span:
     span = bound.span
     requests = max(
-        _count(asked, begin - back, begin - back + span)
-        for back in (0.0, span / 2, span)
+        _count_between(request_times, begin - shift, begin - shift + span)
+        for shift in (0.0, span / 2, span)
     )
-    retries = _count(repeated, begin, begin + span)
+    retries = _count_between(retry_times, begin, begin + span)
     return Span(begin, retries, bound.ratio * requests + bound.slack)
 
 
-def _count(times: list[float], begin: float, end: float) -> int:
+def _count_between(times: list[float], begin: float, end: float) -> int:
     return bisect.bisect_left(times, end) - bisect.bisect_left(times, begin)
--- a/packages/zinniastand-standins/src/zinniastand_standins/site.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/site.py
@@ -1,4 +1,4 @@
-"""A whole site on loopback: log, list, targets, and any number of daemons."""
+"""A whole site on loopback: log, VM list, targets and any number of daemons."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServicePlan:
-    """A service of the site and its targets."""
+    """A service of the site, its targets and its part of the bundle."""
 
     name: str
     """Name of the service."""
@@ -36,29 +36,29 @@
     """Number of targets."""
 
     slots: int
-    """Slots of each."""
+    """Slots of each target."""
 
     work_time: float
-    """Median seconds that a request takes."""
+    """Median seconds of work for a request."""
 
     floor_slots: int
-    """Floor of the service."""
+    """Slots that must stay in service."""
 
     detection_weight: float
-    """Weight of detection time against false ejections."""
+    """Weight of fast detection against false ejections (0 to 1)."""
 
     kinds: tuple[dict[str, object], ...]
-    """Kinds, as they stand in a bundle."""
+    """Kinds of work, as a bundle describes them."""
 
     routes: tuple[dict[str, object], ...]
-    """Routes, as they stand in a bundle."""
+    """Routes, as a bundle describes them."""
 
     data_centres: tuple[str, ...]
     """Data centres over which targets are spread."""
 
 
 def plan_lookups(targets: int, slots: int, work_time: float) -> ServicePlan:
-    """Return a service that takes nothing but idempotent work, under ``/items``."""
+    """Return a plan of a service with idempotent work only, under ``/items``."""
     return ServicePlan(
         name="desk",
         targets=targets,
@@ -73,14 +73,14 @@
 
 
 class Site:
-    """Stand-ins and daemons of one user, in one process.
+    """The stand-ins and daemons of one user's site, in one process.
 
     Parameters
     ----------
     group : anyio.abc.TaskGroup
-        Where everything runs.
+        Runs the servers and daemons.
     seed : int
-        Seed of all randomness in the stand-ins.
+        Seed of the work times and faults of all targets.
     """
 
     def __init__(self, group: anyio.abc.TaskGroup, seed: int = 1) -> None:
@@ -108,34 +108,43 @@
         self._vm_list_url = f"http://{HOST}:{list_port}/vms"
 
     async def serve(self, app: listeners.App, port: int = 0) -> int:
-        """Serve an application on loopback; return its port."""
+        """Serve an application on loopback; return its port.
+
+        A `port` of 0 lets the kernel choose.
+        """
         listener = listeners.Listener(settings.Address(HOST, port), None)
         bound = listener.port
         self._group.start_soon(listener.serve, app, anyio.sleep_forever)
         return bound
 
     async def start_targets(self, plans: collections.abc.Iterable[ServicePlan]) -> None:
-        """Start the targets of each service and note them for the bundle."""
-        described: dict[str, object] = {}
+        """Start the targets of each service and describe them in `document`."""
+        services: dict[str, object] = {}
         for plan in plans:
-            listed = [
+            descriptions = [
                 await self._start_target(plan, number) for number in range(plan.targets)
             ]
-            described[plan.name] = {
+            services[plan.name] = {
                 "floor_slots": plan.floor_slots,
                 "detection_weight": plan.detection_weight,
                 "echo_header": "x-request-id",
                 "kinds": list(plan.kinds),
                 "routes": list(plan.routes),
-                "targets": listed,
+                "targets": descriptions,
             }
         self.document = {
             "operators": self._describe_operators(),
-            "services": described,
+            "services": services,
         }
 
     def publish(self) -> str:
-        """Sign the document off and append it to the log; return the proposal's id."""
+        """Append the signed document to the log; return the proposal's id.
+
+        Raises
+        ------
+        ValueError
+            If the document isn't a valid bundle.
+        """
         current = self.read_chain()
         sections = bundles.split_document(self.document).ok
         parsed = bundles.parse_sections(sections)
@@ -151,7 +160,7 @@
         return name
 
     def read_chain(self) -> chain.Chain:
-        """Return the chain that the log holds."""
+        """Return the chain of bundles that results from the log."""
         config = settings.parse(json.dumps(self.make_settings("reader")), "reader")
         result = chain.Chain(config.ok.trusted)
         for data in self.log.list_entries(CONFIG_STREAM, 0).entries:
@@ -167,7 +176,28 @@
         list_url: str = "",
         first_peers: collections.abc.Iterable[str] = (),
     ) -> daemon.Daemon:
-        """Start a daemon and add it to the VM list."""
+        """Start a daemon, wait until it runs, and add it to the VM list.
+
+        Parameters
+        ----------
+        vm : str
+            Name of the VM.
+        data_centre : str
+            Data centre of the VM.
+        log : platform_log.Log or None
+            Replaces the daemon's own client of the log.
+        unready_for : float
+            Seconds for which a daemon that stops reports that it isn't ready.
+        list_url : str
+            URL of the VM list; the site's own list if empty.
+        first_peers : iterable of str
+            Names of the VMs that the daemon contacts first.
+
+        Raises
+        ------
+        ValueError
+            If the settings are invalid.
+        """
         document = self.make_settings(vm, data_centre)
         if list_url:
             document["vm_list"]["url"] = list_url
@@ -183,7 +213,7 @@
         return process
 
     def list_vm(self, vm: str, data_centre: str, peers_url: str) -> None:
-        """Add a VM to the platform's list."""
+        """Add a live VM to the VM list."""
         self.vm_list.vms.append(
             {
                 "name": vm,
@@ -197,7 +227,7 @@
     def make_settings(
         self, vm: str, data_centre: str = "dc-1"
     ) -> dict[str, typing.Any]:
-        """Return the settings document of a VM."""
+        """Return the settings document of a VM; its peer port stays the same."""
         port = self._peer_ports.get(vm)
         if port is None:
             port = self._peer_ports[vm] = loopback.find_free_port()
@@ -214,7 +244,7 @@
         }
 
     def forget_daemon(self, vm: str) -> None:
-        """Take a VM off the list; a VM of the same name gets a new port."""
+        """Remove a VM from the VM list; its name gets a new peer port when reused."""
         self.vm_list.vms = [item for item in self.vm_list.vms if item["name"] != vm]
         self.daemons.pop(vm, None)
         self._peer_ports.pop(vm, None)
@@ -243,7 +273,7 @@
 
 
 def encode_public_key(key: ed25519.Ed25519PrivateKey) -> str:
-    """Return the public half of a key in base64."""
+    """Return the raw public key of a private key, in base64."""
     raw = key.public_key().public_bytes(
         serialization.Encoding.Raw, serialization.PublicFormat.Raw
     )
--- a/packages/zinniastand-standins/src/zinniastand_standins/target.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/target.py
@@ -1,4 +1,4 @@
-"""A stand-in target with slots, its gray faults and a ledger of what it ran."""
+"""A stand-in target with slots, gray faults and a ledger of the work it started."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Fault(enum.StrEnum):
-    """A gray fault; probes are answered in all of them."""
+    """A gray fault: requests suffer from it while probes are still answered."""
 
     NONE = "none"
     ERRORS = "errors"
@@ -34,33 +34,33 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Behaviour:
-    """How a target behaves at the moment."""
+    """The fault of a target and how strongly it shows."""
 
     fault: Fault = Fault.NONE
-    """The fault."""
+    """Kind of the fault."""
 
     share: float = 1.0
-    """Share of requests that it hits."""
+    """Share of requests that the fault affects (0 to 1)."""
 
     factor: float = 10.0
-    """How much longer a slow request takes."""
+    """Factor by which the work time of a slow request rises."""
 
 
 class Target(http_app.HttpApp):
-    """One worker.
+    """A target that serves requests as long as it has free slots.
 
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the target.
     ledger : work_ledger.WorkLedger
-        Where it records what it starts.
+        Records each request when its work starts.
     slots : int
-        Requests that it works on at a time; more are refused before they start.
+        Requests that it works on at a time; it refuses more before their work starts.
     work_time : float
-        Median seconds that a request takes.
+        Median seconds of work for a request.
     generator : random.Random
-        Source of randomness.
+        Source of work times and of the requests that a fault affects.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         self._slots = slots
         self._work_time = work_time
         self._generator = generator
-        self._busy = 0
+        self._busy_slots = 0
 
     async def serve(
         self,
@@ -90,7 +90,7 @@
         receive: caller_app.Receive,
         send: caller_app.Send,
     ) -> None:
-        """Serve one request."""
+        """Answer a probe, refuse a request, or work on it."""
         body = await asgi.read_body(receive)
         if scope["path"] == "/health":
             await asgi.answer(send, 200, b"fine")
@@ -103,16 +103,16 @@
         if refusal:
             await asgi.answer(send, 503, b"", [*echo, (b"x-not-started", refusal)])
             return
-        self._busy += 1
+        self._busy_slots += 1
         try:
             await self._work(headers, body, echo, send)
         finally:
-            self._busy -= 1
+            self._busy_slots -= 1
 
     def _find_refusal(self, headers: dict[bytes, bytes]) -> bytes:
         if self.is_leaving:
             return b"leaving"
-        if self._busy >= self._slots:
+        if self._busy_slots >= self._slots:
             return b"busy"
         deadline = headers.get(START_HEADER)
         if deadline and time.time() * MS_PER_S > int(deadline):
@@ -130,17 +130,17 @@
         self._ledger.record(work_ledger.Run(name, self.name, time.time()))
         fault = self._draw_fault()
         started = time.monotonic()
-        took = self._work_time * self._generator.lognormvariate(0.0, 0.25)
+        work_time = self._work_time * self._generator.lognormvariate(0.0, 0.25)
         if fault is Fault.SLOW:
-            took *= self.behaviour.factor
-        await anyio.sleep(took)
+            work_time *= self.behaviour.factor
+        await anyio.sleep(work_time)
         if fault is Fault.SILENT:
             await anyio.sleep_forever()
         if fault is Fault.ERRORS:
             await asgi.answer(send, 500, b"failed", echo)
             return
-        worked = f"{MS_PER_S * (time.monotonic() - started):.3f}".encode()
-        echo = [*echo, (WORKED_HEADER, worked)]
+        worked_ms = f"{MS_PER_S * (time.monotonic() - started):.3f}".encode()
+        echo = [*echo, (WORKED_HEADER, worked_ms)]
         if fault is Fault.CROSSED:
             echo = [(ECHO_HEADER, b"somebody-else")]
         answer = b"done:" + name.encode() + b":" + body
@@ -158,7 +158,7 @@
 async def _send_cut(
     send: caller_app.Send, answer: bytes, headers: list[tuple[bytes, bytes]]
 ) -> None:
-    """Promise more bytes than are sent, and end there."""
+    """Send a body that is shorter than its content length says."""
     length = (b"content-length", str(len(answer) + 10).encode())
     start = {"status": 200, "headers": [*headers, length]}
     await send({"type": "http.response.start", **start})
--- a/packages/zinniastand-standins/src/zinniastand_standins/topic_store_app.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/topic_store_app.py
@@ -1,4 +1,4 @@
-"""HTTP interface of the topic store stand-in."""
+"""HTTP interface of the stand-in for the platform's store."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from . import topic_store
 
 POLL_INTERVAL_S = 0.01
-"""Seconds between two looks for new records by a call that waits."""
+"""Seconds between two checks for new records by a read that waits."""
 
 ERA_HEADER = b"store-era"
 
 KEYS_PER_PAGE = 500
-"""Keys on one page."""
+"""Number of keys on a page of newest records."""
 
 RECORD_LENGTH = struct.Struct(">I")
 READ_HEADER = struct.Struct(">QQ")
@@ -29,19 +29,25 @@
 
 
 class TopicStoreApp:
-    """Serves a store to one caller after another.
+    """Answers calls to a store, or fails them as the store's fault says.
 
     Parameters
     ----------
     store : topic_store.TopicStore
-        The state.
+        The content of the store and its injected fault.
     """
 
     def __init__(self, store: topic_store.TopicStore) -> None:
         self._store = store
 
     async def handle(self, incoming: calls.Incoming) -> calls.Reply:
-        """Answer one call, or fail as the store's fault says."""
+        """Return the answer to record call, with the era of the store.
+
+        Raises
+        ------
+        anyio.BrokenResourceError
+            If the store's fault is `topic_store.Fault.RESET`.
+        """
         self._store.calls += 1
         path, _, text = incoming.request.path.decode().partition("?")
         query = dict(urllib.parse.parse_qsl(text))
@@ -55,15 +61,15 @@
             case topic_store.Fault.RESET:
                 raise anyio.BrokenResourceError
             case topic_store.Fault.LOST:
-                await self._answer(path, query, incoming.request.body)
+                await self._handle_path(path, query, incoming.request.body)
                 await anyio.sleep(SILENCE_S)
             case topic_store.Fault.NONE:
                 pass
-        answer = await self._answer(path, query, incoming.request.body)
+        answer = await self._handle_path(path, query, incoming.request.body)
         era = (ERA_HEADER, str(self._store.era).encode())
         return dataclasses.replace(answer, headers=[*answer.headers, era])
 
-    async def _answer(
+    async def _handle_path(
         self, path: str, query: dict[str, str], body: bytes
     ) -> calls.Reply:
         match path:
@@ -80,17 +86,21 @@
         topic = query["topic"]
         end = self._store.find_end(topic)
         if "at" in query and int(query["at"]) != end:
-            return _answer_json(412, {"end": end})
+            return _make_json_reply(412, {"end": end})
         records: list[bytes] = []
-        at = 0
-        while at < len(body):
-            (length,) = RECORD_LENGTH.unpack_from(body, at)
+        position = 0
+        while position < len(body):
+            (length,) = RECORD_LENGTH.unpack_from(body, position)
             records.append(
-                body[at + RECORD_LENGTH.size : at + RECORD_LENGTH.size + length]
+                body[
+                    position + RECORD_LENGTH.size : position
+                    + RECORD_LENGTH.size
+                    + length
+                ]
             )
-            at += RECORD_LENGTH.size + length
+            position += RECORD_LENGTH.size + length
         offset = self._store.append(topic, records)
-        return _answer_json(200, {"offset": offset, "end": offset + len(records)})
+        return _make_json_reply(200, {"offset": offset, "end": offset + len(records)})
 
     async def _read(self, query: dict[str, str]) -> calls.Reply:
         topic, start = query["topic"], int(query["from"])
@@ -101,31 +111,35 @@
                 try:
                     records = self._store.read(topic, start)
                 except topic_store.TopicGoneError as error:
-                    return _answer_json(410, {"first": error.first})
+                    return _make_json_reply(410, {"first": error.first})
                 if not records:
                     await anyio.sleep(POLL_INTERVAL_S)
         head = READ_HEADER.pack(
             self._store.find_end(topic), self._store.find_first(topic)
         )
-        content = b"".join(RECORD_LENGTH.pack(len(one)) + one for one in records)
+        content = b"".join(
+            RECORD_LENGTH.pack(len(record)) + record for record in records
+        )
         return calls.Reply(200, [], head + content)
 
     def _list_newest(self, query: dict[str, str]) -> calls.Reply:
         topic, after = query["topic"], query.get("after", "")
-        left = [one for one in self._store.list_newest(topic) if one.key > after]
+        remaining = [
+            record for record in self._store.list_newest(topic) if record.key > after
+        ]
         items = [
             {
-                "key": one.key,
-                "value": base64.b64encode(one.value).decode(),
-                "offset": one.offset,
+                "key": record.key,
+                "value": base64.b64encode(record.value).decode(),
+                "offset": record.offset,
             }
-            for one in left[:KEYS_PER_PAGE]
+            for record in remaining[:KEYS_PER_PAGE]
         ]
         end = self._store.find_end(topic)
-        page = {"items": items, "has_more": len(left) > KEYS_PER_PAGE, "end": end}
-        return _answer_json(200, page)
+        page = {"items": items, "has_more": len(remaining) > KEYS_PER_PAGE, "end": end}
+        return _make_json_reply(200, page)
 
 
-def _answer_json(status: int, content: dict[str, object]) -> calls.Reply:
+def _make_json_reply(status: int, content: dict[str, object]) -> calls.Reply:
     headers = [(b"content-type", b"application/json")]
     return calls.Reply(status, headers, json.dumps(content).encode())
--- a/packages/zinniastand-standins/src/zinniastand_standins/users.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/users.py
@@ -1,4 +1,4 @@
-"""The two users' sites, scaled down: their services, kinds and weights."""
+"""Scaled-down sites of two users: services, kinds of work, weights and load."""
 
 from __future__ import annotations
 
@@ -9,47 +9,49 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class User:
-    """One user's site."""
+    """A user's site and the load on it."""
 
     name: str
     """Name of the user."""
 
     plans: tuple[site.ServicePlan, ...]
-    """Services."""
+    """Services of the site."""
 
     data_centres: tuple[str, ...]
-    """Data centres."""
+    """Data centres over which the site's VMs are spread."""
 
     work: tuple[Work, ...]
-    """What callers send."""
+    """Mix of requests that callers send."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Work:
-    """One kind of request that callers send."""
+    """A kind of request and its share of the load."""
 
     kind: str
-    """Name of the kind."""
+    """Name of the kind, as in the bundle."""
 
     method: str
     """HTTP method."""
 
     path: str
-    """HTTP path."""
+    """Path of the request."""
 
     is_keyed: bool
-    """Whether it must run at most once."""
+    """Whether requests carry an idempotency key, since they must run at most once."""
 
     share: float
-    """Share of all requests."""
+    """Share of all requests (0 to 1)."""
 
 
-def _kind(name: str, keyed: bool, limit_ms: int, weight: float) -> dict[str, object]:
-    work = "at-most-once" if keyed else "idempotent"
+def _describe_kind(
+    name: str, is_keyed: bool, limit_ms: int, weight: float
+) -> dict[str, object]:
+    work = "at-most-once" if is_keyed else "idempotent"
     return {"name": name, "work": work, "time_limit_ms": limit_ms, "weight": weight}
 
 
-def _route(path: str, method: str, kind: str) -> dict[str, object]:
+def _describe_route(path: str, method: str, kind: str) -> dict[str, object]:
     return {"path_prefix": path, "methods": [method], "kind": kind}
 
 
@@ -67,12 +69,12 @@
             floor_slots=15,
             detection_weight=0.8,
             kinds=(
-                _kind("certificate-lookup", False, 1500, 1),
-                _kind("sample-lodgement", True, 3000, 5),
+                _describe_kind("certificate-lookup", False, 1500, 1),
+                _describe_kind("sample-lodgement", True, 3000, 5),
             ),
             routes=(
-                _route("/certificates", "GET", "certificate-lookup"),
-                _route("/lodgements", "POST", "sample-lodgement"),
+                _describe_route("/certificates", "GET", "certificate-lookup"),
+                _describe_route("/lodgements", "POST", "sample-lodgement"),
             ),
             data_centres=AUTHORITY_DATA_CENTRES,
         ),
@@ -84,12 +86,12 @@
             floor_slots=12,
             detection_weight=0.8,
             kinds=(
-                _kind("hallmark-issue", True, 3000, 8),
-                _kind("fee-receipt", True, 3000, 4),
+                _describe_kind("hallmark-issue", True, 3000, 8),
+                _describe_kind("fee-receipt", True, 3000, 4),
             ),
             routes=(
-                _route("/hallmarks", "POST", "hallmark-issue"),
-                _route("/receipts", "POST", "fee-receipt"),
+                _describe_route("/hallmarks", "POST", "hallmark-issue"),
+                _describe_route("/receipts", "POST", "fee-receipt"),
             ),
             data_centres=AUTHORITY_DATA_CENTRES,
         ),
@@ -114,12 +116,12 @@
             floor_slots=20,
             detection_weight=0.3,
             kinds=(
-                _kind("extension-status", False, 1500, 1),
-                _kind("extension-filing", True, 3000, 5),
+                _describe_kind("extension-status", False, 1500, 1),
+                _describe_kind("extension-filing", True, 3000, 5),
             ),
             routes=(
-                _route("/extensions", "GET", "extension-status"),
-                _route("/filings", "POST", "extension-filing"),
+                _describe_route("/extensions", "GET", "extension-status"),
+                _describe_route("/filings", "POST", "extension-filing"),
             ),
             data_centres=FRANCHISE_DATA_CENTRES,
         ),
@@ -130,8 +132,8 @@
             work_time=0.03,
             floor_slots=24,
             detection_weight=0.2,
-            kinds=(_kind("salary-amendment", True, 3000, 6),),
-            routes=(_route("/amendments", "POST", "salary-amendment"),),
+            kinds=(_describe_kind("salary-amendment", True, 3000, 6),),
+            routes=(_describe_route("/amendments", "POST", "salary-amendment"),),
             data_centres=FRANCHISE_DATA_CENTRES,
         ),
     ),
--- a/packages/zinniastand-standins/src/zinniastand_standins/virtual_fleet.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/virtual_fleet.py
@@ -1,7 +1,7 @@
-"""Control planes of several VMs, joined by a network and a log made of lists.
+"""Control planes of several VMs in virtual time, with a simulated network and log.
 
-Time is virtual and every message is delivered at once, or not at all where a link is
-cut. It is for tests and for measuring what the decisions cost.
+Every message is delivered at once, or dropped if its link is cut. Tests use the fleet,
+and so do measurements of the cost of decisions.
 """
 
 from __future__ import annotations
@@ -27,7 +27,15 @@
 
 
 class Fleet:
-    """VMs that hear each other at once, save where a link is cut."""
+    """VMs in virtual time whose messages arrive at once, except over cut links.
+
+    Parameters
+    ----------
+    count : int
+        Number of VMs.
+    retention : float
+        Seconds for which the log keeps its entries.
+    """
 
     def __init__(self, count: int, retention: float = 1000.0) -> None:
         self.now = 1000.0
@@ -44,14 +52,14 @@
         self._list_all()
 
     def start(self, vm: str, incarnation: int = 1) -> control.Control:
-        """Start a VM that knows the names of all, as from the platform's list."""
+        """Start a VM and give all VMs the new list of VMs."""
         process = self._add(vm, incarnation)
         self._list_all()
         return process
 
     def _add(self, vm: str, incarnation: int) -> control.Control:
-        place = f"dc-{sum(vm.encode()) % 3}"
-        own = membership.Member(vm, place, "", incarnation)
+        data_centre = f"dc-{sum(vm.encode()) % 3}"
+        own = membership.Member(vm, data_centre, "", incarnation)
         process = control.Control(own, TRUSTED, self.retention, timeline.Timeline(vm))
         self.vms[vm] = process
         return process
@@ -62,20 +70,20 @@
             other.members.take_list(listed, self.now)
 
     def introduce(self) -> None:
-        """Let every VM know every other, without the news of a common start."""
+        """Make every VM know the start of every other, without sending messages."""
         sightings = [vm.members.own_sighting for vm in self.vms.values()]
         for process in self.vms.values():
             for sighting in sightings:
                 process.members.take_sighting(sighting, self.now)
 
     def publish(self, floor: int, by: str = "p") -> None:
-        """Append a bundle with another floor."""
+        """Append a bundle with this floor to the log."""
         record = self.make_record(floor, f"{by}{len(self.log)}")
         self.log.append(record)
         self.writer.apply(record)
 
     def make_record(self, floor: int, name: str) -> bytes:
-        """Return the signed record of a bundle on the head."""
+        """Return a signed proposal, as a log record, that follows the newest bundle."""
         document = documents.make_document(KEYS, floor=floor)
         new = bundles.parse_document(document).ok
         head = self.writer
@@ -83,7 +91,7 @@
         return chain.pack_proposal(proposals.sign(proposal, "a", KEYS["a"]))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance virtual time by some seconds, in steps of `TICK_S`."""
         for _ in range(round(seconds / TICK_S)):
             self.now += TICK_S
             for vm, process in list(self.vms.items()):
@@ -94,7 +102,7 @@
                     self.log.append(snapshot)
 
     def read_log(self, vm: str, process: control.Control) -> None:
-        """Let a VM read what it lacks, if it reaches the log."""
+        """Let a VM read the entries that it lacks, unless it can't reach the log."""
         start = max(process.config.next_offset, self.first_offset)
         entries = self.log[start:]
         if vm not in self.vms_without_log and entries:
@@ -102,7 +110,7 @@
             self.carry_out(vm, actions)
 
     def carry_out(self, vm: str, actions: list[control_actions.Action]) -> None:
-        """Deliver messages, and what they cause, at once."""
+        """Deliver the messages of a VM, and all that follow from them, at once."""
         pending = collections.deque((vm, action) for action in actions)
         while pending:
             sender, action = pending.popleft()
@@ -116,9 +124,9 @@
             pending.extend((action.vm, item) for item in caused)
 
     def find_versions(self) -> set[int]:
-        """Return the versions in force over all VMs."""
+        """Return the versions of the bundles in force on the VMs."""
         return {process.config.chain.version for process in self.vms.values()}
 
     def count_alive(self, vm: str) -> int:
-        """Return how many other VMs a VM holds for alive."""
+        """Return how many other VMs a VM considers alive."""
         return len(self.vms[vm].members.list_alive())
--- a/packages/zinniastand-standins/src/zinniastand_standins/vm_list_app.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/vm_list_app.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's list of VMs."""
+"""A stand-in for the platform's VM list."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class VmListApp(http_app.HttpApp):
-    """Serves the list as it was last set, however long ago that was."""
+    """Serves the VM list as last set in `vms`; entries never expire."""
 
     def __init__(self) -> None:
         self.vms: list[dict[str, str]] = []
@@ -21,5 +21,5 @@
         receive: caller_app.Receive,
         send: caller_app.Send,
     ) -> None:
-        """Serve one request."""
+        """Answer any request with the list as JSON."""
         await asgi.answer(send, 200, json.dumps({"vms": self.vms}).encode())
--- a/packages/zinniastand-standins/src/zinniastand_standins/work_ledger.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/work_ledger.py
@@ -1,4 +1,4 @@
-"""What really ran at the targets: the ground truth that tests and demos go by."""
+"""A record of the work that targets started, against which answers are checked."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """One piece of work that a target started."""
+    """One start of a piece of work at a target."""
 
     name: str
-    """What the caller calls it."""
+    """Name that the caller gave the work."""
 
     target: str
-    """Where it ran."""
+    """Name of the target."""
 
     started_at: float
-    """Unix seconds."""
+    """Time of the start, in Unix seconds."""
 
 
 class WorkLedger:
-    """All work started by all targets."""
+    """All starts of work at all targets of a site."""
 
     def __init__(self) -> None:
         self.runs: list[Run] = []
         self._counts: collections.Counter[str] = collections.Counter()
 
     def record(self, run: Run) -> None:
-        """Take in that work was started."""
+        """Record that a target started work."""
         self.runs.append(run)
         self._counts[run.name] += 1
 
     def count(self, name: str) -> int:
-        """Return how often a piece of work was started."""
+        """Return how often the work of this name was started."""
         return self._counts[name]
 
     def list_repeated(self) -> list[str]:
-        """Return the work that was started more than once."""
+        """Return the names of the work that was started more than once."""
         return [name for name, count in self._counts.items() if count > 1]
