--- a/tests/scenarios/test_at_most_once.py
+++ b/tests/scenarios/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Steps of at_most_once.feature: the claims machine, driven by hand."""
+"""Steps of at_most_once.feature, which drive the claims state machine."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Driver(claims.ClaimsMachine):
-    """The claims machine with a step for each sentence."""
+    """The claims state machine, with the steps that the sentences need."""
 
     def finish_next_append(self, how: str) -> None:
-        """End the oldest append under way."""
+        """Complete the oldest pending append with the result `how`."""
         append = self.appending.pop(0)
         if how in ("done", "answer-lost"):
             self.log.append(append.data)
@@ -22,7 +22,7 @@
         self.deliver(append.vm, lambda: self.hear_append(append, how, offset))
 
     def finish_next_attempt(self, how: str, runs: bool) -> None:
-        """End the oldest attempt under way."""
+        """Complete the oldest pending attempt with the result `how`."""
         sent = self.sent.pop(0)
         if runs:
             self.run(sent)
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def driver() -> Driver:
-    """Return a new fleet."""
+    """Return a fleet in its initial state."""
     return Driver()
 
 
@@ -47,7 +47,7 @@
 
 @pytest_bdd.when("its claim is appended")
 def _append(driver: Driver) -> None:
-    # A VM that has read the other's claim already has nothing to append.
+    # A VM that has already read the other VM's claim appends none of its own.
     if driver.appending:
         driver.finish_next_append("done")
 
@@ -70,9 +70,9 @@
 
 @pytest_bdd.when(parsers.parse("VM {vm:d} reads the log"))
 def _read(driver: Driver, vm: int) -> None:
-    seeker = driver.claimers[vm - 1]
-    for offset in range(seeker.next_offset, len(driver.log)):
-        actions = seeker.take_entry(offset, driver.log[offset], driver.now)
+    claimer = driver.claimers[vm - 1]
+    for offset in range(claimer.next_offset, len(driver.log)):
+        actions = claimer.take_entry(offset, driver.log[offset], driver.now)
         driver.drive(vm - 1, actions)
 
 
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -1,4 +1,4 @@
-"""Steps of fleet.feature, over control planes in virtual time."""
+"""Steps of fleet.feature, run on control planes in virtual time."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def loser() -> list[str]:
-    """Return the ids of proposals that should have lost."""
+    """Return a list to collect the ids of the proposals that must be refused."""
     return []
 
 
@@ -51,7 +51,7 @@
 
 
 @pytest_bdd.when("two operators publish different bundles on the same base")
-def _race(fleet: virtual_fleet.Fleet, loser: list[str]) -> None:
+def _publish_two(fleet: virtual_fleet.Fleet, loser: list[str]) -> None:
     late = fleet.make_record(floor=3, name="late")
     fleet.publish(floor=2)
     fleet.log.append(late)
@@ -67,7 +67,7 @@
 
 
 @pytest_bdd.when(parsers.parse("VM {vm:d} no longer hears the first VM that it calls"))
-def _deafen(fleet: virtual_fleet.Fleet, vm: int) -> None:
+def _cut_one_direction(fleet: virtual_fleet.Fleet, vm: int) -> None:
     name = f"vm-{vm}"
     callee = fleet.vms[name].list_neighbours(fleet.now)[0]
     fleet.cut_links = {(callee, name)}
@@ -100,12 +100,12 @@
 
 
 @pytest_bdd.then(parsers.parse("VM {vm:d} still has the old bundle"))
-def _old(fleet: virtual_fleet.Fleet, vm: int) -> None:
+def _old_bundle_in_force(fleet: virtual_fleet.Fleet, vm: int) -> None:
     assert fleet.vms[f"vm-{vm}"].config.chain.version == fleet.writer.version - 1
 
 
 @pytest_bdd.then("the loser is told which bundle won")
-def _told(fleet: virtual_fleet.Fleet, loser: list[str]) -> None:
+def _refusal_names_winner(fleet: virtual_fleet.Fleet, loser: list[str]) -> None:
     winner = fleet.writer.head
     assert winner is not None
     for process in fleet.vms.values():
@@ -119,7 +119,7 @@
 
 
 @pytest_bdd.then(parsers.parse("no VM but VM {vm:d} holds another for lost"))
-def _hold(fleet: virtual_fleet.Fleet, vm: int) -> None:
+def _others_alive(fleet: virtual_fleet.Fleet, vm: int) -> None:
     for name in fleet.vms:
         if name != f"vm-{vm}":
             assert fleet.count_alive(name) == len(fleet.vms) - 1
