--- a/packages/zinniastand-standins/src/zinniastand_standins/callers.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/callers.py
@@ -137,10 +137,10 @@
         expected = f"done:{name}:{(content or b'').decode()}"
         worked = reply.headers.get("x-worked-ms")
         added_latency = took - float(worked) / MS_PER_S if worked else None
-        answer = ReceivedAnswer(
+        received = ReceivedAnswer(
             reply.status_code,
             reply.headers.get("x-outcome", ""),
             reply.text == expected,
             added_latency,
         )
-        return answer, float(reply.headers.get("retry-after", 0))
+        return received, float(reply.headers.get("retry-after", 0))
--- a/packages/zinniastand-standins/src/zinniastand_standins/target.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/target.py
@@ -130,10 +130,10 @@
         self._ledger.record(work_ledger.Run(name, self.name, time.time()))
         fault = self._draw_fault()
         started = time.monotonic()
-        work_time = self._work_time * self._generator.lognormvariate(0.0, 0.25)
+        work_duration = self._work_time * self._generator.lognormvariate(0.0, 0.25)
         if fault is Fault.SLOW:
-            work_time *= self.behaviour.factor
-        await anyio.sleep(work_time)
+            work_duration *= self.behaviour.factor
+        await anyio.sleep(work_duration)
         if fault is Fault.SILENT:
             await anyio.sleep_forever()
         if fault is Fault.ERRORS:
--- a/packages/zinniastand-standins/src/zinniastand_standins/users.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/users.py
@@ -45,9 +45,9 @@
 
 
 def _describe_kind(
-    name: str, is_keyed: bool, limit_ms: int, weight: float
+    name: str, at_most_once: bool, limit_ms: int, weight: float
 ) -> dict[str, object]:
-    work = "at-most-once" if is_keyed else "idempotent"
+    work = "at-most-once" if at_most_once else "idempotent"
     return {"name": name, "work": work, "time_limit_ms": limit_ms, "weight": weight}
 
 
