--- a/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
@@ -88,7 +88,7 @@
                 # Old evidence must not eject it again the moment it comes back.
                 if name in self._pools:
                     self._pools[name].forget(target)
-            routing.take_ejected(ejected, now)
+            routing.set_ejected(ejected, now)
 
     def report(self, now: float) -> Actions:
         """Send fresh evidence to the VMs that pool it."""
@@ -99,7 +99,7 @@
             items = self._collect(name, routing, now)
             if not items:
                 continue
-            message = peer_messages.Reports(name, observer, items)
+            message = peer_messages.EvidenceReports(name, observer, items)
             for vm in self._pick_pools(name):
                 if vm == own.vm:
                     self.take_reports(message, now)
@@ -107,7 +107,7 @@
                     actions.append(control_actions.Tell(vm, message))
         return actions
 
-    def take_reports(self, message: peer_messages.Reports, now: float) -> None:
+    def take_reports(self, message: peer_messages.EvidenceReports, now: float) -> None:
         """Pool another VM's evidence."""
         pool = self._find_pool(message.service)
         if pool is not None:
@@ -133,7 +133,7 @@
             self._told_at[service] = now
             self._sequence += 1
             levels += [evidence_pool.Level(name, 0.0, ()) for name in sorted(cleared)]
-            message = peer_messages.Levels(
+            message = peer_messages.SuspicionLevels(
                 service, self._members.own.vm, self._sequence, tuple(levels)
             )
             self._use_levels(message, now)
@@ -156,7 +156,7 @@
         return bool(scores) and now >= self._told_at.get(service, now) + RETELL_AFTER
 
     def take_levels(
-        self, sender: str, message: peer_messages.Levels, now: float
+        self, sender: str, message: peer_messages.SuspicionLevels, now: float
     ) -> Actions:
         """Steer by another VM's pooled scores, and tell them on."""
         key = (message.service, message.pooled_by)
@@ -191,9 +191,9 @@
         The good ones matter as much: told only of the bad, a pool would sum up the
         bad luck of many VMs, and condemn healthy targets (see docs/DETECTION.md).
         """
-        fresh = routing.health.take_fresh()
+        fresh = routing.health.take_unsent()
         targets = [target.name for target in routing.service.targets]
-        doubts = routing.health.doubts_itself(targets, now)
+        doubts = routing.health.suspects_observer(targets, now)
         self._note_doubt(name, doubts, now)
         if doubts:
             return ()
@@ -232,7 +232,7 @@
             self._pools[service] = pool
         return pool
 
-    def _use_levels(self, message: peer_messages.Levels, now: float) -> None:
+    def _use_levels(self, message: peer_messages.SuspicionLevels, now: float) -> None:
         routing = self._routers.get(message.service)
         if routing is None:
             return
@@ -240,12 +240,12 @@
         place = self._members.own.data_centre
         for level in message.items:
             score = level.find_for(place)
-            routing.take_pooled(level.target, score, now + LEVELS_VALID_FOR)
+            routing.set_pooled_score(level.target, score, now + LEVELS_VALID_FOR)
             self._note_level(message, level.target, score, threshold, now)
 
     def _note_level(
         self,
-        message: peer_messages.Levels,
+        message: peer_messages.SuspicionLevels,
         target: str,
         level: float,
         threshold: float,
