--- a/packages/zinniastand-standins/src/zinniastand_standins/log_app.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/log_app.py
@@ -1,4 +1,4 @@
-"""HTTP interface of the log stand-in."""
+"""HTTP interface of the in-memory log."""
 
 from __future__ import annotations
 
@@ -11,17 +11,20 @@
 from . import asgi, log_store
 
 PREFIX = "/streams/"
-MOST_WAIT = 30.0
-MILLISECONDS = 1000.0
+MAX_WAIT_S = 30.0
+MS_PER_S = 1000.0
 
 
 class LogApp(http_app.HttpApp):
-    """Serves ``POST`` and ``GET /streams/NAME``.
+    """Appends with ``POST`` and reads with ``GET`` at ``/streams/NAME``.
+
+    A refused append is answered with 503 and a header that says that nothing was
+    appended; one whose result is uncertain is answered with 504.
 
     Parameters
     ----------
     store : log_store.LogStore
-        The log.
+        The log that is served.
     """
 
     def __init__(self, store: log_store.LogStore) -> None:
@@ -33,7 +36,7 @@
         receive: caller_app.Receive,
         send: caller_app.Send,
     ) -> None:
-        """Serve one request."""
+        """Append or read, as the method says."""
         stream = scope["path"].removeprefix(PREFIX)
         try:
             if scope["method"] == "POST":
@@ -52,6 +55,6 @@
     async def _read(self, stream: str, scope: caller_app.Scope) -> list[object]:
         query = urllib.parse.parse_qs(scope["query_string"].decode())
         offset = int(query.get("offset", ["0"])[0])
-        wait = int(query.get("wait_ms", ["0"])[0]) / MILLISECONDS
-        page = await self._store.read(stream, offset, min(wait, MOST_WAIT))
+        wait = int(query.get("wait_ms", ["0"])[0]) / MS_PER_S
+        page = await self._store.read(stream, offset, min(wait, MAX_WAIT_S))
         return [page.offset, list(page.entries)]
