--- a/tests/machines/floor.py
+++ b/tests/machines/floor.py
@@ -1,8 +1,8 @@
-"""A state machine of ejections on several VMs that read the log at their own pace.
+"""State machine test of ejections on VMs that read the log at different speeds.
 
-The code under test is `config_log.ConfigLog` with its ledger of ejections. Bundles
-(drains, changed floors) and ejections race on one log; clocks differ by as much as is
-allowed; VMs lag, start empty, or take a peer's state.
+Tests `config_log.ConfigLog` with its ledger of ejections. Bundles (drains, changed
+floors) and ejections race on one log; clocks differ by as much as is allowed; VMs lag,
+start empty, or load a peer's state.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 )
 from zinniastand_standins import documents
 
-VMS = 3
+VM_COUNT = 3
 KEY = ed25519.Ed25519PrivateKey.from_private_bytes(bytes(range(32)))
 TRUSTED = documents.make_operators({"a": KEY})
-SKEWS = (-ejections.MAX_CLOCK_ERROR_S / 2, 0.0, ejections.MAX_CLOCK_ERROR_S / 2)
+CLOCK_SKEWS_S = (-ejections.MAX_CLOCK_ERROR_S / 2, 0.0, ejections.MAX_CLOCK_ERROR_S / 2)
 
 
 class FloorMachine(hypothesis.stateful.RuleBasedStateMachine):
@@ -38,13 +38,13 @@
         super().__init__()
         self.now = 1000.0
         self.log: list[bytes] = []
-        self.vms = [config_log.ConfigLog(TRUSTED) for _ in range(VMS)]
+        self.vms = [config_log.ConfigLog(TRUSTED) for _ in range(VM_COUNT)]
         self.writer = config_log.ConfigLog(TRUSTED)
         self.count = 0
         self.publish(documents.make_document({"a": KEY}, targets=5, floor=8))
 
     def publish(self, document: dict[str, typing.Any]) -> None:
-        """Sign and append a bundle on the head."""
+        """Sign a bundle based on the head and append it, if its document is valid."""
         parsed = bundles.parse_document(document)
         if parsed.is_error():
             return
@@ -58,17 +58,17 @@
         self.document = document
 
     def append(self, data: bytes) -> None:
-        """Append to the log; the writer reads at once."""
+        """Append to the log; the writer reads the entry at once."""
         self.log.append(data)
         self.writer.take_entry(len(self.log) - 1, data, self.now)
 
     @hypothesis.stateful.rule(
         number=st.integers(0, 4),
-        skew=st.sampled_from(SKEWS),
+        skew=st.sampled_from(CLOCK_SKEWS_S),
         lease=st.sampled_from([5.0, 5.0, 20.0]),
     )
     def eject(self, number: int, skew: float, lease: float) -> None:
-        """Some VM proposes an ejection, knowing nothing of the others'."""
+        """Propose an ejection without knowledge of the others."""
         at = round(self.now + skew, 3)
         ejection = ejections.Ejection(
             "desk", f"t{number}", "vm", at, round(at + lease, 3), 9.0
@@ -79,7 +79,7 @@
         number=st.integers(0, 4), early=st.sampled_from([0.2, 0.6])
     )
     def eject_as_a_lease_ends(self, number: int, early: float) -> None:
-        """An ejection is proposed while clocks disagree about the end of the last."""
+        """Propose an ejection while clocks differ about the end of the latest one."""
         granted = self.writer.ejections.list_granted()
         if not granted:
             return
@@ -93,46 +93,48 @@
 
     @hypothesis.stateful.rule(number=st.integers(0, 4), draining=st.booleans())
     def drain(self, number: int, draining: bool) -> None:
-        """An operator drains a target, or brings it back."""
+        """Let an operator drain a target, or return it to service."""
         document = copy.deepcopy(self.document)
         document["services"]["desk"]["targets"][number]["draining"] = draining
         self.publish(document)
 
     @hypothesis.stateful.rule(floor=st.integers(6, 9))
     def set_floor(self, floor: int) -> None:
-        """An operator changes the floor."""
+        """Let an operator change the floor."""
         document = copy.deepcopy(self.document)
         document["services"]["desk"]["floor_slots"] = floor
         self.publish(document)
 
-    @hypothesis.stateful.rule(vm=st.integers(0, VMS - 1), most=st.integers(1, 6))
-    def read(self, vm: int, most: int) -> None:
-        """A VM reads some entries."""
+    @hypothesis.stateful.rule(vm=st.integers(0, VM_COUNT - 1), limit=st.integers(1, 6))
+    def read(self, vm: int, limit: int) -> None:
+        """Let a VM read up to `limit` entries."""
         config = self.vms[vm]
         start = config.next_offset
-        for offset in range(start, min(len(self.log), start + most)):
+        for offset in range(start, min(len(self.log), start + limit)):
             config.take_entry(offset, self.log[offset], self.now)
 
-    @hypothesis.stateful.rule(vm=st.integers(0, VMS - 1), peer=st.integers(0, VMS - 1))
-    def take_peer_state(self, vm: int, peer: int) -> None:
-        """A VM that starts empty takes another's state."""
+    @hypothesis.stateful.rule(
+        vm=st.integers(0, VM_COUNT - 1), peer=st.integers(0, VM_COUNT - 1)
+    )
+    def start_from_peer_state(self, vm: int, peer: int) -> None:
+        """Restart a VM empty and load a peer's state into it."""
         source = self.vms[peer]
         snapshot = source.chain.pack_snapshot()
         if vm == peer or snapshot is None:
             return
         granted = [ejections.pack(e) for e in source.ejections.list_granted()]
-        fresh = config_log.ConfigLog(TRUSTED)
-        fresh.take_state(source.next_offset, snapshot, granted, self.now)
-        self.vms[vm] = fresh
+        restarted = config_log.ConfigLog(TRUSTED)
+        restarted.take_state(source.next_offset, snapshot, granted, self.now)
+        self.vms[vm] = restarted
 
     @hypothesis.stateful.rule(step=st.sampled_from([0.5, 0.5, 4.0, 20.0]))
     def advance(self, step: float) -> None:
-        """Time passes."""
+        """Advance the time by `step` seconds."""
         self.now += step
 
     @hypothesis.stateful.invariant()
     def every_view_keeps_the_floor(self) -> None:
-        """No VM's own ejections go below the floor of its bundle."""
+        """On each VM the ejections leave at least the floor of its bundle."""
         for config in self.vms:
             service = find_service(config)
             if service is not None:
@@ -141,14 +143,17 @@
 
     @hypothesis.stateful.invariant()
     def all_views_together_keep_the_floor(self) -> None:
-        """A target ejected by any VM is lost; what is left is above the floor."""
+        """With a target lost once any VM ejects it, at least the floor is left.
+
+        VMs are compared with those on the same version of the bundle.
+        """
         by_version: dict[int, set[str]] = {}
         found: dict[int, services.Service] = {}
         for index, config in enumerate(self.vms):
             service = find_service(config)
             if service is None:
                 continue
-            clock = self.now + SKEWS[index % len(SKEWS)]
+            clock = self.now + CLOCK_SKEWS_S[index % len(CLOCK_SKEWS_S)]
             version = config.chain.version
             found[version] = service
             ejected = config.ejections.list_ejected(service, clock)
@@ -159,12 +164,12 @@
 
 
 def find_service(config: config_log.ConfigLog) -> services.Service | None:
-    """Return the service as a VM's bundle has it."""
+    """Return the service in the bundle of a VM, or None if it has none."""
     return config.chain.bundle.find_service("desk")
 
 
 def count_slots(service: services.Service, ejected: set[str]) -> int:
-    """Return the slots that are left."""
+    """Return the number of slots neither draining nor ejected."""
     return sum(
         target.slots
         for target in service.targets
