--- a/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
@@ -251,9 +251,9 @@
         if routing is None:
             return
         threshold = routing.health.threshold
-        data_centre = self._members.own.data_centre
+        own_data_centre = self._members.own.data_centre
         for level in message.items:
-            score = level.find_for(data_centre)
+            score = level.find_for(own_data_centre)
             routing.take_pooled(level.target, score, now + LEVELS_VALIDITY_S)
             self._record_level(message, level.target, score, threshold, now)
 
--- a/packages/zinniastand-core/src/zinniastand_core/evidence_pool.py
+++ b/packages/zinniastand-core/src/zinniastand_core/evidence_pool.py
@@ -82,17 +82,20 @@
 
     def __init__(self) -> None:
         self.overall = evidence.Score()
-        self.by_data_centre: dict[str, evidence.Score] = {}
+        self.scores_by_data_centre: dict[str, evidence.Score] = {}
         self.accused_at = 0.0
 
     def add(
-        self, data_centre: str, tally: evidence.Tally, baseline: evidence.Baseline
+        self,
+        observing_data_centre: str,
+        tally: evidence.Tally,
+        baseline: evidence.Baseline,
     ) -> None:
         """Add outcomes seen by the VMs of one data centre."""
         self.overall.add(tally, baseline)
-        self.by_data_centre.setdefault(data_centre, evidence.Score()).add(
-            tally, baseline
-        )
+        self.scores_by_data_centre.setdefault(
+            observing_data_centre, evidence.Score()
+        ).add(tally, baseline)
 
 
 class EvidencePool:
@@ -190,8 +193,10 @@
         self, target: str, pooled: _PooledScores, observer_counts: ObserverCounts
     ) -> Level:
         level_by_data_centre = tuple(
-            (data_centre, score.level)
-            for data_centre, score in sorted(pooled.by_data_centre.items())
+            (observing_data_centre, score.level)
+            for observing_data_centre, score in sorted(
+                pooled.scores_by_data_centre.items()
+            )
             if score.level > 0
         )
         needed = min(MIN_ACCUSING_DATA_CENTRES, observer_counts.data_centres)
@@ -231,8 +236,10 @@
 
 def _merge(one: Level, other: Level) -> Level:
     merged = dict(one.by_data_centre)
-    for data_centre, level in other.by_data_centre:
-        merged[data_centre] = max(level, merged.get(data_centre, 0.0))
+    for observing_data_centre, level in other.by_data_centre:
+        merged[observing_data_centre] = max(
+            level, merged.get(observing_data_centre, 0.0)
+        )
     overall = max(one.overall, other.overall)
     return Level(one.target, overall, tuple(sorted(merged.items())))
 
--- a/packages/zinniastand-core/src/zinniastand_core/member_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/member_exchange.py
@@ -146,11 +146,13 @@
                 continue
             if self._one_way_links.get(vm, 0.0) > now:
                 continue
-            sighting = self.members.declare_down(vm, now)
+            down_sighting = self.members.declare_down(vm, now)
             del self._links[vm]
-            if sighting is not None:
-                self._record_status(sighting, membership.Status.ALIVE, now)
-                actions += self.flood(peer_messages.Sightings((sighting,)), "", now)
+            if down_sighting is not None:
+                self._record_status(down_sighting, membership.Status.ALIVE, now)
+                actions += self.flood(
+                    peer_messages.Sightings((down_sighting,)), "", now
+                )
         return actions
 
     def leave(self, now: float) -> Actions:
