--- a/packages/zinniastand-core/src/zinniastand_core/config_log.py
+++ b/packages/zinniastand-core/src/zinniastand_core/config_log.py
@@ -1,4 +1,4 @@
-"""The configuration stream as one VM has read it: bundles and ejections, in order."""
+"""The configuration stream as read by one VM: bundles and ejections in log order."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Applied:
-    """What one record of the stream did."""
+class ApplyResult:
+    """The effect of one record of the stream."""
 
     ruling: chain.Ruling | None = None
     """The verdict on a bundle record."""
@@ -21,16 +21,16 @@
     """The verdict on an ejection record."""
 
     revoked: tuple[ejections.Ejection, ...] = ()
-    """Ejections that a new bundle left no room for."""
+    """Ejections revoked because a new bundle leaves no room for them."""
 
 
 class ConfigLog:
-    """Bundles and ejections, decided in the order of the log.
+    """Applies bundles and ejections in the order of the log.
 
     Parameters
     ----------
     trusted : services.Operators
-        The operators whom the settings name.
+        The operators named in the settings.
     """
 
     def __init__(self, trusted: services.Operators) -> None:
@@ -41,68 +41,86 @@
 
     @property
     def next_offset(self) -> int:
-        """First offset not read yet."""
+        """First offset that has not been read yet."""
         return self._next_offset
 
     @property
     def head_offset(self) -> int | None:
-        """Offset of the last record that carries the whole head, if any was read."""
+        """Offset of the last snapshot record that was read, or None."""
         return self._head_offset
 
-    def take_entry(self, offset: int, data: bytes, now: float) -> Applied:
-        """Take in the entry at `offset`; one that was read before does nothing."""
+    def apply_entry(self, offset: int, data: bytes, now: float) -> ApplyResult:
+        """Apply the entry at `offset`; entries that were read before are ignored."""
         if offset < self._next_offset:
-            return Applied()
+            return ApplyResult()
         self._next_offset = offset + 1
         match codec.decode(data):
             case expression.Result(tag="ok", ok=[ejections.EJECTION, body]):
-                return self._take_ejection(body)
+                return self._apply_ejection(body)
             case expression.Result(tag="ok", ok=[chain.SNAPSHOT, _]):
                 self._head_offset = offset
             case _:
                 pass
-        return self.take_record(data, now)
+        return self.apply_record(data, now)
 
-    def take_record(self, data: bytes, now: float) -> Applied:
-        """Take in a bundle record, from the log or from a peer."""
+    def apply_record(self, data: bytes, now: float) -> ApplyResult:
+        """Apply a bundle record from the log or from a peer."""
         ruling = self.chain.apply(data)
         revoked: list[ejections.Ejection] = []
         if ruling.verdict is chain.Verdict.ACCEPTED:
             revoked = self.ejections.revoke_for(self.chain.bundle)
-        return Applied(ruling=ruling, revoked=tuple(revoked))
+        return ApplyResult(ruling=ruling, revoked=tuple(revoked))
 
-    def take_state(
+    def apply_state(
         self,
         next_offset: int,
         snapshot: bytes,
         granted: collections.abc.Sequence[bytes],
         now: float,
-    ) -> Applied:
-        """Take over the state of a peer that no longer keeps the entries before.
-
-        The grants come along: a VM that lacked them would later grant ejections that
-        the others refuse, and the fleet together could go below a floor.
+    ) -> ApplyResult:
+        """Adopt the state of a peer that has dropped the earlier entries.
+
+        The granted ejections are adopted too. A VM without them would later grant
+        ejections that the other VMs refuse, and the fleet as a whole could eject more
+        slots than the floor of a service allows.
+
+        Parameters
+        ----------
+        next_offset : int
+            First offset that the peer has not read.
+        snapshot : bytes
+            The peer's bundle, as a snapshot record.
+        granted : Sequence of bytes
+            The peer's granted ejections as records, oldest first.
+        now : float
+            Current time, in seconds.
+
+        Returns
+        -------
+        ApplyResult
+            The verdict on the snapshot; the offset and the ejections are adopted only
+            if the snapshot is accepted or known already, and the peer is not behind.
         """
         ruling = self.chain.apply(snapshot)
-        taken = (chain.Verdict.ACCEPTED, chain.Verdict.KNOWN)
-        if ruling.verdict in taken and next_offset >= self._next_offset:
+        valid_verdicts = (chain.Verdict.ACCEPTED, chain.Verdict.KNOWN)
+        if ruling.verdict in valid_verdicts and next_offset >= self._next_offset:
             self._next_offset = next_offset
             for data in granted:
                 match codec.decode(data):
                     case expression.Result(tag="ok", ok=[ejections.EJECTION, body]):
-                        self._take_ejection(body)
+                        self._apply_ejection(body)
                     case _:
                         pass
-        return Applied(ruling=ruling)
+        return ApplyResult(ruling=ruling)
 
     def skip_to(self, offset: int) -> None:
-        """Go on at `offset`, because the log no longer keeps what is before it."""
+        """Continue at `offset`, because the log has dropped the entries before it."""
         self._next_offset = max(self._next_offset, offset)
 
-    def _take_ejection(self, body: object) -> Applied:
+    def _apply_ejection(self, body: object) -> ApplyResult:
         ejection = ejections.unpack(body)
         if ejection is None:
             reason = "malformed ejection"
-            return Applied(ruling=chain.Ruling(chain.Verdict.INVALID, "", reason))
+            return ApplyResult(ruling=chain.Ruling(chain.Verdict.INVALID, "", reason))
         decision = self.ejections.apply(ejection, self.chain.bundle)
-        return Applied(decision=decision)
+        return ApplyResult(decision=decision)
--- a/packages/zinniastand-core/src/zinniastand_core/control.py
+++ b/packages/zinniastand-core/src/zinniastand_core/control.py
@@ -91,24 +91,24 @@
         Messages of kinds that do not concern the control plane cause no actions.
         """
         match message:
-            case peer_messages.Beat():
+            case peer_messages.Heartbeat():
                 return self._handle_beat(sender, message, now)
             case peer_messages.Sightings():
                 return self._member_exchange.apply_sightings(sender, message, now)
-            case peer_messages.MembersAsked():
+            case peer_messages.MembersRequest():
                 return self._member_exchange.answer_members(sender)
-            case peer_messages.ConfigAsked():
-                return self._config_exchange.answer(sender, message, now)
-            case peer_messages.Entries():
-                return self._config_exchange.take_entries(sender, message, now)
+            case peer_messages.ConfigRequest():
+                return self._config_exchange.answer_request(sender, message, now)
+            case peer_messages.ConfigEntries():
+                return self._config_exchange.apply_entries(sender, message, now)
             case peer_messages.ConfigState():
-                return self._config_exchange.take_state(sender, message, now)
+                return self._config_exchange.apply_state(sender, message, now)
             case peer_messages.ConfigNotice(next_offset=offset, version=version):
-                return self._config_exchange.take_notice(sender, offset, version, now)
-            case peer_messages.Reports():
+                return self._config_exchange.handle_notice(sender, offset, version, now)
+            case peer_messages.EvidenceReports():
                 self.evidence.pool_reports(message, now)
                 return []
-            case peer_messages.Levels():
+            case peer_messages.SuspicionLevels():
                 return self.evidence.apply_levels(sender, message, now)
             case _:
                 return []
@@ -123,8 +123,8 @@
         among them.
         """
         self.config.skip_to(offset)
-        entries = peer_messages.Entries(offset, tuple(data))
-        return self._config_exchange.take_entries("", entries, now)
+        entries = peer_messages.ConfigEntries(offset, tuple(data))
+        return self._config_exchange.apply_entries("", entries, now)
 
     def find_due_snapshot(self, now: float) -> bytes | None:
         """Return the head as a record if it is due to be appended, else None."""
@@ -132,7 +132,7 @@
         return self._config_exchange.find_due_snapshot(self.members.own.vm, others, now)
 
     def _handle_beat(
-        self, sender: str, beat: peer_messages.Beat, now: float
+        self, sender: str, beat: peer_messages.Heartbeat, now: float
     ) -> Actions:
         actions, wants_reply = self._member_exchange.handle_beat(sender, beat, now)
         if wants_reply:
@@ -140,6 +140,6 @@
                 sender, self.config.next_offset, self.config.chain.version, True, now
             )
             actions.append(control_actions.SendMessage(sender, reply))
-        return actions + self._config_exchange.take_notice(
+        return actions + self._config_exchange.handle_notice(
             sender, beat.next_offset, beat.version, now
         )
--- a/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
@@ -88,7 +88,7 @@
                 # Outdated evidence must not eject the target again once it returns.
                 if name in self._pools:
                     self._pools[name].forget(target)
-            routing.take_ejected(ejected, now)
+            routing.set_ejected(ejected, now)
 
     def report(self, now: float) -> Actions:
         """Return the reports of new outcomes for the VMs that pool them."""
@@ -99,7 +99,7 @@
             items = self._collect(name, routing, now)
             if not items:
                 continue
-            message = peer_messages.Reports(name, observer, items)
+            message = peer_messages.EvidenceReports(name, observer, items)
             for vm in self._pick_pooling_vms(name):
                 if vm == own.vm:
                     self.pool_reports(message, now)
@@ -107,7 +107,7 @@
                     actions.append(control_actions.SendMessage(vm, message))
         return actions
 
-    def pool_reports(self, message: peer_messages.Reports, now: float) -> None:
+    def pool_reports(self, message: peer_messages.EvidenceReports, now: float) -> None:
         """Add reported evidence to the pool of its service."""
         pool = self._find_pool(message.service)
         if pool is not None:
@@ -133,7 +133,7 @@
             self._announced_at[service] = now
             self._sequence += 1
             levels += [evidence_pool.Level(name, 0.0, ()) for name in sorted(cleared)]
-            message = peer_messages.Levels(
+            message = peer_messages.SuspicionLevels(
                 service, self._members.own.vm, self._sequence, tuple(levels)
             )
             self._steer_by_levels(message, now)
@@ -160,7 +160,7 @@
         )
 
     def apply_levels(
-        self, sender: str, message: peer_messages.Levels, now: float
+        self, sender: str, message: peer_messages.SuspicionLevels, now: float
     ) -> Actions:
         """Apply another VM's pooled scores to routing, and relay them.
 
@@ -202,9 +202,9 @@
         random failures seen by many VMs and eject healthy targets (see
         docs/DETECTION.md).
         """
-        new_outcomes = routing.health.take_fresh()
+        new_outcomes = routing.health.take_unsent()
         targets = [target.name for target in routing.service.targets]
-        doubts = routing.health.doubts_itself(targets, now)
+        doubts = routing.health.suspects_observer(targets, now)
         self._record_self_doubt(name, doubts, now)
         if doubts:
             return ()
@@ -246,7 +246,7 @@
             self._pools[service] = pool
         return pool
 
-    def _steer_by_levels(self, message: peer_messages.Levels, now: float) -> None:
+    def _steer_by_levels(self, message: peer_messages.SuspicionLevels, now: float) -> None:
         routing = self._routers.get(message.service)
         if routing is None:
             return
@@ -254,12 +254,12 @@
         own_data_centre = self._members.own.data_centre
         for level in message.items:
             score = level.find_for(own_data_centre)
-            routing.take_pooled(level.target, score, now + LEVELS_VALIDITY_S)
+            routing.set_pooled_score(level.target, score, now + LEVELS_VALIDITY_S)
             self._record_level(message, level.target, score, threshold, now)
 
     def _record_level(
         self,
-        message: peer_messages.Levels,
+        message: peer_messages.SuspicionLevels,
         target: str,
         level: float,
         threshold: float,
--- a/packages/zinniastand-core/src/zinniastand_core/member_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/member_exchange.py
@@ -73,13 +73,13 @@
 
     def make_beat(
         self, vm: str, next_offset: int, version: int, is_reply: bool, now: float
-    ) -> peer_messages.Beat:
+    ) -> peer_messages.Heartbeat:
         """Return a heartbeat for a VM with which a link exists."""
         link = self._links[vm]
-        return peer_messages.Beat(
+        return peer_messages.Heartbeat(
             sighting=self.members.own_sighting,
             sequence=link.sent,
-            heard=link.heard,
+            last_received=link.heard,
             next_offset=next_offset,
             version=version,
             members_digest=self.members.digest(),
@@ -88,7 +88,7 @@
         )
 
     def handle_beat(
-        self, sender: str, beat: peer_messages.Beat, now: float
+        self, sender: str, beat: peer_messages.Heartbeat, now: float
     ) -> tuple[Actions, bool]:
         """Handle a heartbeat; return the actions and whether to send a reply."""
         self._events.clock.merge(beat.stamp, now)
@@ -104,7 +104,7 @@
         )
         if beat.members_digest != self.members.digest():
             actions.append(
-                control_actions.SendMessage(sender, peer_messages.MembersAsked())
+                control_actions.SendMessage(sender, peer_messages.MembersRequest())
             )
         return actions, wants_reply
 
--- a/tests/machines/claims.py
+++ b/tests/machines/claims.py
@@ -1,8 +1,8 @@
-"""A state machine of at-most-once work on several VMs, against a simple ledger.
+"""State machine test of at-most-once work on several VMs.
 
 The code under test is `attempts.Plan` and `claimer.Claimer`. The log, the network, the
-targets and the callers are lists here, and every fault of the log and the VMs is a
-rule. The oracle only counts: what ran, and what each caller was told.
+targets and the callers are simulated with lists, and each fault of the log and the VMs
+is a rule. The invariants compare what ran with what each caller was answered.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class FirstChooser:
-    """Chooses the first target left; every retry is allowed."""
+    """Chooses the first target not excluded, and allows every retry."""
 
     def choose(
         self, kind: services.Kind, excluded: typing.AbstractSet[str], now: float
@@ -54,32 +54,32 @@
     def find_hedge_time(
         self, kind: services.Kind, target: services.Target, now: float
     ) -> float | None:
-        """Return a time, which at-most-once work must not use."""
+        """Return `now`; at-most-once work must not be hedged despite it."""
         return now
 
     def find_pause_end(
         self, kind: services.Kind, deadline: float, now: float
     ) -> float | None:
-        """Return a short while."""
+        """Return a time 0.1 s from now."""
         return now + 0.1
 
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """A caller's request at one VM, and what it was told."""
+    """A caller's request at one VM, and how it was answered."""
 
     vm: int
     key: bytes
     claim: claim_records.Claim
     plan: attempts.Plan
-    told: outcomes.Refusal | None = None
+    given_refusal: outcomes.Refusal | None = None
     was_answered: bool = False
     is_lost: bool = False
 
 
 @dataclasses.dataclass(slots=True)
-class Sent:
-    """A request on its way to a target, or at work there."""
+class SentAttempt:
+    """An attempt on its way to a target, or running there."""
 
     request: Request
     attempt: int
@@ -88,48 +88,48 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Appending:
-    """An append under way."""
+class PendingAppend:
+    """An append in flight."""
 
     vm: int
-    life: int
+    sender_incarnation: int
     batch: int
     data: bytes
 
 
 class ClaimsMachine(hypothesis.stateful.RuleBasedStateMachine):
-    """Three VMs, one slice, a handful of keys."""
+    """Several VMs (`VMS`) that share one slice and a few keys (`KEYS`)."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 1000.0
         self.log: list[bytes] = []
         self.claimers = [self.make_claimer() for _ in range(VMS)]
-        self.lives = [0] * VMS
+        self.incarnations = [0] * VMS
         self.paused = [False] * VMS
         self.inbox: list[list[collections.abc.Callable[[], None]]] = [
             [] for _ in range(VMS)
         ]
         self.requests: list[Request] = []
-        self.appending: list[Appending] = []
-        self.stray: list[bytes] = []
-        self.sent: list[Sent] = []
+        self.pending_appends: list[PendingAppend] = []
+        self.delayed_appends: list[bytes] = []
+        self.sent: list[SentAttempt] = []
         self.runs: dict[bytes, int] = {}
         self.ran_claims: set[bytes] = set()
 
     def make_claimer(self) -> claimer.Claimer:
-        """Return a claimer that has read nothing."""
+        """Return a claimer that has read nothing from the log."""
         return claimer.Claimer(claim_ledger.ClaimLedger(HORIZON))
 
     # Callers.
 
     @hypothesis.stateful.rule(vm=st.integers(0, VMS - 1), key=st.integers(0, KEYS - 1))
     def submit(self, vm: int, key: int) -> None:
-        """A caller sends work with a key, perhaps again, to any VM."""
+        """A caller sends work with a new or repeated key to any VM."""
         self.send_order(vm, key)
 
     def send_order(self, vm: int, key: int) -> None:
-        """Send work with a key to a VM."""
+        """Send work with a key to a VM, unless it is paused or requests abound."""
         if self.paused[vm] or len(self.requests) > 12:
             return
         digest = bytes([key]) * 16
@@ -138,7 +138,7 @@
             key_digest=digest,
             claim_id=number.to_bytes(12, "big"),
             holder=f"vm-{vm}",
-            incarnation=self.lives[vm],
+            incarnation=self.incarnations[vm],
             start_deadline=round(self.now + 5.0, 3),
             key_made_at=1000.0,
             fingerprint=b"same",
@@ -146,32 +146,32 @@
         plan = attempts.Plan(KIND, self.now + 10.0, FirstChooser(), claim)
         request = Request(vm, digest, claim, plan)
         self.requests.append(request)
-        self.act(request, plan.start(self.now))
+        self.execute_plan(request, plan.start(self.now))
 
     @hypothesis.stateful.rule(key=st.integers(0, KEYS - 1))
     def submit_twice(self, key: int) -> None:
-        """A caller's request and its copy reach two VMs, and both claims land."""
+        """A request and its copies reach all VMs, and all claims are appended."""
         for vm in range(VMS):
             self.send_order(vm, key)
-        for append in list(self.appending):
+        for append in list(self.pending_appends):
             self.end_append(append, "done")
 
     @hypothesis.stateful.rule(vm=st.integers(0, VMS - 1), key=st.integers(0, KEYS - 1))
     def submit_to_frozen(self, vm: int, key: int) -> None:
-        """A VM freezes just after it has sent its claim, which lands meanwhile."""
+        """A VM pauses right after sending its claim, which is appended meanwhile."""
         if self.paused[vm]:
             return
         self.send_order(vm, key)
         self.toggle_pause(vm)
-        for append in list(self.appending):
+        for append in list(self.pending_appends):
             self.end_append(append, "done")
 
     @hypothesis.stateful.rule(data=st.data())
-    def go_away(self, data: st.DataObject) -> None:
+    def hang_up(self, data: st.DataObject) -> None:
         """A caller closes its connection."""
         request = self.pick(data, self.list_open_requests())
         if request is not None:
-            self.act(request, request.plan.abandon(self.now))
+            self.execute_plan(request, request.plan.abandon(self.now))
 
     # The log.
 
@@ -190,47 +190,53 @@
         ),
     )
     def finish_append(self, data: st.DataObject, how: str) -> None:
-        """An append ends in one of the ways in which appends end."""
-        append = self.pick(data, self.appending)
+        """An append ends as `how` says."""
+        append = self.pick(data, self.pending_appends)
         if append is not None:
             self.end_append(append, how)
 
-    def end_append(self, append: Appending, how: str) -> None:
-        """End an append in one of the ways."""
-        self.appending.remove(append)
+    def end_append(self, append: PendingAppend, how: str) -> None:
+        """End an append, and report the result to its VM."""
+        self.pending_appends.remove(append)
         if how in ("done", "answer-lost"):
             self.log.append(append.data)
         if how == "lost-then-lands":
-            self.stray.append(append.data)
+            self.delayed_appends.append(append.data)
         offset = len(self.log) - 1
-        self.deliver(append.vm, lambda: self.hear_append(append, how, offset))
+        self.deliver_when_awake(
+            append.vm, lambda: self.report_append_result(append, how, offset)
+        )
 
-    def hear_append(self, append: Appending, how: str, offset: int) -> None:
-        """A VM hears how its append ended."""
-        if append.life != self.lives[append.vm]:
+    def report_append_result(
+        self, append: PendingAppend, how: str, offset: int
+    ) -> None:
+        """Report to a VM how its append ended, unless the VM was replaced."""
+        if append.sender_incarnation != self.incarnations[append.vm]:
             return
         seeker = self.claimers[append.vm]
         if how == "done":
-            actions = seeker.take_appended(append.batch, offset, self.now)
+            actions = seeker.handle_appended(append.batch, offset, self.now)
         elif how == "refused":
-            actions = seeker.take_refused(append.batch, self.now)
+            actions = seeker.handle_refused(append.batch, self.now)
         else:
-            actions = seeker.take_uncertain(append.batch, self.now)
-        self.drive(append.vm, actions)
+            actions = seeker.handle_uncertain(append.batch, self.now)
+        self.execute_claimer(append.vm, actions)
 
-    def deliver(self, vm: int, message: collections.abc.Callable[[], None]) -> None:
-        """Let a VM hear something, when it is awake."""
+    def deliver_when_awake(
+        self, vm: int, message: collections.abc.Callable[[], None]
+    ) -> None:
+        """Deliver a message to a VM, or keep it until the VM resumes."""
         if self.paused[vm]:
             self.inbox[vm].append(message)
         else:
             message()
 
     @hypothesis.stateful.rule(data=st.data())
-    def land_stray(self, data: st.DataObject) -> None:
-        """An append that was given up takes effect at last."""
-        stray = self.pick(data, self.stray)
+    def land_delayed_append(self, data: st.DataObject) -> None:
+        """An append that was reported lost takes effect late."""
+        stray = self.pick(data, self.delayed_appends)
         if stray is not None:
-            self.stray.remove(stray)
+            self.delayed_appends.remove(stray)
             self.log.append(stray)
 
     @hypothesis.stateful.rule(vm=st.integers(0, VMS - 1), lag=st.integers(0, 2))
@@ -240,8 +246,8 @@
             return
         seeker = self.claimers[vm]
         for offset in range(seeker.next_offset, max(0, len(self.log) - lag)):
-            actions = seeker.take_entry(offset, self.log[offset], self.now)
-            self.drive(vm, actions)
+            actions = seeker.apply_entry(offset, self.log[offset], self.now)
+            self.execute_claimer(vm, actions)
 
     # Targets.
 
@@ -250,7 +256,7 @@
         how=st.sampled_from(["answer", "cut", "silent", "refused", "not-handed"]),
     )
     def finish_attempt(self, data: st.DataObject, how: str) -> None:
-        """A target gets a request and runs it, or not, and the VM hears of it."""
+        """An attempt ends as `how` says, and the result is reported to its VM."""
         sent = self.pick(data, self.sent)
         if sent is None:
             return
@@ -258,15 +264,17 @@
         late = self.now >= sent.deadline
         if how in ("answer", "cut", "silent") and not sent.has_run and not late:
             self.run(sent)
-        self.deliver(sent.request.vm, lambda: self.hear_attempt(sent, how))
+        self.deliver_when_awake(
+            sent.request.vm, lambda: self.report_attempt_result(sent, how)
+        )
 
-    def hear_attempt(self, sent: Sent, how: str) -> None:
-        """A VM hears how its attempt ended."""
+    def report_attempt_result(self, sent: SentAttempt, how: str) -> None:
+        """Report to a VM how its attempt ended, unless the VM was replaced."""
         request = sent.request
         if request.is_lost:
             return
         if how == "answer" and sent.has_run:
-            actions = request.plan.take_answer(sent.attempt, 200, self.now)
+            actions = request.plan.handle_answer(sent.attempt, 200, self.now)
         else:
             failure = {
                 "cut": attempt_actions.Failure.CUT,
@@ -279,12 +287,12 @@
                 attempt_actions.Failure.NOT_HANDED,
             ):
                 failure = attempt_actions.Failure.SILENT
-            actions = request.plan.take_failure(sent.attempt, failure, self.now)
-        self.act(request, actions)
+            actions = request.plan.handle_failure(sent.attempt, failure, self.now)
+        self.execute_plan(request, actions)
 
     @hypothesis.stateful.rule(data=st.data())
     def run_early(self, data: st.DataObject) -> None:
-        """A target runs a request whose answer is still to come."""
+        """A target runs a request before its answer is delivered."""
         sent = self.pick(data, [s for s in self.sent if not s.has_run])
         if sent is not None and self.now < sent.deadline:
             self.run(sent)
@@ -293,18 +301,18 @@
 
     @hypothesis.stateful.rule(step=st.sampled_from([0.1, 1.0, 4.0, 7.0]))
     def advance(self, step: float) -> None:
-        """Time passes; what is due happens on VMs that are not paused."""
+        """Time passes; VMs that are not paused do what is due."""
         self.now += step
         for vm in range(VMS):
             self.wake(vm)
 
     @hypothesis.stateful.rule(vm=st.integers(0, VMS - 1))
     def pause_or_wake(self, vm: int) -> None:
-        """A VM stops for a while, or wakes up and believes that no time has passed."""
+        """A running VM pauses, or a paused one resumes."""
         self.toggle_pause(vm)
 
     def toggle_pause(self, vm: int) -> None:
-        """Pause a VM, or let it wake up and hear what has come meanwhile."""
+        """Pause a VM, or resume it and deliver the messages kept meanwhile."""
         self.paused[vm] = not self.paused[vm]
         if not self.paused[vm]:
             waiting, self.inbox[vm] = self.inbox[vm], []
@@ -314,12 +322,12 @@
 
     @hypothesis.stateful.rule(vm=st.integers(0, VMS - 1))
     def replace(self, vm: int) -> None:
-        """A VM is lost with all that it knew; what it sent may still run."""
+        """A VM is lost with its state; attempts that it sent may still run."""
         self.lose(vm)
 
     def lose(self, vm: int) -> None:
-        """Replace a VM by an empty one."""
-        self.lives[vm] += 1
+        """Replace a VM by one with a new incarnation and no state."""
+        self.incarnations[vm] += 1
         self.paused[vm] = False
         self.inbox[vm].clear()
         self.claimers[vm] = self.make_claimer()
@@ -327,7 +335,7 @@
             if request.vm == vm:
                 request.is_lost = True
 
-    # The oracle.
+    # Invariants.
 
     @hypothesis.stateful.invariant()
     def runs_at_most_once(self) -> None:
@@ -336,90 +344,98 @@
 
     @hypothesis.stateful.invariant()
     def not_run_is_true(self) -> None:
-        """Whoever was told "not run" did not have its request run."""
+        """Work of requests answered "not run" did not run, "done" ran once."""
         for request in self.requests:
-            if request.told is None:
+            if request.given_refusal is None:
                 continue
-            if request.told.outcome is outcomes.Outcome.NOT_RUN:
+            if request.given_refusal.outcome is outcomes.Outcome.NOT_RUN:
                 assert request.claim.claim_id not in self.ran_claims
-            if request.told.outcome is outcomes.Outcome.DONE:
+            if request.given_refusal.outcome is outcomes.Outcome.DONE:
                 assert self.runs.get(request.key) == 1
 
     @hypothesis.stateful.invariant()
     def everyone_is_answered_in_time(self) -> None:
-        """Nobody waits past the deadline on a VM that is awake."""
+        """On a VM that is not paused, no open request is 10 s past its wake time."""
         for request in self.list_open_requests():
             if not self.paused[request.vm]:
                 assert self.now < request.plan.find_wake_time() + 10.0
 
-    # Inside.
+    # Helpers.
 
     def pick(self, data: st.DataObject, items: list[typing.Any]) -> typing.Any:
-        """Return one of the items, or None."""
+        """Draw one of the items; None if there are none."""
         return data.draw(st.sampled_from(items)) if items else None
 
     def list_open_requests(self) -> list[Request]:
-        """Return the requests that are under way on a VM that still exists."""
+        """Return requests that have not ended and whose VM was not replaced."""
         return [r for r in self.requests if not r.is_lost and not r.plan.has_ended]
 
-    def run(self, sent: Sent) -> None:
-        """Let a target run a request."""
+    def run(self, sent: SentAttempt) -> None:
+        """Record that a target ran an attempt's work."""
         sent.has_run = True
         key = sent.request.key
         self.runs[key] = self.runs.get(key, 0) + 1
         self.ran_claims.add(sent.request.claim.claim_id)
 
     def wake(self, vm: int) -> None:
-        """Let a VM do what is due."""
+        """Let a VM do what is due, unless it is paused."""
         if self.paused[vm]:
             return
-        self.drive(vm, self.claimers[vm].lapse(self.now))
-        self.drive(vm, self.claimers[vm].retry(self.now))
+        self.execute_claimer(vm, self.claimers[vm].process_due(self.now))
+        self.execute_claimer(vm, self.claimers[vm].retry(self.now))
         for request in self.list_open_requests():
             if request.vm == vm and self.now >= request.plan.find_wake_time():
-                self.act(request, request.plan.wake(self.now))
+                self.execute_plan(request, request.plan.wake(self.now))
 
-    def drive(self, vm: int, actions: list[claimer.Action]) -> None:
+    def execute_claimer(self, vm: int, actions: list[claimer.Action]) -> None:
         """Carry out a claimer's actions."""
         for action in actions:
             match action:
                 case claimer.Append():
-                    entry = Appending(vm, self.lives[vm], action.batch, action.data)
-                    self.appending.append(entry)
+                    entry = PendingAppend(
+                        vm, self.incarnations[vm], action.batch, action.data
+                    )
+                    self.pending_appends.append(entry)
                 case claimer.Granted() | claimer.Denied():
-                    self.announce(action)
+                    self.deliver_verdict(action)
                 case _:
                     pass
 
-    def announce(self, verdict: claimer.Granted | claimer.Denied) -> None:
-        """Tell a request the verdict on its claim."""
+    def deliver_verdict(self, verdict: claimer.Granted | claimer.Denied) -> None:
+        """Pass the decision on a claim to its request's plan."""
         for request in self.requests:
             if request.claim != verdict.claim or request.is_lost:
                 continue
             if isinstance(verdict, claimer.Granted):
-                self.act(request, request.plan.take_grant(self.now))
+                self.execute_plan(request, request.plan.handle_grant(self.now))
             else:
-                self.act(request, request.plan.take_denial(verdict, self.now))
+                self.execute_plan(request, request.plan.handle_denial(verdict, self.now))
 
-    def act(self, request: Request, actions: list[attempt_actions.Action]) -> None:
+    def execute_plan(
+        self, request: Request, actions: list[attempt_actions.Action]
+    ) -> None:
         """Carry out a plan's actions."""
         for action in actions:
             match action:
                 case attempt_actions.SeekClaim():
                     seeker = self.claimers[request.vm]
-                    self.drive(request.vm, seeker.seek(action.claim, self.now))
+                    self.execute_claimer(
+                        request.vm, seeker.seek(action.claim, self.now)
+                    )
                 case attempt_actions.Send():
                     deadline = request.claim.start_deadline
                     assert self.now < deadline, "sent after its start deadline"
-                    self.sent.append(Sent(request, action.attempt, deadline))
+                    self.sent.append(SentAttempt(request, action.attempt, deadline))
                 case attempt_actions.Settle():
                     seeker = self.claimers[request.vm]
-                    self.drive(request.vm, seeker.settle(action.record, self.now))
+                    self.execute_claimer(
+                        request.vm, seeker.settle(action.record, self.now)
+                    )
                 case attempt_actions.Relay():
                     request.was_answered = True
                 case attempt_actions.Refuse():
-                    assert request.told is None
+                    assert request.given_refusal is None
                     assert not request.was_answered
-                    request.told = action.refusal
+                    request.given_refusal = action.refusal
                 case _:
                     pass
--- a/tests/scenarios/test_at_most_once.py
+++ b/tests/scenarios/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Steps of at_most_once.feature: the claims machine, driven by hand."""
+"""Steps of at_most_once.feature, which drive the claims state machine."""
 
 from __future__ import annotations
 
@@ -11,27 +11,31 @@
 
 
 class Driver(claims.ClaimsMachine):
-    """The claims machine with a step for each sentence."""
+    """The claims state machine, with the steps that the sentences need."""
 
     def finish_next_append(self, how: str) -> None:
-        """End the oldest append under way."""
-        append = self.appending.pop(0)
+        """Complete the oldest pending append with the result `how`."""
+        append = self.pending_appends.pop(0)
         if how in ("done", "answer-lost"):
             self.log.append(append.data)
         offset = len(self.log) - 1
-        self.deliver(append.vm, lambda: self.hear_append(append, how, offset))
+        self.deliver_when_awake(
+            append.vm, lambda: self.report_append_result(append, how, offset)
+        )
 
     def finish_next_attempt(self, how: str, runs: bool) -> None:
-        """End the oldest attempt under way."""
+        """Complete the oldest pending attempt with the result `how`."""
         sent = self.sent.pop(0)
         if runs:
             self.run(sent)
-        self.deliver(sent.request.vm, lambda: self.hear_attempt(sent, how))
+        self.deliver_when_awake(
+            sent.request.vm, lambda: self.report_attempt_result(sent, how)
+        )
 
 
 @pytest.fixture
 def driver() -> Driver:
-    """Return a new fleet."""
+    """Return a fleet in its initial state."""
     return Driver()
 
 
@@ -47,8 +51,8 @@
 
 @pytest_bdd.when("its claim is appended")
 def _append(driver: Driver) -> None:
-    # A VM that has read the other's claim already has nothing to append.
-    if driver.appending:
+    # A VM that has already read the other VM's claim appends none of its own.
+    if driver.pending_appends:
         driver.finish_next_append("done")
 
 
@@ -64,16 +68,16 @@
 
 @pytest_bdd.when("everything on its way to the log arrives")
 def _arrive(driver: Driver) -> None:
-    while driver.appending:
+    while driver.pending_appends:
         driver.finish_next_append("done")
 
 
 @pytest_bdd.when(parsers.parse("VM {vm:d} reads the log"))
 def _read(driver: Driver, vm: int) -> None:
-    seeker = driver.claimers[vm - 1]
-    for offset in range(seeker.next_offset, len(driver.log)):
-        actions = seeker.take_entry(offset, driver.log[offset], driver.now)
-        driver.drive(vm - 1, actions)
+    claimer = driver.claimers[vm - 1]
+    for offset in range(claimer.next_offset, len(driver.log)):
+        actions = claimer.apply_entry(offset, driver.log[offset], driver.now)
+        driver.execute_claimer(vm - 1, actions)
 
 
 @pytest_bdd.when("the target answers")
@@ -134,6 +138,6 @@
     request = driver.requests[-1]
     if request.was_answered:
         return "answer"
-    if request.told is None:
+    if request.given_refusal is None:
         return "nothing yet"
-    return request.told.outcome.value
+    return request.given_refusal.outcome.value
