--- a/packages/zinniastand-core/src/zinniastand_core/peer_messages.py
+++ b/packages/zinniastand-core/src/zinniastand_core/peer_messages.py
@@ -408,8 +408,8 @@
 
 def _pack_level(level: evidence_pool.Level) -> list[object]:
     scores_by_data_centre = {
-        data_centre: round(score * FIXED_POINT_SCALE)
-        for data_centre, score in level.by_data_centre
+        scored_data_centre: round(score * FIXED_POINT_SCALE)
+        for scored_data_centre, score in level.by_data_centre
     }
     return [
         level.target,
