--- a/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
@@ -246,7 +246,9 @@
             self._pools[service] = pool
         return pool
 
-    def _steer_by_levels(self, message: peer_messages.SuspicionLevels, now: float) -> None:
+    def _steer_by_levels(
+        self, message: peer_messages.SuspicionLevels, now: float
+    ) -> None:
         routing = self._routers.get(message.service)
         if routing is None:
             return
--- a/tests/machines/claims.py
+++ b/tests/machines/claims.py
@@ -409,7 +409,9 @@
             if isinstance(verdict, claimer.Granted):
                 self.execute_plan(request, request.plan.handle_grant(self.now))
             else:
-                self.execute_plan(request, request.plan.handle_denial(verdict, self.now))
+                self.execute_plan(
+                    request, request.plan.handle_denial(verdict, self.now)
+                )
 
     def execute_plan(
         self, request: Request, actions: list[attempt_actions.Action]
