--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/waiting.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/waiting.py
@@ -1,6 +1,6 @@
 """The queue of a shard: which requests wait, in which order, and for how long.
 
-Load pattern: a burst, or half of the targets lost. QueuedRequest costs the caller time
+Load pattern: a burst, or half of the targets lost. Waiting costs the caller time
 and frees no slot, so a request waits only if its turn comes while an answer is still
 useful, and the queue is bounded by time and not by length.
 """
