--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,5 +1,6 @@
-"""A randomized soak: the real daemons as processes, and faults from outside them.
+"""A randomized soak: injects faults into daemons that run as separate processes.
 
-`plan` draws a series of faults from a seed, `run` plays it against a small site, and
-`promises` judges what callers and targets have seen. Run it with ``python -m soak``.
+`plan` draws faults from a seed, `run` injects them while callers send requests, and
+`promises` finds what callers and targets must not have seen. Run it with
+``python -m soak``.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -13,10 +13,11 @@
 from . import plan, run
 
 JOBS = 4
-"""Seeds played at the same time: each has four daemons and one process of its own."""
+"""Number of seeds that are played at the same time. Each runs in a process of its own
+and starts four daemons by default."""
 
-MOST_SHOWN = 5
-"""Breaches that are printed of one seed."""
+MAX_SHOWN_BREACHES = 5
+"""Number of breaches that are printed for each seed."""
 
 app = typer.Typer(add_completion=False, pretty_exceptions_enable=False)
 
@@ -24,54 +25,56 @@
 @app.command()
 def main(
     first: typing.Annotated[
-        int, typer.Option(help="First seed; 0 draws a fresh one.")
+        int, typer.Option(help="First seed; 0 for a random one.")
     ] = 1,
-    seeds: typing.Annotated[int, typer.Option(help="How many seeds.")] = 50,
-    jobs: typing.Annotated[int, typer.Option(help="Seeds at a time.")] = JOBS,
+    seeds: typing.Annotated[int, typer.Option(help="Number of seeds.")] = 50,
+    jobs: typing.Annotated[int, typer.Option(help="Seeds played at a time.")] = JOBS,
     keep: typing.Annotated[
-        pathlib.Path | None, typer.Option(help="Folder for logs.")
+        pathlib.Path | None, typer.Option(help="Folder for settings and logs.")
     ] = None,
     kind: typing.Annotated[
-        plan.Kind, typer.Option(help="Which faults.")
+        plan.Kind, typer.Option(help="Kind of the plans.")
     ] = plan.Kind.MIXED,
-    vms: typing.Annotated[int, typer.Option(help="Daemons of a seed.")] = 4,
+    vms: typing.Annotated[int, typer.Option(help="Number of VMs per seed.")] = 4,
     program: typing.Annotated[
         pathlib.Path | None, typer.Option(help="Script that starts a daemon.")
     ] = None,
 ) -> None:
     """Play seeds and print a line for each.
 
-    Exit codes: 0 where every promise held for every seed, 1 otherwise.
+    Exit codes: 0 if every seed kept every promise, 1 otherwise.
     """
     first = first or random.SystemRandom().randrange(1_000, 1_000_000)
     folder = keep or pathlib.Path(tempfile.mkdtemp(prefix="soak-"))
-    shape = run.Shape(kind, vms)
-    broken: list[int] = []
+    scenario = run.Scenario(kind, vms)
+    broken_seeds: list[int] = []
     with concurrent.futures.ProcessPoolExecutor(jobs) as pool:
         futures = [
-            pool.submit(run.play, seed, folder / str(seed), program, shape)
+            pool.submit(run.play_seed, seed, folder / str(seed), program, scenario)
             for seed in range(first, first + seeds)
         ]
         for future in futures:
             report = future.result()
             typer.echo(format_report(report))
             if report.breaches:
-                broken.append(report.seed)
-    typer.echo(f"{seeds - len(broken)} of {seeds} seeds kept every promise")
-    if broken:
-        typer.echo(f"broken: {broken}; logs in {folder}")
+                broken_seeds.append(report.seed)
+    typer.echo(f"{seeds - len(broken_seeds)} of {seeds} seeds kept every promise")
+    if broken_seeds:
+        typer.echo(f"broken: {broken_seeds}; logs in {folder}")
         raise typer.Exit(1)
 
 
 def format_report(report: run.Report) -> str:
-    """Return one line, and one more for each breach up to some."""
-    acts = ", ".join(f"{step.act.value} {step.how}".strip() for step in report.steps)
+    """Return a line for the seed, and one for each of its first breaches."""
+    actions = ", ".join(
+        f"{step.action.value} {step.variant}".strip() for step in report.steps
+    )
     lines = [
-        f"seed {report.seed}: {report.served} of {report.sent} served,"
-        f" {len(report.breaches)} breaches; {acts}"
+        f"seed {report.seed}: {report.served_count} of {report.sent_count} served,"
+        f" {len(report.breaches)} breaches; {actions}"
     ]
-    shown = report.breaches[:MOST_SHOWN]
-    lines += [f"  {breach.promise}: {breach.what}" for breach in shown]
+    shown_breaches = report.breaches[:MAX_SHOWN_BREACHES]
+    lines += [f"  {breach.promise}: {breach.detail}" for breach in shown_breaches]
     return "\n".join(lines)
 
 
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers: they keep connections, leave early at times, and note all that they see."""
+"""Callers that reuse connections, leave early at times and record each outcome."""
 
 from __future__ import annotations
 
@@ -14,37 +14,46 @@
 
 from . import ledger, links, vms
 
-PATIENCE = 4.0
+ANSWER_TIMEOUT_S = 4.0
 """Seconds for which a caller waits for an answer."""
 
-LEAVES = 0.06
-"""Share of requests that their caller gives up early."""
+EARLY_LEAVE_SHARE = 0.06
+"""Share of requests whose caller closes the connection without waiting."""
 
-LEAVES_AFTER = 0.03
-LONG_BODY = 150_000
-LONG_SHARE = 0.02
-PIPELINES = 0.05
-"""Share of requests that further lookups follow before the answer."""
+EARLY_LEAVE_DELAY_S = 0.03
+"""Seconds after which such a caller closes the connection."""
 
-SERIES = 0.5
-"""The same where callers send ahead as a habit."""
+LONG_BODY_BYTES = 150_000
+LONG_BODY_SHARE = 0.02
+"""Share of requests with a long body."""
 
-LONGEST_SERIES = 4
-LOOKUP = "/safe/"
+SERIES_SHARE = 0.05
+"""Share of requests that begin a series of lookups."""
 
-THINK = 0.08
-"""Mean seconds between two requests of a caller."""
+HIGH_SERIES_SHARE = 0.5
+"""The same for callers that mostly send series."""
+
+MAX_SERIES_REQUESTS = 4
+LOOKUP_PREFIX = "/safe/"
+"""Prefix of the paths of lookups, which may run more than once."""
 
-REPEAT_PAUSE = 0.2
-"""Mean seconds until a request that crashes its targets is sent again."""
+MEAN_PAUSE_S = 0.08
+"""Mean seconds between two requests of a caller."""
 
-KEPT_FOR = 25
-"""Most requests on one connection."""
+MEAN_REPEAT_PAUSE_S = 0.2
+"""Mean seconds until a request that crashes targets is sent again."""
 
-HOST = b"desk.example"
-PATHS = ("/safe/", "/once/", "/moving/", "/other/")
-LOOKUP_PATHS = (LOOKUP, LOOKUP, LOOKUP, "/once/", "/other/")
-"""The same where most requests may be tried at a second target."""
+MAX_REQUESTS_PER_CONNECTION = 25
+SERVICE_HOST = b"desk.example"
+PATH_PREFIXES = ("/safe/", "/once/", "/moving/", "/other/")
+LOOKUP_PATH_PREFIXES = (
+    LOOKUP_PREFIX,
+    LOOKUP_PREFIX,
+    LOOKUP_PREFIX,
+    "/once/",
+    "/other/",
+)
+"""Prefixes for callers most of whose requests may be sent to a second target."""
 
 
 class Callers:
@@ -54,139 +63,153 @@
     ----------
     fleet : sequence of vms.Vm
         The VMs.
-    book : ledger.Ledger
-        Where they note what they see.
+    entries : ledger.Ledger
+        Ledger to which requests and outcomes are added.
     rng : random.Random
         Source of randomness.
-    paths : sequence of str
-        Where they send to, drawn from evenly.
-    pipelines : float
-        Share of requests that further lookups follow on the connection at once.
+    path_prefixes : sequence of str
+        Prefixes of the paths, from which each request draws with equal chances.
+    series_share : float
+        Share of requests that begin a series.
     """
 
     def __init__(
         self,
         fleet: collections.abc.Sequence[vms.Vm],
-        book: ledger.Ledger,
+        entries: ledger.Ledger,
         rng: random.Random,
-        paths: collections.abc.Sequence[str] = PATHS,
-        pipelines: float = 0.0,
+        path_prefixes: collections.abc.Sequence[str] = PATH_PREFIXES,
+        series_share: float = 0.0,
     ) -> None:
-        self._paths = paths
-        self._pipelines = pipelines
+        self._path_prefixes = path_prefixes
+        self._series_share = series_share
         self._fleet = fleet
-        self._book = book
+        self._entries = entries
         self._rng = rng
-        self._numbers = itertools.count()
+        self._request_numbers = itertools.count()
 
-    async def run_one(self, stop: anyio.Event) -> None:
-        """Send requests until `stop`, one after the other."""
+    async def run_caller(self, stop: anyio.Event) -> None:
+        """Send requests one after the other, on connections to any VM, until `stop`."""
         while not stop.is_set():
-            ready = [vm for vm in self._fleet if vm.is_ready]
-            vm = self._rng.choice(ready or list(self._fleet))
+            ready_vms = [vm for vm in self._fleet if vm.is_ready]
+            vm = self._rng.choice(ready_vms or list(self._fleet))
             try:
-                stream = await anyio.connect_tcp(links.HOST, vm.callers)
+                stream = await anyio.connect_tcp(links.HOST, vm.callers_port)
             except OSError:
-                await anyio.sleep(THINK)
+                await anyio.sleep(MEAN_PAUSE_S)
                 continue
             try:
-                await self._use(vm, stream, stop)
+                await self._use_connection(vm, stream, stop)
             finally:
                 with anyio.CancelScope(shield=True):
                     await anyio.aclose_forcefully(stream)
 
-    async def repeat(self, path: str, stop: anyio.Event) -> None:
-        """Send one request again and again, to any VM, until `stop`."""
+    async def repeat_request(self, path: str, stop: anyio.Event) -> None:
+        """Send requests for a path at intervals, each to any VM, until `stop`."""
         while not stop.is_set():
-            ready = [vm for vm in self._fleet if vm.is_ready]
-            vm = self._rng.choice(ready or list(self._fleet))
+            ready_vms = [vm for vm in self._fleet if vm.is_ready]
+            vm = self._rng.choice(ready_vms or list(self._fleet))
             try:
-                stream = await anyio.connect_tcp(links.HOST, vm.callers)
+                stream = await anyio.connect_tcp(links.HOST, vm.callers_port)
             except OSError:
-                await anyio.sleep(THINK)
+                await anyio.sleep(MEAN_PAUSE_S)
                 continue
-            sent = self._make_sent(vm, path, 0)
-            self._book.sent.append(sent)
+            request = self._draw_request(vm, path, 0)
+            self._entries.sent_requests.append(request)
             try:
-                with anyio.move_on_after(PATIENCE) as scope:
-                    await self._exchange(sent, stream)
+                with anyio.move_on_after(ANSWER_TIMEOUT_S) as scope:
+                    await self._exchange(request, stream)
                 if scope.cancelled_caught:
-                    self._see(sent, 0, False, b"")
+                    self._record_outcome(request, 0, False, b"")
             finally:
                 with anyio.CancelScope(shield=True):
                     await anyio.aclose_forcefully(stream)
-            await anyio.sleep(self._rng.expovariate(1 / REPEAT_PAUSE))
+            await anyio.sleep(self._rng.expovariate(1 / MEAN_REPEAT_PAUSE_S))
 
-    async def _use(
+    async def _use_connection(
         self, vm: vms.Vm, stream: anyio.abc.SocketStream, stop: anyio.Event
     ) -> None:
-        """Send on one connection until it ends."""
-        for _ in range(self._rng.randint(1, KEPT_FOR)):
-            if stop.is_set() or not await self._send_one(vm, stream):
+        """Send requests on a connection until it closes or has carried enough."""
+        for _ in range(self._rng.randint(1, MAX_REQUESTS_PER_CONNECTION)):
+            if stop.is_set() or not await self._send_request(vm, stream):
                 return
-            await anyio.sleep(self._rng.expovariate(1 / THINK))
+            await anyio.sleep(self._rng.expovariate(1 / MEAN_PAUSE_S))
 
-    async def _send_one(self, vm: vms.Vm, stream: anyio.abc.SocketStream) -> bool:
-        """Send one request; return whether the connection may be used again."""
+    async def _send_request(self, vm: vms.Vm, stream: anyio.abc.SocketStream) -> bool:
+        """Send a request or a series; return whether the connection may be reused."""
         rng = self._rng
-        path = rng.choice(self._paths) + str(rng.randrange(1000))
-        size = LONG_BODY if rng.random() < LONG_SHARE else rng.randrange(400)
-        sent = self._make_sent(vm, path, size)
-        self._book.sent.append(sent)
-        if rng.random() < self._pipelines:
-            count = rng.randrange(1, LONGEST_SERIES)
-            behind = [self._make_sent(vm, f"{LOOKUP}{n}", 0) for n in range(count)]
-            self._book.sent.extend(behind)
-            await self._exchange_series([sent, *behind], stream)
+        path = rng.choice(self._path_prefixes) + str(rng.randrange(1000))
+        size = LONG_BODY_BYTES if rng.random() < LONG_BODY_SHARE else rng.randrange(400)
+        request = self._draw_request(vm, path, size)
+        self._entries.sent_requests.append(request)
+        if rng.random() < self._series_share:
+            count = rng.randrange(1, MAX_SERIES_REQUESTS)
+            following = [
+                self._draw_request(vm, f"{LOOKUP_PREFIX}{n}", 0) for n in range(count)
+            ]
+            self._entries.sent_requests.extend(following)
+            await self._exchange_series([request, *following], stream)
             return False
-        leaves = rng.random() < LEAVES
-        with anyio.move_on_after(LEAVES_AFTER if leaves else PATIENCE) as scope:
-            return await self._exchange(sent, stream)
+        is_leaving_early = rng.random() < EARLY_LEAVE_SHARE
+        with anyio.move_on_after(
+            EARLY_LEAVE_DELAY_S if is_leaving_early else ANSWER_TIMEOUT_S
+        ) as scope:
+            return await self._exchange(request, stream)
         if scope.cancelled_caught:
-            self._see(sent, 0, False, b"", has_left=leaves)
+            self._record_outcome(request, 0, False, b"", has_left=is_leaving_early)
         return False
 
-    def _make_sent(self, vm: vms.Vm, path: str, size: int) -> ledger.Sent:
-        name = f"r{next(self._numbers)}"
+    def _draw_request(self, vm: vms.Vm, path: str, size: int) -> ledger.SentRequest:
+        new_id = f"r{next(self._request_numbers)}"
         is_unsafe = not path.startswith("/safe/")
         body, now = self._rng.randbytes(size), anyio.current_time()
-        return ledger.Sent(name, vm.number, is_unsafe, path, body, now)
+        return ledger.SentRequest(new_id, vm.number, is_unsafe, path, body, now)
 
     async def _exchange(
-        self, sent: ledger.Sent, stream: anyio.abc.SocketStream
+        self, request: ledger.SentRequest, stream: anyio.abc.SocketStream
     ) -> bool:
         try:
-            answer = await http_exchange.Exchange(stream, _make_request(sent)).run()
+            answer = await http_exchange.Exchange(
+                stream, _make_http_request(request)
+            ).run()
         except http_exchange.BrokenAnswerError:
-            self._see(sent, 0, False, b"")
+            self._record_outcome(request, 0, False, b"")
             return False
-        self._see_answer(sent, answer)
+        self._record_answer(request, answer)
         return answer.is_reusable
 
     async def _exchange_series(
-        self, series: list[ledger.Sent], stream: anyio.abc.SocketStream
+        self, series: list[ledger.SentRequest], stream: anyio.abc.SocketStream
     ) -> None:
-        """Send requests at once, and read their answers."""
-        requests = [_make_request(one) for one in series]
-        data = b"".join(http_exchange.encode_request(one)[1] for one in requests)
+        """Send all requests of a series at once, then read their answers."""
+        http_requests = [_make_http_request(sent_request) for sent_request in series]
+        data = b"".join(
+            http_exchange.encode_request(http_request)[1]
+            for http_request in http_requests
+        )
         trailing: bytes | None = b""
         try:
             await stream.send(data)
         except anyio.BrokenResourceError:
             trailing = None
-        for one in series:
+        for sent_request in series:
             if trailing is None:
-                self._see(one, 0, False, b"")
+                self._record_outcome(sent_request, 0, False, b"")
             else:
-                trailing = await self._read_one(one, stream, trailing)
+                trailing = await self._read_answer(sent_request, stream, trailing)
 
-    async def _read_one(
-        self, sent: ledger.Sent, stream: anyio.abc.SocketStream, had: bytes
+    async def _read_answer(
+        self,
+        request: ledger.SentRequest,
+        stream: anyio.abc.SocketStream,
+        leftover: bytes,
     ) -> bytes | None:
-        """Read an answer; return what came after it, or None where there is none."""
-        exchange = http_exchange.Exchange(_SentBefore(stream, had), _make_request(sent))
+        """Read an answer; return the bytes after it, or None if there is no answer."""
+        exchange = http_exchange.Exchange(
+            _PartlyReadStream(stream, leftover), _make_http_request(request)
+        )
         try:
-            with anyio.fail_after(PATIENCE):
+            with anyio.fail_after(ANSWER_TIMEOUT_S):
                 answer = await exchange.run()
         except (
             http_exchange.BrokenAnswerError,
@@ -194,58 +217,62 @@
             anyio.EndOfStream,
             TimeoutError,
         ):
-            self._see(sent, 0, False, b"")
+            self._record_outcome(request, 0, False, b"")
             return None
-        self._see_answer(sent, answer)
+        self._record_answer(request, answer)
         return answer.trailing
 
-    def _see_answer(self, sent: ledger.Sent, answer: http_exchange.Answer) -> None:
+    def _record_answer(
+        self, request: ledger.SentRequest, answer: http_exchange.Answer
+    ) -> None:
         is_signed = answer.find(words.HEADERS.signature) is not None
-        self._see(sent, answer.status, is_signed, answer.body)
+        self._record_outcome(request, answer.status, is_signed, answer.body)
 
-    def _see(
+    def _record_outcome(
         self,
-        sent: ledger.Sent,
+        request: ledger.SentRequest,
         status: int,
         is_signed: bool,
         body: bytes,
         has_left: bool = False,
     ) -> None:
         now = anyio.current_time()
-        self._book.seen[sent.request_id] = ledger.Seen(
-            sent.request_id, now, status, is_signed, body, has_left
+        self._entries.outcomes[request.request_id] = ledger.Outcome(
+            request.request_id, now, status, is_signed, body, has_left
         )
 
 
-class _SentBefore(anyio.abc.ByteStream):
-    """A connection on which the request was sent, and some bytes were read, before."""
+class _PartlyReadStream(anyio.abc.ByteStream):
+    """A connection on which the request was sent and some bytes were read already."""
 
-    def __init__(self, stream: anyio.abc.SocketStream, had: bytes) -> None:
+    def __init__(self, stream: anyio.abc.SocketStream, leftover: bytes) -> None:
         self._stream = stream
-        self._had = had
+        self._leftover = leftover
 
     async def send(self, item: bytes) -> None:
-        """Send nothing more."""
+        """Do nothing, since the request was sent already."""
 
     async def receive(self, max_bytes: int = 65_536) -> bytes:
-        """Return what was read before, then what comes."""
-        if self._had:
-            had, self._had = self._had, b""
-            return had
+        """Return the bytes that were read already, then those that arrive."""
+        if self._leftover:
+            leftover, self._leftover = self._leftover, b""
+            return leftover
         return await self._stream.receive(max_bytes)
 
     async def send_eof(self) -> None:
-        """Leave the end of sending to the connection itself."""
+        """Do nothing, since the connection stays open for the rest of the series."""
 
     async def aclose(self) -> None:
         """Close the connection."""
         await self._stream.aclose()
 
 
-def _make_request(sent: ledger.Sent) -> http_exchange.Request:
+def _make_http_request(request: ledger.SentRequest) -> http_exchange.Request:
     headers = [
-        (b"host", HOST),
-        (words.HEADERS.request_id, sent.request_id.encode()),
-        (words.HEADERS.time_left, b"%d" % int(PATIENCE * words.MS_PER_S)),
+        (b"host", SERVICE_HOST),
+        (words.HEADERS.request_id, request.request_id.encode()),
+        (words.HEADERS.time_left, b"%d" % int(ANSWER_TIMEOUT_S * words.MS_PER_S)),
     ]
-    return http_exchange.Request(b"POST", sent.path.encode(), headers, sent.body, True)
+    return http_exchange.Request(
+        b"POST", request.path.encode(), headers, request.body, True
+    )
--- a/soak/ledger.py
+++ b/soak/ledger.py
@@ -1,4 +1,7 @@
-"""What callers sent and saw, and what targets ran: the events that are judged."""
+"""Events of a soak, as its callers, targets and faults record them.
+
+All times are seconds on the clock of the process that plays the seed.
+"""
 
 from __future__ import annotations
 
@@ -6,214 +9,214 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sent:
+class SentRequest:
     """A request that a caller sent."""
 
     request_id: str
-    """Its name."""
+    """Identifier of the request, unique within the soak."""
 
     vm: int
-    """Number of the VM that got it."""
+    """Number of the VM that the request was sent to."""
 
     is_unsafe: bool
-    """Whether it may run only once."""
+    """Whether the request may run only once."""
 
     path: str
-    """Its path."""
+    """Path that was sent."""
 
     body: bytes
-    """Its body."""
+    """Body that was sent."""
 
-    at: float
-    """When it was sent whole."""
+    sent_at: float
+    """Time at which sending began."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seen:
+class Outcome:
     """How a request ended for its caller."""
 
     request_id: str
-    """The request."""
+    """Identifier of the request."""
 
-    at: float
-    """When."""
+    ended_at: float
+    """Time of the end."""
 
     status: int
-    """Status of the whole answer, 0 where there was none."""
+    """Status of the complete answer, 0 if there was none."""
 
     is_signed: bool
-    """Whether the answer bears a target's signature."""
+    """Whether the answer has the signature of a target."""
 
     body: bytes
     """Body of the answer."""
 
     has_left: bool = False
-    """Whether the caller left without waiting for an answer."""
+    """Whether the caller closed its connection without waiting for an answer."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ran:
-    """A request that a target began to work on."""
+class Run:
+    """A request that a target began to run."""
 
     request_id: str
-    """The request."""
+    """Identifier of the request."""
 
     target_id: str
-    """The target."""
+    """Identifier of the target."""
 
     service: str
-    """Its service."""
+    """Service of the target."""
 
     path: str
-    """The path that arrived."""
+    """Path that the target received."""
 
     body: bytes
-    """The body that arrived."""
+    """Body that the target received."""
 
     status: int
-    """Status that the target answers with."""
+    """Status with which the target answers."""
 
-    at: float
-    """When."""
+    started_at: float
+    """Time of the start."""
 
     time_left: float = 0.0
-    """Seconds that the target was given."""
+    """Seconds that the request allows the target."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ended:
-    """How a piece of work of a target ended."""
+class RunEnd:
+    """The end of a run."""
 
-    ran: Ran
-    """The work."""
+    run: Run
+    """The run."""
 
-    is_cut: bool
-    """Whether its connection ended while the target was at work."""
+    is_interrupted: bool
+    """Whether the connection to the target closed before the target had finished."""
 
-    at: float
-    """When."""
+    ended_at: float
+    """Time of the end."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Drained:
-    """A target that told the store that it is leaving."""
+class DrainStart:
+    """A target that announced in the store that it is draining."""
 
     target_id: str
-    """The target."""
+    """Identifier of the target."""
 
-    at: float
-    """When the store had taken that in."""
+    stored_at: float
+    """Time from which the store held the announcement."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Published:
+class PublishedVersion:
     """A version of the configuration."""
 
     version: int
-    """Its number."""
+    """Number of the version."""
 
     moving_service: str
-    """Service that its moving route leads to."""
+    """Service to which this version sends the requests for ``/moving/``."""
 
-    at: float
-    """When the store had taken it in."""
+    stored_at: float
+    """Time from which the store held the version."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Crashed:
-    """A target that crashed."""
+class TargetCrash:
+    """The crash of a target."""
 
     target_id: str
-    """The target."""
+    """Identifier of the target."""
 
     path: str
-    """Path of the request that crashed it; empty where none did."""
+    """Path of the request that crashed the target; empty if no request did."""
 
-    at: float
-    """When."""
+    crashed_at: float
+    """Time of the crash."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Arrived:
-    """A request that reached a target, whether it ran or not."""
+class Arrival:
+    """A request that reached a target, whether the target ran it or not."""
 
     request_id: str
-    """The request."""
+    """Identifier of the request."""
 
     target_id: str
-    """The target."""
+    """Identifier of the target."""
 
     service: str
-    """Its service."""
+    """Service of the target."""
 
-    at: float
-    """When."""
+    arrived_at: float
+    """Time of the arrival."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Limited:
-    """A time in which a target names a limit."""
+class RateLimitPeriod:
+    """A period in which a target named a rate limit in its answers."""
 
     target_id: str
-    """The target."""
+    """Identifier of the target."""
 
     rate: float
-    """Requests a second that it takes."""
+    """Requests per second that the target accepts."""
 
     begin: float
-    """When its first answer named it."""
+    """Time of the first answer that named the limit."""
 
     end: float
-    """When it named it no more."""
+    """Time from which answers named the limit no more."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Disturbed:
-    """A fault, from its begin to its end."""
+class FaultPeriod:
+    """A period in which an injected fault may have had effects."""
 
     kind: str
-    """What it was."""
+    """Value of the `plan.Action` that injected the fault."""
 
-    touched: str
-    """What it touched: ``store``, the name of a target, or ``vm-`` and a number."""
+    affected: str
+    """``store``, the identifier of a target, or ``vm-`` and the number of a VM."""
 
     begin: float
-    """When it began."""
+    """Time at which the fault began."""
 
     end: float
-    """When it was over."""
+    """Time after which the fault had no effects."""
 
 
 @dataclasses.dataclass(slots=True)
 class Ledger:
-    """Everything that happened, in the order in which it was noted."""
+    """All events of a soak, by kind, each list in the order of recording."""
 
-    sent: list[Sent] = dataclasses.field(default_factory=list)
-    """Requests."""
+    sent_requests: list[SentRequest] = dataclasses.field(default_factory=list)
+    """Requests of callers."""
 
-    seen: dict[str, Seen] = dataclasses.field(default_factory=dict)
-    """Their ends."""
+    outcomes: dict[str, Outcome] = dataclasses.field(default_factory=dict)
+    """Outcomes of these requests, by request identifier."""
 
-    ran: list[Ran] = dataclasses.field(default_factory=list)
-    """Work of targets."""
+    runs: list[Run] = dataclasses.field(default_factory=list)
+    """Requests that targets began to run."""
 
-    ended: list[Ended] = dataclasses.field(default_factory=list)
-    """Its ends."""
+    run_ends: list[RunEnd] = dataclasses.field(default_factory=list)
+    """Ends of runs; one that crashes its target has none."""
 
-    drained: list[Drained] = dataclasses.field(default_factory=list)
-    """Targets that left."""
+    drain_starts: list[DrainStart] = dataclasses.field(default_factory=list)
+    """Announcements of draining targets."""
 
-    published: list[Published] = dataclasses.field(default_factory=list)
-    """Versions."""
+    published_versions: list[PublishedVersion] = dataclasses.field(default_factory=list)
+    """Versions of the configuration, in ascending order."""
 
-    crashed: list[Crashed] = dataclasses.field(default_factory=list)
-    """Targets that crashed."""
+    crashes: list[TargetCrash] = dataclasses.field(default_factory=list)
+    """Crashes of targets."""
 
-    arrived: list[Arrived] = dataclasses.field(default_factory=list)
+    arrivals: list[Arrival] = dataclasses.field(default_factory=list)
     """Requests that reached targets."""
 
-    limited: list[Limited] = dataclasses.field(default_factory=list)
-    """Times in which targets named limits."""
+    rate_limit_periods: list[RateLimitPeriod] = dataclasses.field(default_factory=list)
+    """Periods in which targets named rate limits."""
 
-    disturbed: list[Disturbed] = dataclasses.field(default_factory=list)
-    """Faults that are over."""
+    faults: list[FaultPeriod] = dataclasses.field(default_factory=list)
+    """Periods of faults that are over."""
--- a/soak/links.py
+++ b/soak/links.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, cuts one way and silences connections."""
+"""A loopback proxy that injects faults into the connections that it forwards."""
 
 from __future__ import annotations
 
@@ -11,177 +11,187 @@
 
 HOST = "127.0.0.1"
 READ_BYTES = 65_536
-REQUEST_BEGINS = b"POST "
-HOLD_CHECK = 0.02
-"""Seconds between two looks whether a held connection may go on."""
+REQUEST_START = b"POST "
+HOLD_CHECK_INTERVAL_S = 0.02
+"""Seconds between two checks whether held data may be forwarded."""
 
-DELAY = 0.15
-"""Seconds by which a delaying link holds up each piece."""
+DELAY_S = 0.15
+"""Seconds by which a delaying link delays each chunk of data."""
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""SO_LINGER that makes a close send a reset."""
+"""Value of SO_LINGER with which closing a socket sends a reset."""
 
 
-class Trouble(enum.StrEnum):
-    """What a link does to what passes it."""
+class LinkFault(enum.StrEnum):
+    """What a link does to the data and connections that it forwards."""
 
     NONE = "none"
-    """Everything passes."""
+    """Everything is forwarded."""
 
     DELAY = "delay"
-    """Each piece is held up a little."""
+    """Each chunk is delayed a little."""
 
     RESET = "reset"
-    """Connections are reset, open ones and new ones."""
+    """Connections are reset, both open and new ones."""
 
     MUTE_BACK = "mute-back"
-    """What comes back is held for as long as this lasts, then passes."""
+    """Data towards the connecting side is held until the fault ends."""
 
     MUTE_FORTH = "mute-forth"
-    """What goes forth is held for as long as this lasts, then passes."""
+    """Data from the connecting side is held until the fault ends."""
 
     SILENCE = "silence"
-    """Connections that are open now pass nothing any more; new ones are sound."""
+    """Connections that are open now forward nothing any more; new ones are sound."""
 
     TRUNCATE = "truncate"
-    """Half of a piece comes back, then the connection ends."""
+    """Half of a chunk is sent back, then the connection closes."""
 
     REPEAT = "repeat"
-    """Each piece comes back twice, as a second answer would."""
+    """Each chunk is sent back twice, which looks like a second answer."""
 
 
 class Link:
-    """Passes connections from one port to another.
+    """Forwards connections from a port of its own to another port.
 
     Parameters
     ----------
     port : int
-        Where connections go.
+        Port to which connections are forwarded.
 
     Attributes
     ----------
-    first_back : bytes
-        What comes back at once for each request but the first on a connection.
+    port : int
+        Port on which the link accepts connections, once it serves.
+    fault : LinkFault
+        The fault in force.
+    stale_answer : bytes
+        Sent back at once for each request on a connection but the first.
     """
 
     def __init__(self, port: int) -> None:
-        self._to = port
+        self._destination_port = port
         self.port = 0
-        self.trouble = Trouble.NONE
-        self.first_back = b""
-        self._listening = anyio.CancelScope()
-        self._open: set[anyio.abc.SocketStream] = set()
-        self._silenced: set[anyio.abc.SocketStream] = set()
+        self.fault = LinkFault.NONE
+        self.stale_answer = b""
+        self._listening_scope = anyio.CancelScope()
+        self._open_connections: set[anyio.abc.SocketStream] = set()
+        self._silenced_connections: set[anyio.abc.SocketStream] = set()
 
     async def serve(
         self, *, task_status: anyio.abc.TaskStatus[int] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Accept connections until cancelled; started with the port in use."""
+        """Accept connections until cancelled; `started` receives the port in use."""
         listener = await anyio.create_tcp_listener(local_host=HOST, local_port=0)
         async with listener:
             self.port = listener.extra(anyio.abc.SocketAttribute.local_port)
             task_status.started(self.port)
             async with anyio.create_task_group() as group:
-                with self._listening:
-                    await listener.serve(self._pass, group)
-                # A process that ends stops listening before its connections close.
+                with self._listening_scope:
+                    await listener.serve(self._forward_connection, group)
+                # Like a process that ends, stop listening before the connections close.
                 await listener.aclose()
                 group.cancel_scope.cancel()
 
-    async def begin(self, trouble: Trouble) -> None:
-        """Let a trouble begin."""
-        if trouble is Trouble.SILENCE:
-            self._silenced |= self._open
+    async def start_fault(self, fault: LinkFault) -> None:
+        """Start a fault, which lasts until `clear_fault`."""
+        if fault is LinkFault.SILENCE:
+            self._silenced_connections |= self._open_connections
             return
-        self.trouble = trouble
-        if trouble is Trouble.RESET:
-            for stream in list(self._open):
-                await _reset(stream)
+        self.fault = fault
+        if fault is LinkFault.RESET:
+            for stream in list(self._open_connections):
+                await _reset_connection(stream)
 
-    async def suffer(self, trouble: Trouble, seconds: float) -> None:
-        """Be in trouble for some seconds."""
-        await self.begin(trouble)
-        await anyio.sleep(seconds)
-        self.end()
+    async def apply_fault(self, fault: LinkFault, duration_s: float) -> None:
+        """Start a fault, and clear it after a duration in seconds."""
+        await self.start_fault(fault)
+        await anyio.sleep(duration_s)
+        self.clear_fault()
 
     def crash(self) -> None:
-        """Close all connections and take no more, as a process that ends does."""
-        self._listening.cancel()
+        """Close all connections and accept no more, as a process that ends does."""
+        self._listening_scope.cancel()
 
-    def end(self) -> None:
-        """Let everything pass again; silenced connections stay silent."""
-        self.trouble = Trouble.NONE
+    def clear_fault(self) -> None:
+        """Forward everything again, except on silenced connections."""
+        self.fault = LinkFault.NONE
 
-    async def _pass(self, near: anyio.abc.SocketStream) -> None:
-        if self.trouble is Trouble.RESET:
-            await _reset(near)
+    async def _forward_connection(self, inbound: anyio.abc.SocketStream) -> None:
+        if self.fault is LinkFault.RESET:
+            await _reset_connection(inbound)
             return
         try:
-            far = await anyio.connect_tcp(HOST, self._to)
+            outbound = await anyio.connect_tcp(HOST, self._destination_port)
         except OSError:
-            await _reset(near)
+            await _reset_connection(inbound)
             return
-        self._open.add(near)
+        self._open_connections.add(inbound)
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._pump, near, far, near, True, group)
-                group.start_soon(self._pump, far, near, near, False, group)
+                group.start_soon(
+                    self._forward_data, inbound, outbound, inbound, True, group
+                )
+                group.start_soon(
+                    self._forward_data, outbound, inbound, inbound, False, group
+                )
         finally:
-            self._open.discard(near)
-            self._silenced.discard(near)
+            self._open_connections.discard(inbound)
+            self._silenced_connections.discard(inbound)
             with anyio.CancelScope(shield=True):
-                await anyio.aclose_forcefully(near)
-                await anyio.aclose_forcefully(far)
+                await anyio.aclose_forcefully(inbound)
+                await anyio.aclose_forcefully(outbound)
 
-    async def _pump(
+    async def _forward_data(
         self,
         source: anyio.abc.SocketStream,
         sink: anyio.abc.SocketStream,
-        near: anyio.abc.SocketStream,
-        is_forth: bool,
+        inbound: anyio.abc.SocketStream,
+        is_forward: bool,
         group: anyio.abc.TaskGroup,
     ) -> None:
-        is_kept = False
+        is_reused = False
         try:
             while True:
                 data = await source.receive(READ_BYTES)
-                if is_forth and is_kept and data.startswith(REQUEST_BEGINS):
-                    await self._send_first_back(near)
-                is_kept = True
-                await self._hold(near, is_forth)
-                await self._send(sink, data, is_forth)
-                if self.trouble is Trouble.TRUNCATE and not is_forth:
+                if is_forward and is_reused and data.startswith(REQUEST_START):
+                    await self._send_stale_answer(inbound)
+                is_reused = True
+                await self._wait_while_held(inbound, is_forward)
+                await self._send_data(sink, data, is_forward)
+                if self.fault is LinkFault.TRUNCATE and not is_forward:
                     break
         except (
             anyio.EndOfStream,
             anyio.BrokenResourceError,
             anyio.ClosedResourceError,
         ):
-            pass  # One end is gone; the other is told so below.
+            pass  # One side has closed; the cancellation below closes the other one.
         group.cancel_scope.cancel()
 
-    async def _send_first_back(self, near: anyio.abc.SocketStream) -> None:
-        if self.first_back:
-            await near.send(self.first_back)
-
-    async def _hold(self, near: anyio.abc.SocketStream, is_forth: bool) -> None:
-        if self.trouble is Trouble.DELAY:
-            await anyio.sleep(DELAY)
-        muted = Trouble.MUTE_FORTH if is_forth else Trouble.MUTE_BACK
-        while self.trouble is muted or near in self._silenced:
-            await anyio.sleep(HOLD_CHECK)
+    async def _send_stale_answer(self, inbound: anyio.abc.SocketStream) -> None:
+        if self.stale_answer:
+            await inbound.send(self.stale_answer)
 
-    async def _send(
-        self, sink: anyio.abc.SocketStream, data: bytes, is_forth: bool
+    async def _wait_while_held(
+        self, inbound: anyio.abc.SocketStream, is_forward: bool
+    ) -> None:
+        if self.fault is LinkFault.DELAY:
+            await anyio.sleep(DELAY_S)
+        muting_fault = LinkFault.MUTE_FORTH if is_forward else LinkFault.MUTE_BACK
+        while self.fault is muting_fault or inbound in self._silenced_connections:
+            await anyio.sleep(HOLD_CHECK_INTERVAL_S)
+
+    async def _send_data(
+        self, sink: anyio.abc.SocketStream, data: bytes, is_forward: bool
     ) -> None:
-        if self.trouble is Trouble.TRUNCATE and not is_forth:
+        if self.fault is LinkFault.TRUNCATE and not is_forward:
             data = data[: len(data) // 2]
         await sink.send(data)
-        if self.trouble is Trouble.REPEAT and not is_forth:
+        if self.fault is LinkFault.REPEAT and not is_forward:
             await sink.send(data)
 
 
-async def _reset(stream: anyio.abc.SocketStream) -> None:
-    raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
-    raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+async def _reset_connection(stream: anyio.abc.SocketStream) -> None:
+    tcp_socket = stream.extra(anyio.abc.SocketAttribute.raw_socket)
+    tcp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     await anyio.aclose_forcefully(stream)
--- a/soak/operators.py
+++ b/soak/operators.py
@@ -1,4 +1,4 @@
-"""What is written to the store of a soak beside what its targets say."""
+"""What operators write to the store of a soak."""
 
 from __future__ import annotations
 
@@ -11,37 +11,42 @@
 from . import callers, ledger, links, promises, shared_store, targets
 
 OBJECTIVE_MS = 600
+"""Latency objective of all routes, in milliseconds."""
 
 
-def publish(store: shared_store.SharedStore, book: ledger.Ledger) -> None:
-    """Publish the next version, which leads a route to the other service."""
-    version = len(book.published) + 1
-    moving = ("desk", "register")[version % 2]
+def publish_configuration(
+    store: shared_store.SharedStore, entries: ledger.Ledger
+) -> None:
+    """Publish the next version, which sends ``/moving/`` to the other service."""
+    version = len(entries.published_versions) + 1
+    moving_service = ("desk", "register")[version % 2]
     routes = [
         _make_route("/safe/", "safe", "desk"),
         _make_route("/once/", "unsafe", "desk"),
         _make_route("/other/", "unsafe", "register"),
-        _make_route("/moving/", "unsafe", moving),
+        _make_route("/moving/", "unsafe", moving_service),
     ]
     value = encoding.encode_configuration(version, routes)
     store.put(words.CONFIGURATION_TOPIC, words.CONFIGURATION_KEY, value)
-    book.published.append(ledger.Published(version, moving, anyio.current_time()))
+    entries.published_versions.append(
+        ledger.PublishedVersion(version, moving_service, anyio.current_time())
+    )
 
 
-async def announce_absent(
-    store: shared_store.SharedStore, name: str, service: str, seconds: float
+async def register_absent_target(
+    store: shared_store.SharedStore, name: str, service: str, duration_s: float
 ) -> None:
-    """Register a target for a while at an address that refuses connections."""
-    with socket.socket() as held:
-        held.bind((links.HOST, 0))
-        address = f"{links.HOST}:{held.getsockname()[1]}"
+    """Register a target for some seconds at an address that refuses connections."""
+    with socket.socket() as bound_socket:
+        bound_socket.bind((links.HOST, 0))
+        address = f"{links.HOST}:{bound_socket.getsockname()[1]}"
         value = encoding.encode_entry(service, address, targets.SLOTS, "ready")
         store.put(words.TARGETS_TOPIC, name, value)
-        await anyio.sleep(seconds)
+        await anyio.sleep(duration_s)
         store.put(words.TARGETS_TOPIC, name, b"")
 
 
 def _make_route(prefix: str, kind: str, service: str) -> list[object]:
-    limit = int(promises.TIME_LIMIT * words.MS_PER_S)
-    host = callers.HOST.decode()
-    return [prefix, host, prefix, kind, limit, OBJECTIVE_MS, 1, service, 2]
+    time_limit_ms = int(promises.TIME_LIMIT_S * words.MS_PER_S)
+    host = callers.SERVICE_HOST.decode()
+    return [prefix, host, prefix, kind, time_limit_ms, OBJECTIVE_MS, 1, service, 2]
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -8,192 +8,220 @@
 
 from . import links
 
-FAULT_TIME = 9.0
-"""Seconds in which faults begin."""
+FAULT_PHASE_S = 9.0
+"""Seconds in which actions begin."""
 
-CALM_TIME = 6.0
-"""Seconds of load after the last fault."""
+CALM_PHASE_S = 6.0
+"""Seconds for which callers go on sending after the last action."""
 
-MOST_FOR = 3.0
-"""Longest fault, in seconds. A stop or restart takes as long as it takes."""
+MAX_FAULT_S = 3.0
+"""Longest duration of a fault, in seconds. Stops and restarts are not cut short."""
 
 FAULTS_PER_SECOND = 1.5
-"""Faults that begin a second: with their length some three overlap."""
+"""Mean number of actions that begin in a second. At their mean duration, about three
+overlap."""
 
 
 class Kind(enum.StrEnum):
-    """Which faults a plan is drawn from."""
+    """Kind of plan, which determines the faults that are drawn."""
 
     MIXED = "mixed"
-    """All sorts."""
+    """Faults of VMs, links, targets and the store."""
 
     ROLLING = "rolling"
-    """Restarts in series, and targets of which the second fails too."""
+    """Rolling restarts, and requests of which the second target fails as well."""
 
     SERIES = "series"
-    """All sorts and stops in series; callers send ahead of the answers."""
+    """Mixed faults and rolling restarts, while callers send requests in series."""
 
     DRILLS = "drills"
-    """All sorts; the store returns from an older copy."""
+    """Mixed faults, and a store that is restored from an older snapshot."""
 
     LIMITS = "limits"
-    """All sorts; targets name how many requests a second they take."""
+    """Mixed faults, and targets that name a rate limit."""
 
     RETRIES = "retries"
-    """All sorts; whole services turn work away, and VMs are killed meanwhile."""
+    """Mixed faults, and services that refuse all requests while VMs are killed."""
 
     CRASHES = "crashes"
-    """All sorts; requests that crash whatever runs them, and targets that crash."""
+    """Mixed faults, targets that crash, and requests that crash targets."""
 
 
-class Act(enum.StrEnum):
+class Action(enum.StrEnum):
     """What a step does."""
 
     KILL = "kill"
-    """SIGKILL to a VM, which starts again."""
+    """Sends SIGKILL to a VM, which starts again."""
 
     STOP = "stop"
-    """SIGTERM to a VM, which starts again once it has ended."""
+    """Sends SIGTERM to a VM, which starts again once it has ended."""
 
     PAUSE = "pause"
-    """SIGSTOP to a VM, SIGCONT later."""
+    """Sends SIGSTOP to a VM, and SIGCONT later."""
 
     RELOAD = "reload"
-    """SIGHUP to a VM."""
+    """Sends SIGHUP to a VM."""
 
     STORE = "store"
-    """The store misbehaves for all."""
+    """Injects a fault into the store, for all VMs."""
 
     FORGET = "forget"
-    """The store drops its history."""
+    """Drops the history of the store."""
 
     STORE_LINK = "store-link"
-    """The link of one VM to the store."""
+    """Injects a fault into the link between one VM and the store."""
 
     TARGET = "target"
-    """A target misbehaves."""
+    """Injects a fault into a target."""
 
     TARGET_LINK = "target-link"
-    """The link of all VMs to a target."""
+    """Injects a fault into the link between all VMs and a target."""
 
     REPLACE = "replace"
-    """A target drains and leaves; a new one takes its place."""
+    """Drains and removes a target after a new one has taken its place."""
 
     PUBLISH = "publish"
-    """A new version leads a route to the other service."""
+    """Publishes a configuration that sends one route to the other service."""
 
     ROLL = "roll"
-    """SIGTERM to most VMs, one soon after the other."""
+    """Sends SIGTERM to all VMs but one, at short intervals."""
 
     ABSENT = "absent"
-    """A target is registered, and nobody listens at its address."""
+    """Registers a target at an address where nothing listens."""
 
     DRILL = "drill"
-    """The store is away for a moment and returns from a copy some seconds old."""
+    """Takes the store down for a moment, and restores an older snapshot."""
 
     LIMIT = "limit"
-    """A target in need names a limit, for longer than other faults last."""
+    """Lets a target name a rate limit, for longer than other faults last."""
 
     CRASH = "crash"
-    """A target crashes by itself; another one takes its place later."""
+    """Crashes a target; another one takes its place later."""
 
     CRASHING = "crashing"
-    """A request that crashes its targets is sent again and again to any VM."""
+    """Sends a request that crashes targets again and again, to any VM."""
 
     SHED = "shed"
-    """All targets of a service turn away what they get."""
+    """Lets all targets of a service refuse all requests."""
 
     CORNER = "corner"
-    """A target takes long at times while the others of its service misbehave."""
-
-
-MIXED = {
-    Act.KILL: 2,
-    Act.STOP: 3,
-    Act.PAUSE: 2,
-    Act.RELOAD: 1,
-    Act.STORE: 2,
-    Act.FORGET: 1,
-    Act.STORE_LINK: 2,
-    Act.TARGET: 4,
-    Act.TARGET_LINK: 4,
-    Act.REPLACE: 3,
-    Act.PUBLISH: 3,
+    """Lets one target be slow at times while all others of its service fail."""
+
+
+MIXED_WEIGHTS = {
+    Action.KILL: 2,
+    Action.STOP: 3,
+    Action.PAUSE: 2,
+    Action.RELOAD: 1,
+    Action.STORE: 2,
+    Action.FORGET: 1,
+    Action.STORE_LINK: 2,
+    Action.TARGET: 4,
+    Action.TARGET_LINK: 4,
+    Action.REPLACE: 3,
+    Action.PUBLISH: 3,
 }
 
-ROLLING = {
-    Act.ROLL: 3,
-    Act.STOP: 1,
-    Act.RELOAD: 1,
-    Act.TARGET: 6,
-    Act.CORNER: 6,
-    Act.ABSENT: 4,
-    Act.REPLACE: 1,
-    Act.PUBLISH: 1,
+ROLLING_WEIGHTS = {
+    Action.ROLL: 3,
+    Action.STOP: 1,
+    Action.RELOAD: 1,
+    Action.TARGET: 6,
+    Action.CORNER: 6,
+    Action.ABSENT: 4,
+    Action.REPLACE: 1,
+    Action.PUBLISH: 1,
 }
-"""No VM is killed or paused and no link is in trouble: those excuse an answer lost."""
-
-WEIGHTS = {
-    Kind.MIXED: MIXED,
-    Kind.ROLLING: ROLLING,
-    Kind.SERIES: {**MIXED, Act.ROLL: 2},
-    Kind.DRILLS: {**MIXED, Act.DRILL: 4, Act.REPLACE: 6, Act.ROLL: 1},
-    Kind.LIMITS: {**MIXED, Act.LIMIT: 8, Act.ROLL: 1},
-    Kind.RETRIES: {**MIXED, Act.SHED: 8, Act.KILL: 5, Act.PAUSE: 4, Act.ROLL: 1},
-    Kind.CRASHES: {**MIXED, Act.CRASH: 8, Act.CRASHING: 2},
+"""Without killed or paused VMs and link faults, since these excuse a lost answer."""
+
+WEIGHTS_BY_KIND = {
+    Kind.MIXED: MIXED_WEIGHTS,
+    Kind.ROLLING: ROLLING_WEIGHTS,
+    Kind.SERIES: {**MIXED_WEIGHTS, Action.ROLL: 2},
+    Kind.DRILLS: {**MIXED_WEIGHTS, Action.DRILL: 4, Action.REPLACE: 6, Action.ROLL: 1},
+    Kind.LIMITS: {**MIXED_WEIGHTS, Action.LIMIT: 8, Action.ROLL: 1},
+    Kind.RETRIES: {
+        **MIXED_WEIGHTS,
+        Action.SHED: 8,
+        Action.KILL: 5,
+        Action.PAUSE: 4,
+        Action.ROLL: 1,
+    },
+    Kind.CRASHES: {**MIXED_WEIGHTS, Action.CRASH: 8, Action.CRASHING: 2},
 }
 
-ROLLING_FAULTS = ("slow", "uneven", "hang", "shed", "unsigned", "foreign", "error")
-"""Variants of a target's fault in a rolling plan."""
-
-CORNER_FAULTS = ("shed", "unsigned", "foreign", "error", "bare")
-"""How the other targets fail whatever one that takes long is given up for."""
-
-HOWS: dict[Act, tuple[str, ...]] = {
-    Act.STORE: ("busy", "silent", "reset", "lost"),
-    Act.STORE_LINK: ("delay", "reset", "mute-back", "mute-forth", "silence"),
-    Act.TARGET: ("error", "hang", "shed", "bare", "slow", "unsigned"),
-    Act.TARGET_LINK: tuple(
-        trouble.value for trouble in links.Trouble if trouble.value != "none"
+ROLLING_TARGET_FAULTS = (
+    "slow",
+    "uneven",
+    "hang",
+    "shed",
+    "unsigned",
+    "foreign",
+    "error",
+)
+"""Variants of `Action.TARGET` in a rolling plan."""
+
+CORNER_TARGET_FAULTS = ("shed", "unsigned", "foreign", "error", "bare")
+"""Variants of `Action.CORNER`: how the targets fail to which the proxy turns when it
+gives up the slow one."""
+
+VARIANTS: dict[Action, tuple[str, ...]] = {
+    Action.STORE: ("busy", "silent", "reset", "lost"),
+    Action.STORE_LINK: ("delay", "reset", "mute-back", "mute-forth", "silence"),
+    Action.TARGET: ("error", "hang", "shed", "bare", "slow", "unsigned"),
+    Action.TARGET_LINK: tuple(
+        fault.value for fault in links.LinkFault if fault.value != "none"
     ),
 }
-"""Variants of an act; the others have none."""
+"""Variants of actions, from which one is drawn; the other actions have none."""
 
-ROLLING_HOWS = {**HOWS, Act.TARGET: ROLLING_FAULTS, Act.CORNER: CORNER_FAULTS}
-"""The same in a rolling plan."""
+ROLLING_VARIANTS = {
+    **VARIANTS,
+    Action.TARGET: ROLLING_TARGET_FAULTS,
+    Action.CORNER: CORNER_TARGET_FAULTS,
+}
+"""Variants of actions in a rolling plan."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """One fault."""
+    """An action of a plan and its time."""
 
-    at: float
-    """Seconds from the start of the load."""
+    start_s: float
+    """Seconds from the first request of the callers."""
 
-    act: Act
-    """What is done."""
+    action: Action
+    """The action."""
 
-    which: int
-    """Number of the VM or target, taken modulo how many there are."""
+    index: int
+    """Selects the VM or target: its index, modulo the number of VMs or targets."""
 
-    for_s: float
-    """How long it lasts, where it lasts."""
+    duration_s: float
+    """Duration of the fault in seconds; ignored by actions without one."""
 
-    how: str = ""
-    """Its variant."""
+    variant: str = ""
+    """Variant of the action; empty if it has none."""
 
 
-def draw(seed: int, kind: Kind = Kind.MIXED) -> tuple[Step, ...]:
-    """Return the faults of a seed, in the order in which they begin."""
+def draw_steps(seed: int, kind: Kind = Kind.MIXED) -> tuple[Step, ...]:
+    """Return the steps drawn from a seed, in ascending order of their start."""
     rng = random.Random(seed)
-    weights = WEIGHTS[kind]
-    hows = ROLLING_HOWS if kind is Kind.ROLLING else HOWS
-    acts = list(weights)
+    weights = WEIGHTS_BY_KIND[kind]
+    variants = ROLLING_VARIANTS if kind is Kind.ROLLING else VARIANTS
+    actions = list(weights)
     steps: list[Step] = []
-    at = rng.uniform(0.2, 0.8)
-    while at < FAULT_TIME:
-        [act] = rng.choices(acts, [weights[one] for one in acts])
-        how = rng.choice(hows.get(act, ("",)))
-        steps.append(Step(at, act, rng.randrange(100), rng.uniform(0.3, MOST_FOR), how))
-        at += rng.expovariate(FAULTS_PER_SECOND)
+    start_s = rng.uniform(0.2, 0.8)
+    while start_s < FAULT_PHASE_S:
+        [action] = rng.choices(actions, [weights[candidate] for candidate in actions])
+        variant = rng.choice(variants.get(action, ("",)))
+        steps.append(
+            Step(
+                start_s,
+                action,
+                rng.randrange(100),
+                rng.uniform(0.3, MAX_FAULT_S),
+                variant,
+            )
+        )
+        start_s += rng.expovariate(FAULTS_PER_SECOND)
     return tuple(steps)
--- a/soak/plants.py
+++ b/soak/plants.py
@@ -1,7 +1,8 @@
 """Planted bugs that the soak must catch: ``python -m soak.plants``.
 
-A soak that cannot fail proves nothing. Each plant breaks one safeguard in a scratch
-copy of the sources, and seeds are played against that copy until a promise breaks.
+They show that the soak is able to fail. Each plant removes one safeguard from a
+temporary copy of the sources, and seeds are played against the copy until they break
+the promise that the plant names.
 """
 
 from __future__ import annotations
@@ -15,46 +16,48 @@
 
 from . import plan, run, vms
 
-CORE = "packages/zinniastand-core/src/zinniastand_core"
-EDGE = "packages/zinniastand-proxy/src/zinniastand_proxy/edge"
-SUSPECT = f"{CORE}/quarantine/suspect.py"
-LIMIT = "CRASHES_TO_QUARANTINE"
-MOST_SEEDS = 20
+CORE_PATH = "packages/zinniastand-core/src/zinniastand_core"
+EDGE_PATH = "packages/zinniastand-proxy/src/zinniastand_proxy/edge"
+SUSPECT_PATH = f"{CORE_PATH}/quarantine/suspect.py"
+CRASH_LIMIT = "CRASHES_TO_QUARANTINE"
+MAX_SEEDS = 20
 """Seeds after which a plant counts as not caught."""
 
 JOBS = 4
+"""Number of seeds that are played at the same time."""
+
 FIRST_SEED = 101
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Change:
-    """One replacement in a source file."""
+class Replacement:
+    """A replacement in a source file."""
 
     path: str
-    """File, from the root of the checkout."""
+    """Path of the file from the root of the checkout."""
 
     old: str
-    """Text that stands there once."""
+    """Text to replace, which occurs once in the file."""
 
     new: str
-    """Text that takes its place."""
+    """Text that replaces it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plant:
-    """One bug."""
+    """A planted bug."""
 
     name: str
-    """What is broken."""
+    """Description of the bug, which is printed."""
 
     promise: str
-    """The promise that must break."""
+    """Name of the promise that the bug must break."""
 
-    changes: tuple[Change, ...]
-    """How it is planted."""
+    replacements: tuple[Replacement, ...]
+    """Replacements that plant the bug."""
 
     kind: plan.Kind = plan.Kind.MIXED
-    """Which faults show it."""
+    """Kind of the plans that reveal the bug."""
 
 
 PLANTS = (
@@ -62,8 +65,8 @@
         "work that may run only once is sent again",
         "once",
         (
-            Change(
-                f"{CORE}/forwarding/plan.py",
+            Replacement(
+                f"{CORE_PATH}/forwarding/plan.py",
                 "return self.is_idempotent or not self.may_have_run",
                 "return True",
             ),
@@ -73,8 +76,8 @@
         "an older configuration stays in force",
         "version",
         (
-            Change(
-                f"{CORE}/deployment/configuration.py",
+            Replacement(
+                f"{CORE_PATH}/deployment/configuration.py",
                 "if candidate.version <= self.version:",
                 "if self.version and candidate.version % 3 == 0:",
             ),
@@ -84,8 +87,8 @@
         "a stop does not wait for requests that were read",
         "cut",
         (
-            Change(
-                f"{EDGE}/stopping.py",
+            Replacement(
+                f"{EDGE_PATH}/stopping.py",
                 "while served.has_unfinished_work() and anyio.current_time() < end:",
                 "while False:",
             ),
@@ -96,8 +99,8 @@
         "work is broken off long before its time limit",
         "given-up",
         (
-            Change(
-                f"{EDGE}/request_run.py",
+            Replacement(
+                f"{EDGE_PATH}/request_run.py",
                 "limit = incoming.first_byte_at + min(",
                 "limit = incoming.first_byte_at + 0.3 * min(",
             ),
@@ -107,13 +110,13 @@
         "a draining target gets new work",
         "draining",
         (
-            Change(
-                f"{CORE}/deployment/targets.py",
+            Replacement(
+                f"{CORE_PATH}/deployment/targets.py",
                 "return entry if entry and entry.phase is Phase.READY else None",
                 "return entry",
             ),
-            Change(
-                f"{CORE}/deployment/targets.py",
+            Replacement(
+                f"{CORE_PATH}/deployment/targets.py",
                 "if entry.service == service and entry.phase is Phase.READY",
                 "if entry.service == service",
             ),
@@ -123,8 +126,8 @@
         "places in the store are compared by offsets alone",
         "draining",
         (
-            Change(
-                f"{CORE}/deployment/positions.py",
+            Replacement(
+                f"{CORE_PATH}/deployment/positions.py",
                 "return era * OFFSETS_PER_ERA + offset",
                 "return offset",
             ),
@@ -135,8 +138,8 @@
         "a copy of the store brings leaving targets back",
         "draining",
         (
-            Change(
-                f"{CORE}/deployment/targets.py",
+            Replacement(
+                f"{CORE_PATH}/deployment/targets.py",
                 "return entry.sequence <= known.sequence and not is_repeat",
                 "return False",
             ),
@@ -147,8 +150,8 @@
         "a limit that a target names is not kept",
         "limit",
         (
-            Change(
-                f"{CORE}/dispatch/rate_limit.py",
+            Replacement(
+                f"{CORE_PATH}/dispatch/rate_limit.py",
                 "return now >= self._due_at - BURST_S",
                 "return True",
             ),
@@ -159,8 +162,8 @@
         "a retry is not counted",
         "retries",
         (
-            Change(
-                f"{CORE}/dispatch/retry_window.py",
+            Replacement(
+                f"{CORE_PATH}/dispatch/retry_window.py",
                 "self._retries[-1] += 1",
                 "self._retries[-1] += 0",
             ),
@@ -170,15 +173,17 @@
     Plant(
         "a request that crashes its targets goes on to many",
         "crashing",
-        (Change(SUSPECT, f"{LIMIT} = 3", f"{LIMIT} = 30"),),
+        (Replacement(SUSPECT_PATH, f"{CRASH_LIMIT} = 3", f"{CRASH_LIMIT} = 30"),),
         plan.Kind.CRASHES,
     ),
     Plant(
         "a request is kept from targets after one crash, answered or not",
         "denied",
         (
-            Change(SUSPECT, f"{LIMIT} = 3", f"{LIMIT} = 1"),
-            Change(f"{EDGE}/request_run.py", "elif attempt.is_success:", "elif False:"),
+            Replacement(SUSPECT_PATH, f"{CRASH_LIMIT} = 3", f"{CRASH_LIMIT} = 1"),
+            Replacement(
+                f"{EDGE_PATH}/request_run.py", "elif attempt.is_success:", "elif False:"
+            ),
         ),
         plan.Kind.CRASHES,
     ),
@@ -186,50 +191,67 @@
 
 
 def copy_sources(plant: Plant, folder: pathlib.Path) -> pathlib.Path:
-    """Copy the sources with the bug in them; return the script to start."""
+    """Copy the sources to a folder and plant a bug in them.
+
+    Returns the script of the copy that starts a daemon.
+
+    Raises
+    ------
+    ValueError
+        If a text to replace does not occur exactly once in its file.
+    """
     program = vms.find_default_program()
     root = program.parent.parent
     ignored = shutil.ignore_patterns("__pycache__", "*.egg-info")
     for part in ("packages", "platform"):
         shutil.copytree(root / part, folder / part, ignore=ignored)
-    for change in plant.changes:
-        path = folder / change.path
+    for replacement in plant.replacements:
+        path = folder / replacement.path
         text = path.read_text()
-        if text.count(change.old) != 1:
-            raise ValueError(f"{change.path}: {change.old!r} does not stand there once")
-        path.write_text(text.replace(change.old, change.new))
+        if text.count(replacement.old) != 1:
+            raise ValueError(
+                f"{replacement.path}: {replacement.old!r} does not occur exactly once"
+            )
+        path.write_text(text.replace(replacement.old, replacement.new))
     return folder / "platform" / "launch.py"
 
 
-def catch(plant: Plant, folder: pathlib.Path) -> int:
-    """Return after how many seeds the plant was caught, or 0."""
+def count_seeds_to_catch(plant: Plant, folder: pathlib.Path) -> int:
+    """Return the number of seeds until the plant was caught, 0 if it was not."""
     program = copy_sources(plant, folder / "sources")
-    shape = run.Shape(plant.kind)
-    seeds = list(range(FIRST_SEED, FIRST_SEED + MOST_SEEDS))
+    scenario = run.Scenario(plant.kind)
+    seeds = list(range(FIRST_SEED, FIRST_SEED + MAX_SEEDS))
     with concurrent.futures.ProcessPoolExecutor(JOBS) as pool:
-        for begin in range(0, MOST_SEEDS, JOBS):
-            some = seeds[begin : begin + JOBS]
+        for batch_start in range(0, MAX_SEEDS, JOBS):
+            batch = seeds[batch_start : batch_start + JOBS]
             futures = [
-                pool.submit(run.play, seed, folder / str(seed), program, shape)
-                for seed in some
+                pool.submit(run.play_seed, seed, folder / str(seed), program, scenario)
+                for seed in batch
             ]
-            for number, future in enumerate(futures):
+            for index, future in enumerate(futures):
                 breaches = future.result().breaches
-                if any(one.promise == plant.promise for one in breaches):
-                    return begin + number + 1
+                if any(breach.promise == plant.promise for breach in breaches):
+                    return batch_start + index + 1
     return 0
 
 
 def main() -> int:
-    """Print after how many seeds each plant is caught; 1 if one is not."""
-    missed = 0
+    """Print by which seed each plant was caught; return the exit code.
+
+    The code is 1 if a plant was not caught, else 0.
+    """
+    missed_count = 0
     for plant in PLANTS:
         with tempfile.TemporaryDirectory(prefix="plant-") as folder:
-            seeds = catch(plant, pathlib.Path(folder))
-        told = f"caught by seed {seeds} of {MOST_SEEDS}" if seeds else "NOT CAUGHT"
-        print(f"{plant.name}: {told}", flush=True)
-        missed += not seeds
-    return 1 if missed else 0
+            seed_count = count_seeds_to_catch(plant, pathlib.Path(folder))
+        verdict = (
+            f"caught by seed {seed_count} of {MAX_SEEDS}"
+            if seed_count
+            else "NOT CAUGHT"
+        )
+        print(f"{plant.name}: {verdict}", flush=True)
+        missed_count += not seed_count
+    return 1 if missed_count else 0
 
 
 if __name__ == "__main__":
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -1,4 +1,4 @@
-"""Judges a soak: what must hold whatever fails, from what callers and targets saw."""
+"""Finds broken promises in the events of a soak: what must hold whatever fails."""
 
 from __future__ import annotations
 
@@ -11,79 +11,89 @@
 
 from . import ledger
 
-NOT_RUN = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that promise that a request has not run."""
 
-DRAIN_BOUND = 2.0
-"""Seconds after which a target that is leaving gets nothing new."""
+DRAIN_BOUND_S = 2.0
+"""Seconds after which a draining target gets no new requests."""
 
-CONFIGURATION_BOUND = 2.0
-"""Seconds within which a version is in force."""
+CONFIGURATION_BOUND_S = 2.0
+"""Seconds within which a published version is in force."""
 
-TIME_BOUND = 0.5
-"""Seconds by which an answer may pass the time limit of its route."""
+TIME_LIMIT_MARGIN_S = 0.5
+"""Seconds by which an answer may exceed the time limit of its route."""
 
-CALM_BEFORE = 3.0
-"""Seconds without a fault that promises with a time bound ask for."""
+CALM_BEFORE_S = 3.0
+"""Seconds without a fault before a time bound is checked."""
 
-SLACK = 0.3
-"""Seconds for a busy machine on which all processes share eight cores."""
+MARGIN_S = 0.3
+"""Seconds added to time bounds, since all processes share a machine of eight cores."""
 
-PLANNED = frozenset({"stop", "reload", "store-link"})
-"""Faults of a VM that excuse no lost answer."""
+PLANNED_FAULTS = frozenset({"stop", "reload", "store-link"})
+"""Faults of a VM that are no excuse for a lost answer."""
 
 LINK_FAULT = "target-link"
-"""Fault that may end work without anybody having given it up."""
+"""Fault that may interrupt a run although the proxy has not given it up."""
 
-TIME_LIMIT = 1.5
+TIME_LIMIT_S = 1.5
 """Time limit of all routes of the soak, in seconds."""
 
-LIMIT_WINDOW = 4.0
-"""Seconds over which requests at a target with a limit are counted."""
+RATE_LIMIT_WINDOW_S = 4.0
+"""Seconds over which arrivals at a target with a rate limit are counted."""
 
-LIMIT_SHARE = 1.5
-"""Times its limit that it may get in them."""
+RATE_LIMIT_FACTOR = 1.5
+"""Multiple of its rate limit that a target may get in a window."""
 
-LIMIT_SLACK = 5
-"""Requests that it may get beyond that."""
+RATE_LIMIT_MARGIN = 5
+"""Requests that a target may get in a window in addition."""
 
-RETRIES = retry_audit.Bound(ratio=0.2, slack=20.0, span=10.0)
-"""Retries that each service may get. A smaller slack than usual: the load is small."""
+RETRY_BOUND = retry_audit.Bound(ratio=0.2, slack=20.0, span=10.0)
+"""Bound of the retries of each service. The slack is smaller than the default, since
+the load of a soak is small."""
 
-LEADS_TO = {
+SERVICES_BY_PREFIX = {
     "/safe/": ("desk",),
     "/once/": ("desk",),
     "/other/": ("register",),
     "/moving/": ("desk", "register"),
 }
-"""Services that requests for a path may go to."""
+"""Services to which requests may go, by prefix of the path."""
 
-CRASHING = "/safe/crash/"
-"""Begin of the paths of requests that crash whatever runs them."""
+CRASHING_PREFIX = "/safe/crash/"
+"""Prefix of the paths of requests that crash every target that runs them."""
 
-CRASHES_TO_KNOW = 3
-"""Targets that one request may crash before it is kept from all others."""
+CRASHES_TO_QUARANTINE = 3
+"""Targets that a request may crash before it is quarantined."""
 
-MOST_AFTER_CRASHES = 3
-"""Times that it may run after that."""
+MAX_LATE_RUNS = 3
+"""Runs of a request that are allowed after its quarantine."""
 
-RECOVERED_SHARE = 0.9
-"""Share of requests that are served once all faults are over. The targets fail none."""
+MIN_RECOVERED_SHARE = 0.9
+"""Least share of requests that are served once all faults are over. Targets do not
+fail then."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Breach:
-    """A promise that did not hold."""
+    """A promise that was broken."""
 
     promise: str
     """Name of the promise."""
 
-    what: str
-    """What was seen."""
+    detail: str
+    """What was observed."""
 
 
-def judge(book: ledger.Ledger, calm_from: float) -> list[Breach]:
-    """Return all breaches; `calm_from` is when the last fault was over."""
+def find_breaches(entries: ledger.Ledger, calm_from: float) -> list[Breach]:
+    """Return all breaches.
+
+    Parameters
+    ----------
+    entries : ledger.Ledger
+        Events of the soak.
+    calm_from : float
+        Time at which the last fault was over.
+    """
     checks = (
         _check_once,
         _check_unasked,
@@ -100,256 +110,345 @@
         _check_retries,
         _check_denied,
     )
-    found = [breach for check in checks for breach in check(book)]
-    return [*found, *_check_recovery(book, calm_from)]
+    found = [breach for check in checks for breach in check(entries)]
+    return [*found, *_check_recovery(entries, calm_from)]
 
 
-def _check_once(book: ledger.Ledger) -> collections.abc.Iterator[Breach]:
-    unsafe = {one.request_id for one in book.sent if one.is_unsafe}
-    counts = collections.Counter(one.request_id for one in book.ran)
+def _check_once(entries: ledger.Ledger) -> collections.abc.Iterator[Breach]:
+    """Check that a request that may run only once runs at most once."""
+    unsafe_ids = {sent.request_id for sent in entries.sent_requests if sent.is_unsafe}
+    counts = collections.Counter(item.request_id for item in entries.runs)
     for request_id, count in counts.items():
-        if request_id in unsafe and count > 1:
+        if request_id in unsafe_ids and count > 1:
             yield Breach("once", f"{request_id} ran {count} times")
 
 
-def _check_unasked(book: ledger.Ledger) -> collections.abc.Iterator[Breach]:
-    sent = {one.request_id: one for one in book.sent}
-    for ran in book.ran:
-        asked = sent.get(ran.request_id)
-        if asked is None:
-            yield Breach("unasked", f"{ran.request_id} ran and nobody sent it")
-        elif (asked.path, asked.body) != (ran.path, ran.body):
-            yield Breach("unasked", f"{ran.request_id} was changed on its way")
-
-
-def _check_answers(book: ledger.Ledger) -> collections.abc.Iterator[Breach]:
-    ran: dict[str, list[ledger.Ran]] = collections.defaultdict(list)
-    for one in book.ran:
-        ran[one.request_id].append(one)
-    for seen in book.seen.values():
-        statuses = {one.status for one in ran[seen.request_id]}
-        if 200 <= seen.status < 300:
-            if not seen.is_signed or seen.body != make_answer(seen.request_id):
-                yield Breach("whole", f"{seen.request_id}: not its target's answer")
-            if seen.status not in statuses:
-                yield Breach("whole", f"{seen.request_id}: succeeded without running")
-        elif seen.is_signed and seen.status not in statuses:
-            yield Breach("whole", f"{seen.request_id}: {seen.status} not the target's")
-
-
-def _check_not_run(book: ledger.Ledger) -> collections.abc.Iterator[Breach]:
-    unsafe = {one.request_id for one in book.sent if one.is_unsafe}
-    ran = {one.request_id for one in book.ran}
-    for seen in book.seen.values():
-        is_promised = seen.status in NOT_RUN and seen.request_id in unsafe
-        if is_promised and seen.request_id in ran:
-            yield Breach("not-run", f"{seen.request_id}: {seen.status}, and it ran")
-
-
-def _check_draining(book: ledger.Ledger) -> collections.abc.Iterator[Breach]:
-    left = {one.target_id: one.at for one in book.drained}
-    vms = {one.request_id: one.vm for one in book.sent}
-    for ran in book.ran:
-        at, vm = left.get(ran.target_id), vms.get(ran.request_id)
-        if at is None or vm is None:
-            continue
-        late = ran.at - _find_reachable(book, vm, at, ran.at)
-        if late > DRAIN_BOUND + SLACK:
-            yield Breach("draining", f"{ran.target_id} got work {late:.1f} s too late")
+def _check_unasked(entries: ledger.Ledger) -> collections.abc.Iterator[Breach]:
+    """Check that targets run only what callers sent, unchanged."""
+    requests = {sent.request_id: sent for sent in entries.sent_requests}
+    for run in entries.runs:
+        request = requests.get(run.request_id)
+        if request is None:
+            yield Breach("unasked", f"{run.request_id} ran but no caller sent it")
+        elif (request.path, request.body) != (run.path, run.body):
+            yield Breach("unasked", f"{run.request_id} ran with another content")
+
+
+def _check_answers(entries: ledger.Ledger) -> collections.abc.Iterator[Breach]:
+    """Check that signed answers are complete answers of targets to their requests."""
+    runs_by_id: dict[str, list[ledger.Run]] = collections.defaultdict(list)
+    for item in entries.runs:
+        runs_by_id[item.request_id].append(item)
+    for outcome in entries.outcomes.values():
+        statuses = {item.status for item in runs_by_id[outcome.request_id]}
+        if 200 <= outcome.status < 300:
+            if not outcome.is_signed or outcome.body != make_answer(outcome.request_id):
+                yield Breach("whole", f"{outcome.request_id}: answer is not its own")
+            if outcome.status not in statuses:
+                yield Breach("whole", f"{outcome.request_id}: success but no run")
+        elif outcome.is_signed and outcome.status not in statuses:
+            yield Breach(
+                "whole", f"{outcome.request_id}: {outcome.status} of no target"
+            )
+
+
+def _check_not_run(entries: ledger.Ledger) -> collections.abc.Iterator[Breach]:
+    """Check that an unsafe request did not run if its answer promises so."""
+    unsafe_ids = {sent.request_id for sent in entries.sent_requests if sent.is_unsafe}
+    run_ids = {item.request_id for item in entries.runs}
+    for outcome in entries.outcomes.values():
+        is_promised = (
+            outcome.status in NOT_RUN_STATUSES and outcome.request_id in unsafe_ids
+        )
+        if is_promised and outcome.request_id in run_ids:
+            yield Breach(
+                "not-run", f"{outcome.request_id}: {outcome.status}, but it ran"
+            )
 
 
-def _check_versions(book: ledger.Ledger) -> collections.abc.Iterator[Breach]:
-    """Judge by the route that each version leads elsewhere."""
-    sent = {one.request_id: one for one in book.sent}
-    for ran in book.ran:
-        asked = sent.get(ran.request_id)
-        if asked is None or not asked.path.startswith("/moving/"):
+def _check_draining(entries: ledger.Ledger) -> collections.abc.Iterator[Breach]:
+    """Check that a draining target soon gets no new requests."""
+    drain_times = {drain.target_id: drain.stored_at for drain in entries.drain_starts}
+    vms_by_id = {sent.request_id: sent.vm for sent in entries.sent_requests}
+    for run in entries.runs:
+        stored_at, vm = drain_times.get(run.target_id), vms_by_id.get(run.request_id)
+        if stored_at is None or vm is None:
             continue
-        due = [
-            one
-            for one in book.published
-            if asked.at - _find_reachable(book, asked.vm, one.at, asked.at)
-            > CONFIGURATION_BOUND + SLACK
-        ]
-        allowed = {one.moving_service for one in book.published[len(due[:-1]) :]}
-        if due and ran.service not in allowed:
-            yield Breach("version", f"{ran.request_id} ran by an old version")
+        late_s = run.started_at - _find_learnable(
+            entries, vm, stored_at, run.started_at
+        )
+        if late_s > DRAIN_BOUND_S + MARGIN_S:
+            yield Breach(
+                "draining", f"{run.target_id} got a request {late_s:.1f} s too late"
+            )
+
 
+def _check_versions(entries: ledger.Ledger) -> collections.abc.Iterator[Breach]:
+    """Check that a published version is soon in force.
 
-def _check_times(book: ledger.Ledger) -> collections.abc.Iterator[Breach]:
-    for sent in book.sent:
-        seen = book.seen.get(sent.request_id)
-        if seen is None or seen.has_left:
+    Requests for ``/moving/`` show it, since each version sends them elsewhere.
+    """
+    requests = {sent.request_id: sent for sent in entries.sent_requests}
+    for run in entries.runs:
+        request = requests.get(run.request_id)
+        if request is None or not request.path.startswith("/moving/"):
+            continue
+        due_versions = [
+            version
+            for version in entries.published_versions
+            if request.sent_at
+            - _find_learnable(entries, request.vm, version.stored_at, request.sent_at)
+            > CONFIGURATION_BOUND_S + MARGIN_S
+        ]
+        allowed_services = {
+            version.moving_service
+            for version in entries.published_versions[len(due_versions[:-1]) :]
+        }
+        if due_versions and run.service not in allowed_services:
+            yield Breach("version", f"{run.request_id} ran by an old version")
+
+
+def _check_times(entries: ledger.Ledger) -> collections.abc.Iterator[Breach]:
+    """Check that callers get an answer within the time limit of the route."""
+    for sent_request in entries.sent_requests:
+        outcome = entries.outcomes.get(sent_request.request_id)
+        if outcome is None or outcome.has_left:
             continue
-        took = seen.at - sent.at
-        limit = TIME_LIMIT + TIME_BOUND + SLACK
-        own = {_name(sent.vm)}
-        if took > limit and not _touches(book, own, sent.at - CALM_BEFORE, seen.at):
-            yield Breach("time", f"{sent.request_id} took {took:.1f} s")
+        duration_s = outcome.ended_at - sent_request.sent_at
+        bound_s = TIME_LIMIT_S + TIME_LIMIT_MARGIN_S + MARGIN_S
+        vms = {_name_vm(sent_request.vm)}
+        if duration_s > bound_s and not _has_fault(
+            entries, vms, sent_request.sent_at - CALM_BEFORE_S, outcome.ended_at
+        ):
+            yield Breach("time", f"{sent_request.request_id} took {duration_s:.1f} s")
 
 
-def _check_time_handed_on(book: ledger.Ledger) -> collections.abc.Iterator[Breach]:
-    """No target is given more time than its caller's route has left.
+def _check_time_handed_on(entries: ledger.Ledger) -> collections.abc.Iterator[Breach]:
+    """Check that no target is given more time than its caller has left.
 
-    A link that holds a request back delivers it with the time that was left before.
+    A link that holds a request back is an excuse: the request still names the time
+    that was left before.
     """
-    sent = {one.request_id: one for one in book.sent}
-    links = [one for one in book.disturbed if one.kind == LINK_FAULT]
-    for ran in book.ran:
-        asked = sent.get(ran.request_id)
-        if asked is None:
+    requests = {sent.request_id: sent for sent in entries.sent_requests}
+    link_faults = [fault for fault in entries.faults if fault.kind == LINK_FAULT]
+    for run in entries.runs:
+        request = requests.get(run.request_id)
+        if request is None:
             continue
-        left = TIME_LIMIT - (ran.at - asked.at)
-        own = {_name(asked.vm)}
-        if ran.time_left <= left + TIME_BOUND + SLACK:
+        remaining_s = TIME_LIMIT_S - (run.started_at - request.sent_at)
+        vms = {_name_vm(request.vm)}
+        if run.time_left <= remaining_s + TIME_LIMIT_MARGIN_S + MARGIN_S:
             continue
-        if _touches(book, {ran.target_id}, asked.at, ran.at, links):
+        if _has_fault(
+            entries, {run.target_id}, request.sent_at, run.started_at, link_faults
+        ):
             continue
-        if not _touches(book, own, asked.at - CALM_BEFORE, ran.at):
-            what = f"{ran.request_id}: {ran.time_left:.1f} s of {left:.1f} s"
-            yield Breach("time-handed-on", what)
+        if not _has_fault(
+            entries, vms, request.sent_at - CALM_BEFORE_S, run.started_at
+        ):
+            detail = (
+                f"{run.request_id}: target got {run.time_left:.1f} s,"
+                f" its caller had {remaining_s:.1f} s left"
+            )
+            yield Breach("time-handed-on", detail)
 
 
-def _check_planned_stops(book: ledger.Ledger) -> collections.abc.Iterator[Breach]:
-    """A request that ran gets an answer, also around a planned stop of its VM.
+def _check_planned_stops(entries: ledger.Ledger) -> collections.abc.Iterator[Breach]:
+    """Check that a request that ran gets an answer, also if its VM is stopped.
 
-    Only a VM that is killed or paused is excused. Whatever its target or the store
-    does, there is an answer to give.
+    A VM that is killed or paused is the only excuse. Whatever its target or the store
+    does, a VM can still give an answer.
     """
-    ran = {one.request_id for one in book.ran}
-    unplanned = [one for one in book.disturbed if one.kind not in PLANNED]
-    for sent in book.sent:
-        seen = book.seen.get(sent.request_id)
-        if seen is None or seen.has_left or seen.status or sent.request_id not in ran:
+    run_ids = {item.request_id for item in entries.runs}
+    unplanned = [fault for fault in entries.faults if fault.kind not in PLANNED_FAULTS]
+    for sent_request in entries.sent_requests:
+        outcome = entries.outcomes.get(sent_request.request_id)
+        if (
+            outcome is None
+            or outcome.has_left
+            or outcome.status
+            or sent_request.request_id not in run_ids
+        ):
             continue
-        own = {_name(sent.vm)}
-        if not _touches(book, own, sent.at, seen.at, unplanned):
-            yield Breach("cut", f"{sent.request_id} ran, and its caller saw a close")
+        vms = {_name_vm(sent_request.vm)}
+        if not _has_fault(
+            entries, vms, sent_request.sent_at, outcome.ended_at, unplanned
+        ):
+            yield Breach("cut", f"{sent_request.request_id} ran but got no answer")
 
 
-def _check_given_up(book: ledger.Ledger) -> collections.abc.Iterator[Breach]:
-    """Work that goes on at a sound target is not replaced by a failure of the proxy.
+def _check_given_up(entries: ledger.Ledger) -> collections.abc.Iterator[Breach]:
+    """Check that the proxy does not fail a request that a sound target is running.
 
-    Whether the VM is stopping makes no difference. The time limit of every route is
-    over long before the last sixth of a stop's grace, which needs no excuse therefore.
+    A VM that is stopping is no excuse. It gives requests up only in the last sixth of
+    its time for the stop, and the time limit of every route is over long before.
     """
-    sent = {one.request_id: one for one in book.sent}
-    unplanned = [one for one in book.disturbed if one.kind not in PLANNED]
-    links = [one for one in book.disturbed if one.kind == LINK_FAULT]
-    crashed_at = {one.target_id: one.at for one in book.crashed}
-    for ended in book.ended:
-        ran = ended.ran
-        asked, seen = sent.get(ran.request_id), book.seen.get(ran.request_id)
-        if not ended.is_cut or asked is None or seen is None:
+    requests = {sent.request_id: sent for sent in entries.sent_requests}
+    unplanned = [fault for fault in entries.faults if fault.kind not in PLANNED_FAULTS]
+    link_faults = [fault for fault in entries.faults if fault.kind == LINK_FAULT]
+    times_by_target = {crash.target_id: crash.crashed_at for crash in entries.crashes}
+    for run_end in entries.run_ends:
+        run = run_end.run
+        request, outcome = (
+            requests.get(run.request_id),
+            entries.outcomes.get(run.request_id),
+        )
+        if not run_end.is_interrupted or request is None or outcome is None:
             continue
-        if crashed_at.get(ran.target_id, ended.at) < ended.at:
-            continue  # The target itself broke off.
-        if seen.has_left or seen.is_signed or seen.at >= asked.at + TIME_LIMIT:
+        if times_by_target.get(run.target_id, run_end.ended_at) < run_end.ended_at:
+            continue  # The target itself closed the connection.
+        if (
+            outcome.has_left
+            or outcome.is_signed
+            or outcome.ended_at >= request.sent_at + TIME_LIMIT_S
+        ):
             continue
-        if _touches(book, {_name(asked.vm)}, asked.at, seen.at, unplanned):
+        if _has_fault(
+            entries,
+            {_name_vm(request.vm)},
+            request.sent_at,
+            outcome.ended_at,
+            unplanned,
+        ):
             continue
-        if not _touches(book, {ran.target_id}, ran.at, ended.at, links):
-            what = f"{ran.request_id} at vm-{asked.vm}: {ran.target_id} was at work for"
-            what += f" {ended.at - ran.at:.2f} s, and its caller got {seen.status}"
-            yield Breach("given-up", what)
+        if not _has_fault(
+            entries, {run.target_id}, run.started_at, run_end.ended_at, link_faults
+        ):
+            detail = f"{run.request_id} at vm-{request.vm}: {run.target_id}"
+            detail += (
+                f" ran it for {run_end.ended_at - run.started_at:.2f} s when"
+                f" its caller got {outcome.status}"
+            )
+            yield Breach("given-up", detail)
 
 
-def _check_crashing(book: ledger.Ledger) -> collections.abc.Iterator[Breach]:
-    """A request that has crashed three targets reaches hardly any more.
+def _check_crashing(entries: ledger.Ledger) -> collections.abc.Iterator[Breach]:
+    """Check that a request that has crashed three targets hardly reaches any more.
 
-    Counted is what VMs sent that were in touch, from some time after the third crash.
+    Runs count from some time after the third crash, and only for VMs that no fault
+    affected shortly before.
     """
-    crashes: dict[str, list[float]] = collections.defaultdict(list)
-    for one in book.crashed:
-        if one.path:
-            crashes[one.path].append(one.at)
-    vms = {one.request_id: one.vm for one in book.sent}
-    for path, times in crashes.items():
-        if len(times) < CRASHES_TO_KNOW:
+    times_by_path: dict[str, list[float]] = collections.defaultdict(list)
+    for crash in entries.crashes:
+        if crash.path:
+            times_by_path[crash.path].append(crash.crashed_at)
+    vms_by_id = {sent.request_id: sent.vm for sent in entries.sent_requests}
+    for path, crash_times in times_by_path.items():
+        if len(crash_times) < CRASHES_TO_QUARANTINE:
             continue
-        due = sorted(times)[CRASHES_TO_KNOW - 1] + CALM_BEFORE + SLACK
-        late = [
-            ran
-            for ran in book.ran
-            if ran.path == path
-            and ran.at > due
-            and not _touches(
-                book, {_name(vms[ran.request_id])}, ran.at - CALM_BEFORE, ran.at
+        quarantined_from = (
+            sorted(crash_times)[CRASHES_TO_QUARANTINE - 1] + CALM_BEFORE_S + MARGIN_S
+        )
+        late_runs = [
+            run
+            for run in entries.runs
+            if run.path == path
+            and run.started_at > quarantined_from
+            and not _has_fault(
+                entries,
+                {_name_vm(vms_by_id[run.request_id])},
+                run.started_at - CALM_BEFORE_S,
+                run.started_at,
             )
         ]
-        if len(late) > MOST_AFTER_CRASHES:
-            what = f"{path} ran {len(late)} times more; {len(times)} crashed in all"
-            yield Breach("crashing", what)
+        if len(late_runs) > MAX_LATE_RUNS:
+            detail = (
+                f"{path} ran {len(late_runs)} more times; {len(crash_times)} crashes"
+            )
+            yield Breach("crashing", detail)
 
 
-def _check_limits(book: ledger.Ledger) -> collections.abc.Iterator[Breach]:
-    """A target that names a limit gets little more, from all VMs in touch together."""
-    vms = {one.request_id: one.vm for one in book.sent}
-    for limited in book.limited:
-        known_at = limited.begin + CALM_BEFORE + SLACK
+def _check_limits(entries: ledger.Ledger) -> collections.abc.Iterator[Breach]:
+    """Check that all VMs together keep the rate limit that a target names.
+
+    Arrivals don't count for VMs that a fault affected shortly before.
+    """
+    vms_by_id = {sent.request_id: sent.vm for sent in entries.sent_requests}
+    for period in entries.rate_limit_periods:
+        enforced_from = period.begin + CALM_BEFORE_S + MARGIN_S
         times = [
-            one.at
-            for one in book.arrived
-            if one.target_id == limited.target_id
-            and known_at <= one.at < limited.end
-            and one.request_id in vms
-            and not _touches(
-                book, {_name(vms[one.request_id])}, one.at - CALM_BEFORE, one.at
+            arrival.arrived_at
+            for arrival in entries.arrivals
+            if arrival.target_id == period.target_id
+            and enforced_from <= arrival.arrived_at < period.end
+            and arrival.request_id in vms_by_id
+            and not _has_fault(
+                entries,
+                {_name_vm(vms_by_id[arrival.request_id])},
+                arrival.arrived_at - CALM_BEFORE_S,
+                arrival.arrived_at,
             )
         ]
-        most = LIMIT_SHARE * limited.rate * LIMIT_WINDOW + LIMIT_SLACK
-        busiest = max(
-            (sum(at <= one < at + LIMIT_WINDOW for one in times) for at in times),
+        max_requests = (
+            RATE_LIMIT_FACTOR * period.rate * RATE_LIMIT_WINDOW_S + RATE_LIMIT_MARGIN
+        )
+        peak_requests = max(
+            (
+                sum(start <= time_s < start + RATE_LIMIT_WINDOW_S for time_s in times)
+                for start in times
+            ),
             default=0,
         )
-        if busiest > most:
-            what = f"{limited.target_id}: {busiest} requests in 4 s, {most:.0f} allowed"
-            yield Breach("limit", what)
-
-
-def _check_retries(book: ledger.Ledger) -> collections.abc.Iterator[Breach]:
-    """A service gets no more retries than its requests allow, whatever fails."""
-    for service in sorted({one.service for one in book.arrived}):
-        sent = [
-            one.at
-            for one in book.sent
-            for prefix, services in LEADS_TO.items()
-            if one.path.startswith(prefix) and service in services
-        ]
-        arrived = [
-            (one.at, one.request_id) for one in book.arrived if one.service == service
-        ]
-        repeated = retry_audit.find_retries(arrived)
-        worst = retry_audit.find_worst(sent, repeated, RETRIES)
-        if worst.excess > 0:
-            what = f"{service}: {worst.retries} in {RETRIES.span:.0f} s"
-            yield Breach("retries", f"{what}, {worst.allowed:.0f} allowed")
+        if peak_requests > max_requests:
+            detail = (
+                f"{period.target_id}: {peak_requests} requests in 4 s,"
+                f" {max_requests:.0f} allowed"
+            )
+            yield Breach("limit", detail)
 
 
-def _check_denied(book: ledger.Ledger) -> collections.abc.Iterator[Breach]:
-    """Only requests that crash their targets are kept from them."""
-    guilty = {one.path for one in book.crashed if one.path}
-    paths = {one.request_id: one.path for one in book.sent}
-    for seen in book.seen.values():
-        is_kept = request_run.QUARANTINED.encode() in seen.body
-        if is_kept and paths[seen.request_id] not in guilty:
-            what = f"{seen.request_id}: {paths[seen.request_id]} was quarantined"
-            yield Breach("denied", what)
+def _check_retries(entries: ledger.Ledger) -> collections.abc.Iterator[Breach]:
+    """Check that a service gets no more retries than its requests allow."""
+    for service in sorted({arrival.service for arrival in entries.arrivals}):
+        sent_times = [
+            sent.sent_at
+            for sent in entries.sent_requests
+            for prefix, services in SERVICES_BY_PREFIX.items()
+            if sent.path.startswith(prefix) and service in services
+        ]
+        arrivals_of_service = [
+            (arrival.arrived_at, arrival.request_id)
+            for arrival in entries.arrivals
+            if arrival.service == service
+        ]
+        retry_times = retry_audit.find_retries(arrivals_of_service)
+        worst_span = retry_audit.find_worst(sent_times, retry_times, RETRY_BOUND)
+        if worst_span.excess > 0:
+            detail = f"{service}: {worst_span.retries} in {RETRY_BOUND.span:.0f} s"
+            yield Breach("retries", f"{detail}, {worst_span.allowed:.0f} allowed")
+
+
+def _check_denied(entries: ledger.Ledger) -> collections.abc.Iterator[Breach]:
+    """Check that only requests that crash targets are quarantined."""
+    crashing_paths = {crash.path for crash in entries.crashes if crash.path}
+    paths_by_id = {sent.request_id: sent.path for sent in entries.sent_requests}
+    for outcome in entries.outcomes.values():
+        is_quarantined = request_run.QUARANTINED.encode() in outcome.body
+        if is_quarantined and paths_by_id[outcome.request_id] not in crashing_paths:
+            detail = (
+                f"{outcome.request_id}: {paths_by_id[outcome.request_id]} was"
+                " quarantined but crashed no target"
+            )
+            yield Breach("denied", detail)
 
 
 def _check_recovery(
-    book: ledger.Ledger, calm_from: float
+    entries: ledger.Ledger, calm_from: float
 ) -> collections.abc.Iterator[Breach]:
-    sent = [
-        one
-        for one in book.sent
-        if one.at >= calm_from + CALM_BEFORE and not one.path.startswith(CRASHING)
+    """Check that requests are served once all faults are over."""
+    final_requests = [
+        sent
+        for sent in entries.sent_requests
+        if sent.sent_at >= calm_from + CALM_BEFORE_S
+        and not sent.path.startswith(CRASHING_PREFIX)
     ]
-    ends = [book.seen.get(one.request_id) for one in sent]
-    served = sum(1 for one in ends if one is not None and one.status == 200)
-    asked = sum(1 for one in ends if one is None or not one.has_left)
-    if not sent or served < RECOVERED_SHARE * asked:
-        yield Breach("recovery", f"{served} of {asked} served after the last fault")
+    results = [entries.outcomes.get(sent.request_id) for sent in final_requests]
+    served_count = sum(1 for item in results if item is not None and item.status == 200)
+    awaited_count = sum(1 for item in results if item is None or not item.has_left)
+    if not final_requests or served_count < MIN_RECOVERED_SHARE * awaited_count:
+        yield Breach(
+            "recovery", f"{served_count} of {awaited_count} served after the last fault"
+        )
 
 
 def make_answer(request_id: str) -> bytes:
@@ -357,36 +456,61 @@
     return (f"done {request_id} " * 20).encode()
 
 
-def _find_reachable(book: ledger.Ledger, vm: int, since: float, at: float) -> float:
-    """Return from when on, up to `at`, a VM could learn what the store knew `since`.
-
-    That is after the last fault of the store or the VM, and the time of calm after it.
-    What a VM has had the time to learn, it keeps, whatever becomes of the store.
+def _find_learnable(
+    entries: ledger.Ledger, vm: int, since: float, until: float
+) -> float:
+    """Return the time from which a VM could learn a record of the store.
+
+    That is a calm period after the last fault of the store or the VM. Faults of the
+    store don't count once the VM has had the time to learn the record, as it keeps it.
+
+    Parameters
+    ----------
+    entries : ledger.Ledger
+        Events of the soak.
+    vm : int
+        Number of the VM.
+    since : float
+        Time from which the store held the record.
+    until : float
+        Time after which events are ignored.
     """
-    reachable = since
-    for one in sorted(book.disturbed, key=lambda one: one.begin):
-        if one.begin > at or one.end < since - CALM_BEFORE:
+    learnable_from = since
+    for fault in sorted(entries.faults, key=lambda fault: fault.begin):
+        if fault.begin > until or fault.end < since - CALM_BEFORE_S:
             continue
-        is_own = one.touched == _name(vm)
-        is_known = one.begin > reachable + DRAIN_BOUND + SLACK
-        if is_own or (one.touched == "store" and not is_known):
-            reachable = max(reachable, min(one.end, at) + CALM_BEFORE)
-    return reachable
+        is_vm_fault = fault.affected == _name_vm(vm)
+        is_learned = fault.begin > learnable_from + DRAIN_BOUND_S + MARGIN_S
+        if is_vm_fault or (fault.affected == "store" and not is_learned):
+            learnable_from = max(learnable_from, min(fault.end, until) + CALM_BEFORE_S)
+    return learnable_from
 
 
-def _name(vm: int) -> str:
+def _name_vm(vm: int) -> str:
     return f"vm-{vm}"
 
 
-def _touches(
-    book: ledger.Ledger,
-    touched: collections.abc.Collection[str],
+def _has_fault(
+    entries: ledger.Ledger,
+    affected: collections.abc.Collection[str],
     begin: float,
     end: float,
-    faults: collections.abc.Iterable[ledger.Disturbed] | None = None,
+    considered: collections.abc.Iterable[ledger.FaultPeriod] | None = None,
 ) -> bool:
-    """Return whether a fault of one of these lay in a span of time."""
+    """Return whether a fault affected any of the named parts in a period.
+
+    Parameters
+    ----------
+    entries : ledger.Ledger
+        Events of the soak.
+    affected : collection of str
+        Values of `FaultPeriod.affected` that count.
+    begin, end : float
+        The period.
+    considered : iterable of FaultPeriod, optional
+        Faults that count; all by default.
+    """
     return any(
-        one.touched in touched and one.begin <= end and one.end >= begin
-        for one in (book.disturbed if faults is None else faults)
+        fault.affected in affected and fault.begin <= end and fault.end >= begin
+        for fault in (entries.faults if considered is None else considered)
     )
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one seed: starts a small site of real processes, and breaks it on plan."""
+"""Plays a seed: starts daemons as processes, sends requests and injects faults."""
 
 from __future__ import annotations
 
@@ -28,319 +28,356 @@
     vms,
 )
 
-TARGETS = {"desk": 4, "register": 3}
-UNNOTED = (
-    plan.Act.REPLACE,
-    plan.Act.PUBLISH,
-    plan.Act.ROLL,
-    plan.Act.ABSENT,
-    plan.Act.LIMIT,
-    plan.Act.CRASH,
-    plan.Act.CRASHING,
+TARGET_COUNTS = {"desk": 4, "register": 3}
+"""Number of targets of each service."""
+
+ACTIONS_WITHOUT_EXCUSE = (
+    plan.Action.REPLACE,
+    plan.Action.PUBLISH,
+    plan.Action.ROLL,
+    plan.Action.ABSENT,
+    plan.Action.LIMIT,
+    plan.Action.CRASH,
+    plan.Action.CRASHING,
 )
-"""Ordinary work of operators excuses nothing, nor does a crash of a target. The stops
-of a series are noted one by one."""
-
-SHARES_OF_SERIES = {
-    plan.Kind.ROLLING: callers.PIPELINES,
-    plan.Kind.SERIES: callers.SERIES,
-    plan.Kind.CRASHES: callers.SERIES,
+"""Actions that are not recorded as faults, since neither the ordinary work of operators
+nor the crash of a target excuses a breach. Each stop of a rolling restart is recorded
+by itself."""
+
+SERIES_SHARES = {
+    plan.Kind.ROLLING: callers.SERIES_SHARE,
+    plan.Kind.SERIES: callers.HIGH_SERIES_SHARE,
+    plan.Kind.CRASHES: callers.HIGH_SERIES_SHARE,
 }
-"""Share of requests that callers send further ones behind, where they send lookups."""
+"""Share of requests that begin a series, for the kinds whose callers send series."""
 
-LEAST_CALLERS = 10
-ROLL_PAUSE = 0.4
-"""Seconds between two stops of a series; each takes longer, so that they overlap."""
+MIN_CALLERS = 10
+ROLL_INTERVAL_S = 0.4
+"""Seconds between the stops of a rolling restart. Each stop takes longer, so that they
+overlap."""
 
-LIMIT = 2.0
-"""Requests a second that a target in need takes: a fifth of what it gets otherwise."""
+RATE_LIMIT = 2.0
+"""Requests per second of a target that names a rate limit: a fifth of what it gets
+without the limit."""
 
-LIMIT_FOR = 9.0
-"""Seconds for which it says so: long enough to be known and then judged for a while."""
+RATE_LIMIT_DURATION_S = 9.0
+"""Seconds for which a target names a rate limit: enough for all VMs to learn it, and to
+check it for some time after."""
 
-BACK_AFTER = 1.0
+CRASH_REPLACEMENT_DELAY_S = 1.0
 """Seconds after which another target takes the place of one that crashed."""
 
-LEAVE_AFTER = 4.0
-"""Seconds for which a draining target serves on."""
+DRAIN_DURATION_S = 4.0
+"""Seconds for which a draining target goes on serving."""
 
-LEAVE_LATE = 8.0
-"""The same where the store returns from copies: longer than it takes to be known again
-what was lost."""
+LONG_DRAIN_DURATION_S = 8.0
+"""The same if the store is restored from snapshots: longer than it takes until what the
+store lost is written and learned again."""
 
-LEAST_COPY_AGE = 2.5
-"""Least seconds that a copy is old when the store returns from it."""
+MIN_SNAPSHOT_AGE_S = 2.5
+"""Least age in seconds of a snapshot when the store is restored from it."""
 
-BEAT_PAUSE = 0.5
-"""Seconds between two writes of a target in such a run."""
+REGISTRATION_INTERVAL_S = 0.5
+"""Seconds between the registrations of a target if the store is restored."""
 
-RETURN_AFTER = 1.0
-"""Seconds after a fault for which what it broke may still show."""
+AFTERMATH_S = 1.0
+"""Seconds after the end of a fault for which it may still have effects."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Shape:
-    """What is played beside the seed."""
+class Scenario:
+    """What is played in addition to the seed."""
 
     kind: plan.Kind = plan.Kind.MIXED
-    """Which faults."""
+    """Kind of the plan."""
 
-    vms: int = 4
-    """How many VMs."""
+    vm_count: int = 4
+    """Number of VMs."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """How one seed went."""
+    """Result of playing a seed."""
 
     seed: int
     """The seed."""
 
     steps: tuple[plan.Step, ...]
-    """What was done."""
+    """Steps of its plan."""
 
-    sent: int
-    """Requests of callers."""
+    sent_count: int
+    """Number of requests that callers sent."""
 
-    served: int
-    """Requests answered with success."""
+    served_count: int
+    """Number of requests that were answered with status 200."""
 
     breaches: tuple[promises.Breach, ...]
-    """Promises that did not hold."""
+    """Promises that were broken."""
 
 
 class Soak:
-    """One run of a seed.
+    """Plays a seed once.
 
     Parameters
     ----------
     seed : int
-        Draws faults and requests.
+        Seed from which faults and requests are drawn.
     folder : pathlib.Path
-        Where settings and logs go.
+        Folder for settings and logs.
     program : pathlib.Path
-        The script that starts a daemon.
-    shape : Shape
-        Which faults, and how many VMs.
+        Script that starts a daemon.
+    scenario : Scenario
+        Kind of the plan, and number of VMs.
     """
 
     def __init__(
-        self, seed: int, folder: pathlib.Path, program: pathlib.Path, shape: Shape
+        self, seed: int, folder: pathlib.Path, program: pathlib.Path, scenario: Scenario
     ) -> None:
         self._seed = seed
-        self._shape = shape
+        self._scenario = scenario
         self._folder = folder
         self._program = program
-        self._book = ledger.Ledger()
+        self._entries = ledger.Ledger()
         self._store = shared_store.SharedStore()
         self._targets: list[targets.Target] = []
         self._vms: list[vms.Vm] = []
-        self._target_numbers = 0
-        self._sequences = itertools.count(1)
-        self._busy: set[int] = set()
+        self._target_count = 0
+        self._sequence_numbers = itertools.count(1)
+        self._busy_vms: set[int] = set()
         self._calm_from = 0.0
 
     async def run(self) -> Report:
-        """Play the seed and judge it."""
-        steps = plan.draw(self._seed, self._shape.kind)
+        """Play the seed and return its result."""
+        steps = plan.draw_steps(self._seed, self._scenario.kind)
         async with anyio.create_task_group() as group:
             self._group = group
             await self._start_store()
-            for service, count in TARGETS.items():
+            for service, count in TARGET_COUNTS.items():
                 for _ in range(count):
                     await self._start_target(service)
-            operators.publish(self._store, self._book)
+            operators.publish_configuration(self._store, self._entries)
             await self._make_vms()
-            async with vms.ending(self._vms):
-                await self._play(steps)
+            async with vms.killed_on_exit(self._vms):
+                await self._play_steps(steps)
             group.cancel_scope.cancel()
-        breaches = promises.judge(self._book, self._calm_from)
-        served = sum(1 for one in self._book.seen.values() if one.status == 200)
-        return Report(self._seed, steps, len(self._book.sent), served, tuple(breaches))
+        breaches = promises.find_breaches(self._entries, self._calm_from)
+        served_count = sum(
+            1 for outcome in self._entries.outcomes.values() if outcome.status == 200
+        )
+        return Report(
+            self._seed,
+            steps,
+            len(self._entries.sent_requests),
+            served_count,
+            tuple(breaches),
+        )
 
-    async def _play(self, steps: tuple[plan.Step, ...]) -> None:
+    async def _play_steps(self, steps: tuple[plan.Step, ...]) -> None:
         for vm in self._vms:
             await vm.start()
         for vm in self._vms:
-            await vm.wait_ready()
+            await vm.wait_until_ready()
         group = self._group
         stop = anyio.Event()
         rng = random.Random(self._seed)
-        load = callers.Callers(self._vms, self._book, rng)
-        share = SHARES_OF_SERIES.get(self._shape.kind)
-        if share is not None:
-            paths = callers.LOOKUP_PATHS
-            load = callers.Callers(self._vms, self._book, rng, paths, share)
+        load = callers.Callers(self._vms, self._entries, rng)
+        series_share = SERIES_SHARES.get(self._scenario.kind)
+        if series_share is not None:
+            prefixes = callers.LOOKUP_PATH_PREFIXES
+            load = callers.Callers(
+                self._vms, self._entries, rng, prefixes, series_share
+            )
         self._load, self._stop = load, stop
         for vm in self._vms:
-            group.start_soon(vm.follow_readiness)
-        if self._shape.kind is plan.Kind.DRILLS:
-            group.start_soon(self._beat)
-        async with anyio.create_task_group() as clients:
-            self._clients = clients
-            for _ in range(max(LEAST_CALLERS, self._shape.vms)):
-                clients.start_soon(load.run_one, stop)
-            begin = anyio.current_time()
-            async with anyio.create_task_group() as faults:
+            group.start_soon(vm.watch_readiness)
+        if self._scenario.kind is plan.Kind.DRILLS:
+            group.start_soon(self._repeat_registrations)
+        async with anyio.create_task_group() as caller_tasks:
+            self._caller_tasks = caller_tasks
+            for _ in range(max(MIN_CALLERS, self._scenario.vm_count)):
+                caller_tasks.start_soon(load.run_caller, stop)
+            load_start = anyio.current_time()
+            async with anyio.create_task_group() as fault_tasks:
                 for step in steps:
-                    await anyio.sleep_until(begin + step.at)
-                    faults.start_soon(self._do, step)
+                    await anyio.sleep_until(load_start + step.start_s)
+                    fault_tasks.start_soon(self._perform_step, step)
             self._calm_from = anyio.current_time()
-            await anyio.sleep(plan.CALM_TIME)
+            await anyio.sleep(plan.CALM_PHASE_S)
             stop.set()
 
-    async def _do(self, step: plan.Step) -> None:
-        if step.act is plan.Act.DRILL:
-            await self._drill(step)
+    async def _perform_step(self, step: plan.Step) -> None:
+        if step.action is plan.Action.DRILL:
+            await self._restore_store(step)
             return
         begin = anyio.current_time()
-        touched = await self._act(step)
-        if step.act in UNNOTED:
+        affected = await self._apply_action(step)
+        if step.action in ACTIONS_WITHOUT_EXCUSE:
             return
-        self._note_disturbed(step, touched, begin)
+        self._record_fault(step, affected, begin)
 
-    def _note_disturbed(self, step: plan.Step, touched: str, begin: float) -> None:
-        end = anyio.current_time() + RETURN_AFTER
-        self._book.disturbed.append(
-            ledger.Disturbed(step.act.value, touched, begin, end)
+    def _record_fault(self, step: plan.Step, affected: str, begin: float) -> None:
+        end = anyio.current_time() + AFTERMATH_S
+        self._entries.faults.append(
+            ledger.FaultPeriod(step.action.value, affected, begin, end)
         )
 
-    async def _drill(self, step: plan.Step) -> None:
-        """Let the store return from a copy; it is disturbed only from then on."""
-        copy, written = self._store.take_copy()
-        await anyio.sleep(LEAST_COPY_AGE + step.for_s)
+    async def _restore_store(self, step: plan.Step) -> None:
+        """Restore the store from a snapshot; the fault begins only with the outage."""
+        snapshot, write_count = self._store.capture_snapshot()
+        await anyio.sleep(MIN_SNAPSHOT_AGE_S + step.duration_s)
         begin = anyio.current_time()
-        await self._store.return_from(copy, written)
-        self._note_disturbed(step, "store", begin)
+        await self._store.restore_snapshot(snapshot, write_count)
+        self._record_fault(step, "store", begin)
 
-    async def _beat(self) -> None:
-        """Let targets write regularly, as they do while they are there."""
+    async def _repeat_registrations(self) -> None:
+        """Register all targets again at intervals, as real targets do."""
         while True:
-            await anyio.sleep(BEAT_PAUSE)
+            await anyio.sleep(REGISTRATION_INTERVAL_S)
             for target in list(self._targets):
                 self._register(target, "ready")
 
-    async def _act(self, step: plan.Step) -> str:
-        """Do one step until it is over; return what it touched."""
-        vm = self._vms[step.which % len(self._vms)]
-        match step.act:
-            case plan.Act.KILL | plan.Act.STOP | plan.Act.PAUSE | plan.Act.RELOAD:
-                await self._signal(step, vm)
+    async def _apply_action(self, step: plan.Step) -> str:
+        """Carry out a step until its end; return the part that it affected."""
+        vm = self._vms[step.index % len(self._vms)]
+        match step.action:
+            case (
+                plan.Action.KILL
+                | plan.Action.STOP
+                | plan.Action.PAUSE
+                | plan.Action.RELOAD
+            ):
+                await self._signal_vm(step, vm)
                 return f"vm-{vm.number}"
-            case plan.Act.STORE_LINK:
-                await vm.store.suffer(links.Trouble(step.how), step.for_s)
+            case plan.Action.STORE_LINK:
+                await vm.store_link.apply_fault(
+                    links.LinkFault(step.variant), step.duration_s
+                )
                 return f"vm-{vm.number}"
-            case plan.Act.STORE:
-                self._store.topics.fault = topic_store.Fault(step.how)
-                await anyio.sleep(step.for_s)
+            case plan.Action.STORE:
+                self._store.topics.fault = topic_store.Fault(step.variant)
+                await anyio.sleep(step.duration_s)
                 self._store.topics.fault = topic_store.Fault.NONE
-            case plan.Act.FORGET:
+            case plan.Action.FORGET:
                 self._store.topics.forget(words.TARGETS_TOPIC)
                 self._store.topics.forget(words.CONFIGURATION_TOPIC)
-            case plan.Act.PUBLISH:
-                operators.publish(self._store, self._book)
-            case plan.Act.ROLL:
-                await self._roll(step)
-            case plan.Act.ABSENT:
-                await self._announce_absent(step)
-            case plan.Act.CRASHING:
-                path = f"{promises.CRASHING}{step.which}"
-                self._clients.start_soon(self._load.repeat, path, self._stop)
+            case plan.Action.PUBLISH:
+                operators.publish_configuration(self._store, self._entries)
+            case plan.Action.ROLL:
+                await self._restart_vms_in_turn(step)
+            case plan.Action.ABSENT:
+                await self._register_absent_target(step)
+            case plan.Action.CRASHING:
+                path = f"{promises.CRASHING_PREFIX}{step.index}"
+                self._caller_tasks.start_soon(
+                    self._load.repeat_request, path, self._stop
+                )
             case _:
-                return await self._act_on_target(step)
+                return await self._apply_target_action(step)
         return "store"
 
-    async def _act_on_target(self, step: plan.Step) -> str:
-        """Do one step that concerns a target; return what it touched."""
-        target = self._targets[step.which % len(self._targets)]
-        match step.act:
-            case plan.Act.TARGET:
-                target.misbehave(targets.Fault(step.how))
-                await anyio.sleep(step.for_s)
-                target.misbehave(targets.Fault.NONE)
+    async def _apply_target_action(self, step: plan.Step) -> str:
+        """Carry out a step for a target; return the part that it affected."""
+        target = self._targets[step.index % len(self._targets)]
+        match step.action:
+            case plan.Action.TARGET:
+                target.set_fault(targets.TargetFault(step.variant))
+                await anyio.sleep(step.duration_s)
+                target.set_fault(targets.TargetFault.NONE)
                 return target.target_id
-            case plan.Act.CORNER:
-                await self._corner(target, step)
+            case plan.Action.CORNER:
+                await self._leave_only_uneven_target(target, step)
                 return target.target_id
-            case plan.Act.SHED:
-                await self._shed(target, step)
-            case plan.Act.TARGET_LINK:
-                await target.link.suffer(links.Trouble(step.how), step.for_s)
+            case plan.Action.SHED:
+                await self._shed_service(target, step)
+            case plan.Action.TARGET_LINK:
+                await target.link.apply_fault(
+                    links.LinkFault(step.variant), step.duration_s
+                )
                 return target.target_id
-            case plan.Act.LIMIT:
-                target.begin_limit(LIMIT)
-                await anyio.sleep(LIMIT_FOR)
-                target.end_limit()
-            case plan.Act.CRASH:
+            case plan.Action.LIMIT:
+                target.start_rate_limit(RATE_LIMIT)
+                await anyio.sleep(RATE_LIMIT_DURATION_S)
+                target.clear_rate_limit()
+            case plan.Action.CRASH:
                 target.crash()
-            case plan.Act.REPLACE:
-                await self._replace(target)
+            case plan.Action.REPLACE:
+                await self._replace_target(target)
         return "store"
 
-    async def _corner(self, target: targets.Target, step: plan.Step) -> None:
-        """Leave a service nothing but a target that takes long at times."""
-        some = [one for one in self._targets if one.service == target.service]
-        for one in some:
-            one.misbehave(targets.Fault(step.how))
-        target.misbehave(targets.Fault.UNEVEN)
-        await anyio.sleep(step.for_s)
-        for one in some:
-            one.misbehave(targets.Fault.NONE)
-
-    async def _shed(self, target: targets.Target, step: plan.Step) -> None:
-        """Let all targets of a service turn work away."""
-        some = [one for one in self._targets if one.service == target.service]
-        for one in some:
-            one.misbehave(targets.Fault.SHED)
-        await anyio.sleep(step.for_s)
-        for one in some:
-            one.misbehave(targets.Fault.NONE)
-
-    async def _roll(self, step: plan.Step) -> None:
-        """Stop all VMs but one, each before the one before it is back."""
-        async with anyio.create_task_group() as stops:
+    async def _leave_only_uneven_target(
+        self, target: targets.Target, step: plan.Step
+    ) -> None:
+        """Let all targets of a service fail but one, which is slow at times."""
+        service_targets = [
+            member for member in self._targets if member.service == target.service
+        ]
+        for member in service_targets:
+            member.set_fault(targets.TargetFault(step.variant))
+        target.set_fault(targets.TargetFault.UNEVEN)
+        await anyio.sleep(step.duration_s)
+        for member in service_targets:
+            member.set_fault(targets.TargetFault.NONE)
+
+    async def _shed_service(self, target: targets.Target, step: plan.Step) -> None:
+        """Let all targets of a service refuse all requests."""
+        service_targets = [
+            member for member in self._targets if member.service == target.service
+        ]
+        for member in service_targets:
+            member.set_fault(targets.TargetFault.SHED)
+        await anyio.sleep(step.duration_s)
+        for member in service_targets:
+            member.set_fault(targets.TargetFault.NONE)
+
+    async def _restart_vms_in_turn(self, step: plan.Step) -> None:
+        """Stop all VMs but one, each before the previous one is ready again."""
+        async with anyio.create_task_group() as stop_tasks:
             for number in range(len(self._vms) - 1):
-                which = step.which + number
-                stop = dataclasses.replace(step, act=plan.Act.STOP, which=which)
-                stops.start_soon(self._do, stop)
-                await anyio.sleep(ROLL_PAUSE)
-
-    async def _announce_absent(self, step: plan.Step) -> None:
-        self._target_numbers += 1
-        service = list(TARGETS)[step.which % len(TARGETS)]
-        name = f"t{self._target_numbers}"
-        await operators.announce_absent(self._store, name, service, step.for_s)
-
-    async def _signal(self, step: plan.Step, vm: vms.Vm) -> None:
-        if vm.number in self._busy:
-            # A second signal to a process that is stopping or paused.
-            vm.send(signal.SIGHUP)
+                index = step.index + number
+                stop_step = dataclasses.replace(
+                    step, action=plan.Action.STOP, index=index
+                )
+                stop_tasks.start_soon(self._perform_step, stop_step)
+                await anyio.sleep(ROLL_INTERVAL_S)
+
+    async def _register_absent_target(self, step: plan.Step) -> None:
+        self._target_count += 1
+        service = list(TARGET_COUNTS)[step.index % len(TARGET_COUNTS)]
+        name = f"t{self._target_count}"
+        await operators.register_absent_target(
+            self._store, name, service, step.duration_s
+        )
+
+    async def _signal_vm(self, step: plan.Step, vm: vms.Vm) -> None:
+        if vm.number in self._busy_vms:
+            # The process is stopping or paused; a second signal must do no harm.
+            vm.signal_process(signal.SIGHUP)
             return
-        self._busy.add(vm.number)
+        self._busy_vms.add(vm.number)
         try:
-            if step.act is plan.Act.RELOAD:
-                vm.send(signal.SIGHUP)
-            elif step.act is plan.Act.PAUSE:
-                vm.send(signal.SIGSTOP)
-                await anyio.sleep(step.for_s)
-                vm.send(signal.SIGCONT)
+            if step.action is plan.Action.RELOAD:
+                vm.signal_process(signal.SIGHUP)
+            elif step.action is plan.Action.PAUSE:
+                vm.signal_process(signal.SIGSTOP)
+                await anyio.sleep(step.duration_s)
+                vm.signal_process(signal.SIGCONT)
             else:
-                is_kill = step.act is plan.Act.KILL
-                vm.send(signal.SIGKILL if is_kill else signal.SIGTERM)
-                if not await vm.wait_end(vms.GRACE):
-                    vm.send(signal.SIGKILL)
-                    await vm.wait_end(vms.GRACE)
+                is_kill = step.action is plan.Action.KILL
+                vm.signal_process(signal.SIGKILL if is_kill else signal.SIGTERM)
+                if not await vm.wait_for_exit(vms.STOP_LIMIT_S):
+                    vm.signal_process(signal.SIGKILL)
+                    await vm.wait_for_exit(vms.STOP_LIMIT_S)
                 await vm.restart()
         finally:
-            self._busy.discard(vm.number)
+            self._busy_vms.discard(vm.number)
 
     async def _start_store(self) -> None:
         app = topic_store_app.TopicStoreApp(self._store.topics)
-        server = http_server.Server(app, configuration.Limits, _fail)
+        server = http_server.Server(app, configuration.Limits, _raise_unexpected)
         self._store_port = await self._group.start(server.serve, links.HOST, 0)
 
     async def _make_vms(self) -> None:
-        for number in range(self._shape.vms):
+        for number in range(self._scenario.vm_count):
             link = links.Link(self._store_port)
             await self._group.start(link.serve)
             vm = vms.Vm(number, self._folder, self._program, link)
@@ -348,70 +385,70 @@
             self._vms.append(vm)
 
     async def _start_target(self, service: str) -> None:
-        self._target_numbers += 1
-        target = targets.Target(f"t{self._target_numbers}", service, self._book)
-        target.watch_crash(self._succeed)
-        server = http_server.Server(target, configuration.Limits, _fail)
+        self._target_count += 1
+        target = targets.Target(f"t{self._target_count}", service, self._entries)
+        target.set_crash_callback(self._schedule_replacement)
+        server = http_server.Server(target, configuration.Limits, _raise_unexpected)
         port = await self._group.start(server.serve, links.HOST, 0)
         target.link = links.Link(port)
         await self._group.start(target.link.serve)
         self._targets.append(target)
         self._register(target, "ready")
 
-    def _succeed(self, crashed: targets.Target) -> None:
-        """Let another target take the place of one that crashed, after a while."""
-        if crashed in self._targets:
-            self._targets.remove(crashed)
-            self._group.start_soon(self._start_successor, crashed)
+    def _schedule_replacement(self, crashed_target: targets.Target) -> None:
+        """Replace a crashed target after a delay."""
+        if crashed_target in self._targets:
+            self._targets.remove(crashed_target)
+            self._group.start_soon(self._replace_crashed_target, crashed_target)
 
-    async def _start_successor(self, crashed: targets.Target) -> None:
-        await anyio.sleep(BACK_AFTER)
-        self._store.put(words.TARGETS_TOPIC, crashed.target_id, b"")
-        await self._start_target(crashed.service)
+    async def _replace_crashed_target(self, crashed_target: targets.Target) -> None:
+        await anyio.sleep(CRASH_REPLACEMENT_DELAY_S)
+        self._store.put(words.TARGETS_TOPIC, crashed_target.target_id, b"")
+        await self._start_target(crashed_target.service)
 
     def _register(self, target: targets.Target, state: str) -> None:
         address = f"{links.HOST}:{target.link.port}"
         value = encoding.encode_entry(
-            target.service, address, targets.SLOTS, state, next(self._sequences)
+            target.service, address, targets.SLOTS, state, next(self._sequence_numbers)
         )
         self._store.put(words.TARGETS_TOPIC, target.target_id, value)
 
-    async def _replace(self, target: targets.Target) -> None:
+    async def _replace_target(self, target: targets.Target) -> None:
         if target.is_leaving:
             return
         target.is_leaving = True
         await self._start_target(target.service)
         self._register(target, "draining")
         now = anyio.current_time()
-        self._book.drained.append(ledger.Drained(target.target_id, now))
+        self._entries.drain_starts.append(ledger.DrainStart(target.target_id, now))
         self._targets.remove(target)
-        is_long = self._shape.kind is plan.Kind.DRILLS
-        await anyio.sleep(LEAVE_LATE if is_long else LEAVE_AFTER)
+        is_drill = self._scenario.kind is plan.Kind.DRILLS
+        await anyio.sleep(LONG_DRAIN_DURATION_S if is_drill else DRAIN_DURATION_S)
         self._store.put(words.TARGETS_TOPIC, target.target_id, b"")
 
 
-DEFAULT_SHAPE = Shape()
+DEFAULT_SCENARIO = Scenario()
 
 
-def play(
+def play_seed(
     seed: int,
     folder: pathlib.Path,
     program: pathlib.Path | None = None,
-    shape: Shape = DEFAULT_SHAPE,
+    scenario: Scenario = DEFAULT_SCENARIO,
 ) -> Report:
-    """Play one seed and return how it went."""
+    """Play a seed and return its result."""
     folder.mkdir(parents=True, exist_ok=True)
-    soak = Soak(seed, folder, program or vms.find_default_program(), shape)
+    soak = Soak(seed, folder, program or vms.find_default_program(), scenario)
     return anyio.run(soak.run)
 
 
-def _fail(error: BaseException) -> None:
-    """Let an unexpected error of a stand-in end the soak.
+def _raise_unexpected(error: BaseException) -> None:
+    """Raise an error of a stand-in, which ends the soak, unless it is expected.
 
-    The store resets connections by an error of this kind, which is expected.
+    The store resets connections by raising a `BrokenResourceError`.
     """
     if isinstance(error, BaseExceptionGroup):
-        _, others = error.split(anyio.BrokenResourceError)
-        if others is None:
+        _, unexpected = error.split(anyio.BrokenResourceError)
+        if unexpected is None:
             return
     raise error
--- a/soak/shared_store.py
+++ b/soak/shared_store.py
@@ -1,4 +1,4 @@
-"""The store of a soak, and what operators and targets have written to it."""
+"""The store of a soak, with a record of what operators and targets wrote to it."""
 
 from __future__ import annotations
 
@@ -6,39 +6,50 @@
 
 from zinniastand_standins import topic_store
 
-AWAY_FOR = 0.4
-"""Seconds for which the store is away before it returns from a copy."""
+OUTAGE_S = 0.4
+"""Seconds of outage before the store is restored from a snapshot."""
 
-WRITTEN_AGAIN_AFTER = 0.8
-"""Seconds after which what it has lost is written again."""
+REWRITE_DELAY_S = 0.8
+"""Seconds after the restore until lost records are written again."""
 
 
 class SharedStore:
-    """Keeps what others than VMs write, which they write again where it is lost."""
+    """A store whose operators and targets write again what a restore has lost."""
 
     def __init__(self) -> None:
         self.topics = topic_store.TopicStore()
-        self._written: list[tuple[str, str, bytes]] = []
+        self._writes: list[tuple[str, str, bytes]] = []
 
     def put(self, topic: str, key: str, value: bytes) -> None:
-        """Write as the operator or a target does; an empty value drops the key."""
-        self._written.append((topic, key, value))
+        """Write a record as an operator or a target; an empty value deletes the key."""
+        self._writes.append((topic, key, value))
         self.topics.put(topic, key, value)
 
-    def take_copy(self) -> tuple[topic_store.Snapshot, int]:
-        """Return a copy, and how much had been written until then."""
-        return self.topics.take_snapshot(), len(self._written)
+    def capture_snapshot(self) -> tuple[topic_store.Snapshot, int]:
+        """Return a snapshot, and the number of writes that it contains."""
+        return self.topics.take_snapshot(), len(self._writes)
 
-    async def return_from(self, copy: topic_store.Snapshot, written: int) -> None:
-        """Be away for a moment, and return from a copy.
+    async def restore_snapshot(
+        self, snapshot: topic_store.Snapshot, write_count: int
+    ) -> None:
+        """Restore the store from a snapshot after an outage.
 
-        Whoever wrote since writes again what stands now, not all that was lost.
+        Of each key that was written since, only the newest record is written again.
+
+        Parameters
+        ----------
+        snapshot : topic_store.Snapshot
+            Snapshot from `capture_snapshot`.
+        write_count : int
+            Number of writes that the snapshot contains.
         """
         self.topics.fault = topic_store.Fault.BUSY
-        await anyio.sleep(AWAY_FOR)
-        self.topics.restore(copy)
+        await anyio.sleep(OUTAGE_S)
+        self.topics.restore(snapshot)
         self.topics.fault = topic_store.Fault.NONE
-        await anyio.sleep(WRITTEN_AGAIN_AFTER)
-        newest = {(one[0], one[1]): one for one in self._written[written:]}
-        for topic, key, value in newest.values():
+        await anyio.sleep(REWRITE_DELAY_S)
+        newest_writes = {
+            (write[0], write[1]): write for write in self._writes[write_count:]
+        }
+        for topic, key, value in newest_writes.values():
             self.topics.put(topic, key, value)
--- a/soak/targets.py
+++ b/soak/targets.py
@@ -1,4 +1,4 @@
-"""Targets that keep a ledger of what they ran, and misbehave on demand."""
+"""Targets that record what they run, and that faults can be injected into."""
 
 from __future__ import annotations
 
@@ -13,55 +13,59 @@
 from . import ledger, links, promises
 
 SLOTS = 4
-WORK = 0.04
-"""Seconds that a target works on a request."""
+"""Requests that a target runs at the same time, as it registers itself."""
 
-SLOW_WORK = 0.6
-"""The same while it is slow."""
+WORK_S = 0.04
+"""Seconds for which a target works on a request."""
 
-FOREVER = 3600.0
+SLOW_WORK_S = 0.6
+"""The same for a slow target."""
 
-CRASH_AFTER = 0.02
+HANG_S = 3600.0
+"""Seconds after which a request that gets no answer would be answered: longer than any
+soak."""
+
+CRASH_DELAY_S = 0.02
 """Seconds of work after which a request crashes its target."""
 
 
-LONG_WORK = 1.0
-"""The same for one piece of work of an uneven target."""
+LONG_WORK_S = 1.0
+"""Seconds of work for a long request of an uneven target."""
 
-LONG_ONE_IN = 5
-"""Of so many requests an uneven target takes long for one: seldom enough that others
-expect it to be quick."""
+LONG_WORK_PERIOD = 5
+"""Number of requests of which an uneven target takes long for one: large enough that it
+is expected to be fast."""
 
 
-class Fault(enum.StrEnum):
+class TargetFault(enum.StrEnum):
     """How a target treats requests."""
 
     NONE = "none"
     """It runs them."""
 
     ERROR = "error"
-    """It runs them and answers with an error, at once."""
+    """It runs them and answers with an error at once."""
 
     HANG = "hang"
     """It runs them and never answers."""
 
     SHED = "shed"
-    """It turns them away with proof that it has not run them."""
+    """It refuses them, with proof that it has not run them."""
 
     BARE = "bare"
-    """It runs them and says 503 without any proof."""
+    """It runs them and answers 503 without such proof."""
 
     SLOW = "slow"
-    """It takes long."""
+    """It runs them slowly."""
 
     UNEVEN = "uneven"
-    """It takes long at times."""
+    """It runs some of them slowly."""
 
     UNSIGNED = "unsigned"
     """It answers without its signature."""
 
     FOREIGN = "foreign"
-    """On a kept connection an answer to another request comes before its own."""
+    """On a reused connection it sends an answer to another request before its own."""
 
 
 STALE_ANSWER = b"\r\n".join(
@@ -74,72 +78,82 @@
         b"late",
     ]
 )
-"""An answer to a request whose sender no longer waits."""
+"""Answer to an earlier request, which nobody waits for any more."""
 
 
 class Target:
-    """One target behind a faulty link."""
+    """A target behind a link that faults can be injected into."""
 
-    def __init__(self, target_id: str, service: str, book: ledger.Ledger) -> None:
+    def __init__(self, target_id: str, service: str, entries: ledger.Ledger) -> None:
         self.target_id = target_id
         self.service = service
-        self._fault = Fault.NONE
+        self._fault = TargetFault.NONE
         self.link = links.Link(0)
         self.is_leaving = False
         self._has_crashed = False
-        self._limit: float | None = None
-        self._limited_at: float | None = None
-        self._began = 0
-        self._book = book
+        self._rate_limit: float | None = None
+        self._limit_named_at: float | None = None
+        self._run_count = 0
+        self._entries = entries
         self._on_crash: collections.abc.Callable[[Target], None] | None = None
 
-    def begin_limit(self, rate: float) -> None:
-        """Name a limit from now on."""
-        self._limit, self._limited_at = rate, None
-
-    def end_limit(self) -> None:
-        """Name no limit any more."""
-        if self._limit is not None and self._limited_at is not None:
-            limited = ledger.Limited(
-                self.target_id, self._limit, self._limited_at, anyio.current_time()
+    def start_rate_limit(self, rate: float) -> None:
+        """Name a rate limit, in requests per second, in all answers from now on."""
+        self._rate_limit, self._limit_named_at = rate, None
+
+    def clear_rate_limit(self) -> None:
+        """Stop naming a rate limit, and record the period in which answers named it."""
+        if self._rate_limit is not None and self._limit_named_at is not None:
+            rate_limit_period = ledger.RateLimitPeriod(
+                self.target_id,
+                self._rate_limit,
+                self._limit_named_at,
+                anyio.current_time(),
             )
-            self._book.limited.append(limited)
-        self._limit = None
+            self._entries.rate_limit_periods.append(rate_limit_period)
+        self._rate_limit = None
 
-    def watch_crash(self, on_crash: collections.abc.Callable[[Target], None]) -> None:
+    def set_crash_callback(
+        self, on_crash: collections.abc.Callable[[Target], None]
+    ) -> None:
         """Call `on_crash` when this target crashes."""
         self._on_crash = on_crash
 
     def crash(self, path: str = "") -> None:
-        """End without a word; nobody listens at its address any more."""
+        """Close all connections and stop listening, without leaving in the store.
+
+        `path` is that of the request that crashes the target, empty if none does.
+        """
         if self._has_crashed:
             return
         self._has_crashed = self.is_leaving = True
         now = anyio.current_time()
-        self._book.crashed.append(ledger.Crashed(self.target_id, path, now))
+        self._entries.crashes.append(ledger.TargetCrash(self.target_id, path, now))
         self.link.crash()
         if self._on_crash is not None:
             self._on_crash(self)
 
-    def misbehave(self, fault: Fault) -> None:
-        """Treat requests in another way from now on."""
+    def set_fault(self, fault: TargetFault) -> None:
+        """Set the fault for all requests from now on."""
         self._fault = fault
-        self.link.first_back = STALE_ANSWER if fault is Fault.FOREIGN else b""
+        self.link.stale_answer = STALE_ANSWER if fault is TargetFault.FOREIGN else b""
 
     async def handle(self, incoming: calls.Incoming) -> calls.Reply:
-        """Run one request, or fail as the fault says."""
+        """Run a request, or fail it according to the fault."""
         headers = dict(incoming.request.headers)
         request_id = headers.get(words.HEADERS.request_id, b"").decode()
         if headers.get(words.HEADERS.expected_target) != self.target_id.encode():
             return calls.Reply(421, [], b"")
         now = anyio.current_time()
-        arrived = ledger.Arrived(request_id, self.target_id, self.service, now)
-        self._book.arrived.append(arrived)
-        if self._fault is Fault.SHED:
-            not_run = (words.HEADERS.not_run, b"1")
-            return calls.Reply(503, [not_run, *self._name_limit()], b"")
-        status = {Fault.ERROR: 500, Fault.BARE: 503}.get(self._fault, 200)
-        ran = ledger.Ran(
+        arrival = ledger.Arrival(request_id, self.target_id, self.service, now)
+        self._entries.arrivals.append(arrival)
+        if self._fault is TargetFault.SHED:
+            not_run_header = (words.HEADERS.not_run, b"1")
+            return calls.Reply(
+                503, [not_run_header, *self._make_rate_limit_headers()], b""
+            )
+        status = {TargetFault.ERROR: 500, TargetFault.BARE: 503}.get(self._fault, 200)
+        run = ledger.Run(
             request_id,
             self.target_id,
             self.service,
@@ -149,37 +163,46 @@
             anyio.current_time(),
             int(headers.get(words.HEADERS.time_left, b"0")) / words.MS_PER_S,
         )
-        self._book.ran.append(ran)
-        if ran.path.startswith(promises.CRASHING):
-            await anyio.sleep(CRASH_AFTER)
-            self.crash(ran.path)
-            await anyio.sleep(FOREVER)
+        self._entries.runs.append(run)
+        if run.path.startswith(promises.CRASHING_PREFIX):
+            await anyio.sleep(CRASH_DELAY_S)
+            self.crash(run.path)
+            await anyio.sleep(HANG_S)
         with anyio.CancelScope() as scope:
             incoming.caller.watch(scope, lambda: True)
-            await anyio.sleep(self._find_time())
-        is_cut = incoming.caller.has_disconnected
-        self._book.ended.append(ledger.Ended(ran, is_cut, anyio.current_time()))
-        return self._answer(request_id, status)
+            await anyio.sleep(self._choose_work_time())
+        is_interrupted = incoming.caller.has_disconnected
+        self._entries.run_ends.append(
+            ledger.RunEnd(run, is_interrupted, anyio.current_time())
+        )
+        return self._make_reply(request_id, status)
 
-    def _name_limit(self) -> list[tuple[bytes, bytes]]:
-        if self._limit is None:
+    def _make_rate_limit_headers(self) -> list[tuple[bytes, bytes]]:
+        if self._rate_limit is None:
             return []
-        self._limited_at = self._limited_at or anyio.current_time()
-        return [(words.HEADERS.rate_limit, b"%.1f" % self._limit)]
-
-    def _find_time(self) -> float:
-        self._began += 1
-        if self._fault is Fault.UNEVEN and self._began % LONG_ONE_IN == 0:
-            return LONG_WORK
-        times = {Fault.HANG: FOREVER, Fault.SLOW: SLOW_WORK, Fault.ERROR: 0.0}
-        return times.get(self._fault, WORK)
-
-    def _answer(self, request_id: str, status: int) -> calls.Reply:
+        self._limit_named_at = self._limit_named_at or anyio.current_time()
+        return [(words.HEADERS.rate_limit, b"%.1f" % self._rate_limit)]
+
+    def _choose_work_time(self) -> float:
+        self._run_count += 1
+        if (
+            self._fault is TargetFault.UNEVEN
+            and self._run_count % LONG_WORK_PERIOD == 0
+        ):
+            return LONG_WORK_S
+        work_times = {
+            TargetFault.HANG: HANG_S,
+            TargetFault.SLOW: SLOW_WORK_S,
+            TargetFault.ERROR: 0.0,
+        }
+        return work_times.get(self._fault, WORK_S)
+
+    def _make_reply(self, request_id: str, status: int) -> calls.Reply:
         headers = [
             (words.HEADERS.request_id, request_id.encode()),
-            *self._name_limit(),
+            *self._make_rate_limit_headers(),
         ]
-        if self._fault is not Fault.UNSIGNED:
+        if self._fault is not TargetFault.UNSIGNED:
             headers.append((words.HEADERS.signature, b"signed"))
         body = promises.make_answer(request_id) if status == 200 else b"failed"
         return calls.Reply(status, headers, body)
--- a/soak/vms.py
+++ b/soak/vms.py
@@ -1,4 +1,4 @@
-"""The daemons, as processes that signals stop, pause, kill and start again."""
+"""VMs as daemon processes, which are stopped, paused and killed by signals."""
 
 from __future__ import annotations
 
@@ -19,37 +19,38 @@
 
 from . import links, promises
 
-READY_PAUSE = 0.1
-"""Seconds between two questions whether a VM is ready."""
+READY_CHECK_INTERVAL_S = 0.1
+"""Seconds between two checks whether a VM is ready, and time limit of each."""
 
-READY_LIMIT = 20.0
-"""Seconds within which a process must become ready at the start of a soak."""
+READY_TIMEOUT_S = 20.0
+"""Seconds for which the soak waits at most until a started process is ready."""
 
-UNREADY_AFTER = 0.6
-"""Seconds after which callers send nothing to a VM that is not ready."""
+UNREADY_AFTER_S = 0.6
+"""Seconds until all callers have noticed that a VM is not ready."""
 
-GRACE = 6.0
-"""Seconds between SIGTERM and SIGKILL."""
+STOP_LIMIT_S = 6.0
+"""Time limit of a stop: seconds between SIGTERM and SIGKILL."""
 
-RESTART_PAUSE = 0.3
+RESTART_DELAY_S = 0.3
 """Seconds between the end of a process and the start of the next."""
 
 SETTINGS_VARIABLE = "ZINNIASTAND_NODE_FILE"
+"""Environment variable with the path of a daemon's settings file."""
 
 
 class Vm:
-    """One VM.
+    """A VM, whose daemon runs as a process of its own.
 
     Parameters
     ----------
     number : int
-        Which one.
+        Number of the VM, from 0.
     folder : pathlib.Path
-        Where its settings and log lie.
+        Folder for its settings and its log.
     program : pathlib.Path
-        The script that starts the daemon.
-    store : links.Link
-        Its own link to the store.
+        Script that starts the daemon.
+    store_link : links.Link
+        Link between this VM and the store.
     """
 
     def __init__(
@@ -57,18 +58,18 @@
         number: int,
         folder: pathlib.Path,
         program: pathlib.Path,
-        store: links.Link,
+        store_link: links.Link,
     ) -> None:
         self.number = number
-        self.store = store
-        self._held = [_hold_port() for _ in range(3)]
-        self.callers, self._readiness, self._metrics = (
-            held.getsockname()[1] for held in self._held
+        self.store_link = store_link
+        self._port_sockets = [_reserve_port() for _ in range(3)]
+        self.callers_port, self._readiness_port, self._metrics_port = (
+            port_socket.getsockname()[1] for port_socket in self._port_sockets
         )
         self.is_ready = False
         self.process: anyio.abc.Process | None = None
         self._program = program
-        self._path = folder / f"vm-{number}.json"
+        self._settings_path = folder / f"vm-{number}.json"
         self.log_path = folder / f"vm-{number}.log"
 
     def write_settings(self) -> None:
@@ -76,113 +77,116 @@
         settings = {
             "vm": f"vm-{self.number}",
             "data_centre": "a",
-            "callers": f"{links.HOST}:{self.callers}",
-            "readiness": f"{links.HOST}:{self._readiness}",
-            "metrics": f"{links.HOST}:{self._metrics}",
+            "callers": f"{links.HOST}:{self.callers_port}",
+            "readiness": f"{links.HOST}:{self._readiness_port}",
+            "metrics": f"{links.HOST}:{self._metrics_port}",
             "peers": f"{links.HOST}:{loopback.find_free_port()}",
-            "store": f"{links.HOST}:{self.store.port}",
-            "stop_limit_s": GRACE,
-            "unready_after_s": UNREADY_AFTER,
+            "store": f"{links.HOST}:{self.store_link.port}",
+            "stop_limit_s": STOP_LIMIT_S,
+            "unready_after_s": UNREADY_AFTER_S,
             "retries": {
-                "ratio": promises.RETRIES.ratio,
-                "slack": promises.RETRIES.slack,
-                "window_s": promises.RETRIES.span,
+                "ratio": promises.RETRY_BOUND.ratio,
+                "slack": promises.RETRY_BOUND.slack,
+                "window_s": promises.RETRY_BOUND.span,
             },
         }
-        self._path.write_text(json.dumps(settings))
+        self._settings_path.write_text(json.dumps(settings))
 
     async def start(self) -> None:
         """Start the process."""
         with self.log_path.open("ab") as log:
             self.process = await anyio.open_process(
                 [sys.executable, str(self._program)],
-                env={**os.environ, SETTINGS_VARIABLE: str(self._path)},
+                env={**os.environ, SETTINGS_VARIABLE: str(self._settings_path)},
                 stdout=log,
                 stderr=log,
             )
 
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal to the process, if there is one."""
+    def signal_process(self, signal_number: signal.Signals) -> None:
+        """Send a signal to the process, if it is running."""
         if self.process is not None and self.process.returncode is None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
 
-    async def wait_end(self, limit: float) -> bool:
-        """Wait for the end of the process; return whether it ended by then."""
-        with anyio.move_on_after(limit):
+    async def wait_for_exit(self, timeout_s: float) -> bool:
+        """Wait until the process ends; return whether it did before the timeout."""
+        with anyio.move_on_after(timeout_s):
             if self.process is not None:
                 await self.process.wait()
         return self.process is None or self.process.returncode is not None
 
     async def restart(self) -> None:
-        """Start the next process, and wait until it is ready."""
-        await anyio.sleep(RESTART_PAUSE)
+        """Start a new process after a delay, and wait until it is ready."""
+        await anyio.sleep(RESTART_DELAY_S)
         await self.start()
-        await self.wait_ready()
+        await self.wait_until_ready()
 
-    async def wait_ready(self) -> None:
-        """Wait until it takes requests, or for so long."""
-        with anyio.move_on_after(READY_LIMIT):
-            while not await self._ask_ready():
-                await anyio.sleep(READY_PAUSE)
+    async def wait_until_ready(self) -> None:
+        """Wait until the VM is ready, or until the time limit."""
+        with anyio.move_on_after(READY_TIMEOUT_S):
+            while not await self._check_ready():
+                await anyio.sleep(READY_CHECK_INTERVAL_S)
 
-    async def follow_readiness(self) -> None:
-        """Keep `is_ready` up to date, as a balancer does: two misses take it out."""
-        misses = 0
+    async def watch_readiness(self) -> None:
+        """Keep `is_ready` up to date, as a load balancer does.
+
+        Two failed checks in succession make the VM not ready.
+        """
+        failed_checks = 0
         while True:
-            misses = 0 if await self._ask_ready() else misses + 1
-            self.is_ready = misses < 2
-            await anyio.sleep(READY_PAUSE)
+            failed_checks = 0 if await self._check_ready() else failed_checks + 1
+            self.is_ready = failed_checks < 2
+            await anyio.sleep(READY_CHECK_INTERVAL_S)
 
-    async def end(self) -> None:
-        """Kill the process for good."""
+    async def kill_process(self) -> None:
+        """Kill the process, and wait for its end."""
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
 
     def release_ports(self) -> None:
-        """Let others have its ports."""
-        for held in self._held:
-            held.close()
+        """Close the sockets that reserve the ports of the VM."""
+        for port_socket in self._port_sockets:
+            port_socket.close()
 
-    async def _ask_ready(self) -> bool:
+    async def _check_ready(self) -> bool:
         request = b"GET /-/readiness HTTP/1.1\r\nHost: vm\r\n\r\n"
         try:
-            with anyio.fail_after(READY_PAUSE):
+            with anyio.fail_after(READY_CHECK_INTERVAL_S):
                 async with await anyio.connect_tcp(
-                    links.HOST, self._readiness
+                    links.HOST, self._readiness_port
                 ) as stream:
                     await stream.send(request)
                     return b" 200 " in await stream.receive()
         except (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError):
-            return False  # Not ready, whatever the reason.
+            return False  # Any failure means that the VM is not ready.
 
 
 @contextlib.asynccontextmanager
-async def ending(
+async def killed_on_exit(
     vms: collections.abc.Sequence[Vm],
 ) -> collections.abc.AsyncIterator[None]:
-    """End all processes on the way out, whatever happens."""
+    """Kill the processes of all VMs on exit, also after errors and cancellation."""
     try:
         yield
     finally:
         with anyio.CancelScope(shield=True):
             for vm in vms:
-                await vm.end()
+                await vm.kill_process()
                 vm.release_ports()
 
 
-def _hold_port() -> socket.socket:
-    """Return a socket that keeps a port for a process while it is not running.
+def _reserve_port() -> socket.socket:
+    """Return a socket that reserves a port for a process while it is not running.
 
-    A connection that somebody opens meanwhile would otherwise get it as its own port,
-    and the next process could not listen there.
+    An outgoing connection could otherwise take the port as its own, and the next
+    process could not listen on it.
     """
-    held = socket.socket()
-    held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    held.bind((links.HOST, 0))
-    return held
+    port_socket = socket.socket()
+    port_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    port_socket.bind((links.HOST, 0))
+    return port_socket
 
 
 def find_default_program() -> pathlib.Path:
-    """Return the script that starts the daemon of this checkout."""
+    """Return the path of the script in this checkout that starts a daemon."""
     return pathlib.Path(words.__file__).parent.parent / "launch.py"
--- a/tests/soak/test_failed_seeds.py
+++ b/tests/soak/test_failed_seeds.py
@@ -1,4 +1,4 @@
-"""Seeds that once failed, each with what its callers saw and why."""
+"""Seeds that failed once, each with its cause."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 from soak import plan, run
 
-OVERDUE_FOR_NOTHING = 14
-"""A lookup is broken off as overdue for a second target, which turns it away."""
+REFUSED_SECOND_ATTEMPT_SEED = 14
+"""A lookup is cancelled as overdue in favour of a second target, which refuses it."""
 
-FOREIGN_ANSWER = 15
-"""On a kept connection a late answer to another request comes before the own one."""
+FOREIGN_ANSWER_SEED = 15
+"""On a reused connection a late answer to another request precedes the expected one."""
 
 
-@pytest.mark.parametrize("seed", [OVERDUE_FOR_NOTHING, FOREIGN_ANSWER])
+@pytest.mark.parametrize("seed", [REFUSED_SECOND_ATTEMPT_SEED, FOREIGN_ANSWER_SEED])
 def test_work_that_goes_on_is_not_given_up(seed: int, tmp_path: pathlib.Path) -> None:
-    # Callers get 502 of the proxy while a sound target is at work on their request.
-    # The proxy closes its connection to that target: either the second target, for
-    # which the first was left, fails as well, or an answer to another request counted
-    # as a failure of the target.
-    report = run.play(seed, tmp_path, shape=run.Shape(plan.Kind.ROLLING))
+    # Guards against a 502 of the proxy while a sound target works on the request. The
+    # proxy closed its connection to that target: either the second target, for which
+    # the first was left, failed as well, or an answer to another request was counted as
+    # a failure of the target.
+    report = run.play_seed(seed, tmp_path, scenario=run.Scenario(plan.Kind.ROLLING))
     assert report.breaches == ()
--- a/tests/soak/test_plants.py
+++ b/tests/soak/test_plants.py
@@ -1,4 +1,4 @@
-"""The planted bugs of the soak fit the sources."""
+"""Checks that the planted bugs of the soak can be planted in the sources."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from soak import plants
 
 
-@pytest.mark.parametrize("plant", plants.PLANTS, ids=lambda one: one.promise)
+@pytest.mark.parametrize("plant", plants.PLANTS, ids=lambda item: item.promise)
 def test_plant_fits_the_sources(plant: plants.Plant, tmp_path: pathlib.Path) -> None:
-    # Guards against a soak that cannot be shown to fail, since the code has moved on.
+    # Guards against plants whose text to replace has changed in the sources.
     assert plants.copy_sources(plant, tmp_path / "sources").exists()
