--- a/soak/callers.py
+++ b/soak/callers.py
@@ -89,7 +89,7 @@
         self._request_numbers = itertools.count()
 
     async def run_caller(self, stop: anyio.Event) -> None:
-        """Send requests one after the other, on connections to any VM, until `stop`."""
+        """Send one request after another, over connections to any VM, until `stop`."""
         while not stop.is_set():
             ready_vms = [vm for vm in self._fleet if vm.is_ready]
             vm = self._rng.choice(ready_vms or list(self._fleet))
@@ -129,7 +129,7 @@
     async def _use_connection(
         self, vm: vms.Vm, stream: anyio.abc.SocketStream, stop: anyio.Event
     ) -> None:
-        """Send requests on a connection until it closes or has carried enough."""
+        """Send requests on a connection until it closes, up to a random number."""
         for _ in range(self._rng.randint(1, MAX_REQUESTS_PER_CONNECTION)):
             if stop.is_set() or not await self._send_request(vm, stream):
                 return
--- a/soak/links.py
+++ b/soak/links.py
@@ -12,6 +12,8 @@
 HOST = "127.0.0.1"
 READ_BYTES = 65_536
 REQUEST_START = b"POST "
+"""First bytes of each request of the soak."""
+
 HOLD_CHECK_INTERVAL_S = 0.02
 """Seconds between two checks whether held data may be forwarded."""
 
@@ -65,7 +67,7 @@
     fault : LinkFault
         The fault in force.
     stale_answer : bytes
-        Sent back at once for each request on a connection but the first.
+        Bytes sent back before each request on a connection but the first is forwarded.
     """
 
     def __init__(self, port: int) -> None:
@@ -149,6 +151,7 @@
         is_forward: bool,
         group: anyio.abc.TaskGroup,
     ) -> None:
+        """Forward data in a direction until either side closes, then cancel `group`."""
         is_reused = False
         try:
             while True:
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -132,7 +132,8 @@
     Action.REPLACE: 1,
     Action.PUBLISH: 1,
 }
-"""Without killed or paused VMs and link faults, since these excuse a lost answer."""
+"""Actions that don't kill or pause VMs and spare the links, since these faults excuse a
+lost answer."""
 
 WEIGHTS_BY_KIND = {
     Kind.MIXED: MIXED_WEIGHTS,
--- a/soak/plants.py
+++ b/soak/plants.py
@@ -19,7 +19,9 @@
 CORE_PATH = "packages/zinniastand-core/src/zinniastand_core"
 EDGE_PATH = "packages/zinniastand-proxy/src/zinniastand_proxy/edge"
 SUSPECT_PATH = f"{CORE_PATH}/quarantine/suspect.py"
-CRASH_LIMIT = "CRASHES_TO_QUARANTINE"
+CRASH_LIMIT_NAME = "CRASHES_TO_QUARANTINE"
+"""Constant in the file at `SUSPECT_PATH` that limits the crashes by a request."""
+
 MAX_SEEDS = 20
 """Seeds after which a plant counts as not caught."""
 
@@ -173,14 +175,20 @@
     Plant(
         "a request that crashes its targets goes on to many",
         "crashing",
-        (Replacement(SUSPECT_PATH, f"{CRASH_LIMIT} = 3", f"{CRASH_LIMIT} = 30"),),
+        (
+            Replacement(
+                SUSPECT_PATH, f"{CRASH_LIMIT_NAME} = 3", f"{CRASH_LIMIT_NAME} = 30"
+            ),
+        ),
         plan.Kind.CRASHES,
     ),
     Plant(
         "a request is kept from targets after one crash, answered or not",
         "denied",
         (
-            Replacement(SUSPECT_PATH, f"{CRASH_LIMIT} = 3", f"{CRASH_LIMIT} = 1"),
+            Replacement(
+                SUSPECT_PATH, f"{CRASH_LIMIT_NAME} = 3", f"{CRASH_LIMIT_NAME} = 1"
+            ),
             Replacement(
                 f"{EDGE_PATH}/request_run.py", "elif attempt.is_success:", "elif False:"
             ),
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -1,4 +1,4 @@
-"""Finds broken promises in the events of a soak: what must hold whatever fails."""
+"""Checks the ledger of a soak for promises that were broken, whatever has failed."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 """Requests that a target may get in a window in addition."""
 
 RETRY_BOUND = retry_audit.Bound(ratio=0.2, slack=20.0, span=10.0)
-"""Bound of the retries of each service. The slack is smaller than the default, since
+"""Bound of the retries of each service. The slack is smaller than usual, since
 the load of a soak is small."""
 
 SERVICES_BY_PREFIX = {
@@ -148,7 +148,7 @@
                 yield Breach("whole", f"{outcome.request_id}: success but no run")
         elif outcome.is_signed and outcome.status not in statuses:
             yield Breach(
-                "whole", f"{outcome.request_id}: {outcome.status} of no target"
+                "whole", f"{outcome.request_id}: no target answered {outcome.status}"
             )
 
 
@@ -216,9 +216,9 @@
             continue
         duration_s = outcome.ended_at - sent_request.sent_at
         bound_s = TIME_LIMIT_S + TIME_LIMIT_MARGIN_S + MARGIN_S
-        vms = {_name_vm(sent_request.vm)}
+        vm_names = {_name_vm(sent_request.vm)}
         if duration_s > bound_s and not _has_fault(
-            entries, vms, sent_request.sent_at - CALM_BEFORE_S, outcome.ended_at
+            entries, vm_names, sent_request.sent_at - CALM_BEFORE_S, outcome.ended_at
         ):
             yield Breach("time", f"{sent_request.request_id} took {duration_s:.1f} s")
 
@@ -236,7 +236,7 @@
         if request is None:
             continue
         remaining_s = TIME_LIMIT_S - (run.started_at - request.sent_at)
-        vms = {_name_vm(request.vm)}
+        vm_names = {_name_vm(request.vm)}
         if run.time_left <= remaining_s + TIME_LIMIT_MARGIN_S + MARGIN_S:
             continue
         if _has_fault(
@@ -244,7 +244,7 @@
         ):
             continue
         if not _has_fault(
-            entries, vms, request.sent_at - CALM_BEFORE_S, run.started_at
+            entries, vm_names, request.sent_at - CALM_BEFORE_S, run.started_at
         ):
             detail = (
                 f"{run.request_id}: target got {run.time_left:.1f} s,"
@@ -270,9 +270,9 @@
             or sent_request.request_id not in run_ids
         ):
             continue
-        vms = {_name_vm(sent_request.vm)}
+        vm_names = {_name_vm(sent_request.vm)}
         if not _has_fault(
-            entries, vms, sent_request.sent_at, outcome.ended_at, unplanned
+            entries, vm_names, sent_request.sent_at, outcome.ended_at, unplanned
         ):
             yield Breach("cut", f"{sent_request.request_id} ran but got no answer")
 
@@ -443,12 +443,10 @@
         and not sent.path.startswith(CRASHING_PREFIX)
     ]
     results = [entries.outcomes.get(sent.request_id) for sent in final_requests]
-    served_count = sum(1 for item in results if item is not None and item.status == 200)
-    awaited_count = sum(1 for item in results if item is None or not item.has_left)
-    if not final_requests or served_count < MIN_RECOVERED_SHARE * awaited_count:
-        yield Breach(
-            "recovery", f"{served_count} of {awaited_count} served after the last fault"
-        )
+    served = sum(1 for item in results if item is not None and item.status == 200)
+    awaited = sum(1 for item in results if item is None or not item.has_left)
+    if not final_requests or served < MIN_RECOVERED_SHARE * awaited:
+        yield Breach("recovery", f"{served} of {awaited} served after the last fault")
 
 
 def make_answer(request_id: str) -> bytes:
--- a/soak/run.py
+++ b/soak/run.py
@@ -156,7 +156,7 @@
                 for _ in range(count):
                     await self._start_target(service)
             operators.publish_configuration(self._store, self._entries)
-            await self._make_vms()
+            await self._create_vms()
             async with vms.killed_on_exit(self._vms):
                 await self._play_steps(steps)
             group.cancel_scope.cancel()
@@ -237,7 +237,7 @@
                 self._register(target, "ready")
 
     async def _apply_action(self, step: plan.Step) -> str:
-        """Carry out a step until its end; return the part that it affected."""
+        """Carry out a step until its end; return `affected` for its `FaultPeriod`."""
         vm = self._vms[step.index % len(self._vms)]
         match step.action:
             case (
@@ -276,7 +276,7 @@
         return "store"
 
     async def _apply_target_action(self, step: plan.Step) -> str:
-        """Carry out a step for a target; return the part that it affected."""
+        """Do the same for a step that concerns a target."""
         target = self._targets[step.index % len(self._targets)]
         match step.action:
             case plan.Action.TARGET:
@@ -376,7 +376,7 @@
         server = http_server.Server(app, configuration.Limits, _raise_unexpected)
         self._store_port = await self._group.start(server.serve, links.HOST, 0)
 
-    async def _make_vms(self) -> None:
+    async def _create_vms(self) -> None:
         for number in range(self._scenario.vm_count):
             link = links.Link(self._store_port)
             await self._group.start(link.serve)
--- a/soak/targets.py
+++ b/soak/targets.py
@@ -22,19 +22,18 @@
 """The same for a slow target."""
 
 HANG_S = 3600.0
-"""Seconds after which a request that gets no answer would be answered: longer than any
+"""Seconds for which a target holds a request that it never answers: longer than a
 soak."""
 
 CRASH_DELAY_S = 0.02
 """Seconds of work after which a request crashes its target."""
 
-
 LONG_WORK_S = 1.0
 """Seconds of work for a long request of an uneven target."""
 
 LONG_WORK_PERIOD = 5
-"""Number of requests of which an uneven target takes long for one: large enough that it
-is expected to be fast."""
+"""Number of requests of which an uneven target runs one slowly. The slow ones are few,
+so that the proxy expects a fast answer."""
 
 
 class TargetFault(enum.StrEnum):
@@ -120,9 +119,9 @@
         self._on_crash = on_crash
 
     def crash(self, path: str = "") -> None:
-        """Close all connections and stop listening, without leaving in the store.
+        """Close all connections, stop listening and write nothing to the store.
 
-        `path` is that of the request that crashes the target, empty if none does.
+        `path` is that of the request that crashes the target; empty if none does.
         """
         if self._has_crashed:
             return
