--- a/packages/zinniastand-standins/src/zinniastand_standins/loopback.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/loopback.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import contextlib
+import itertools
 import random
 import socket
 
@@ -14,13 +15,16 @@
 ephemeral port between its choice and its use, which made a test fail under load."""
 
 
+_candidates = itertools.cycle(random.SystemRandom().sample(PORTS, len(PORTS)))
+
+
 def find_free_port() -> int:
-    """Return a port that is free at the moment for both TCP and UDP."""
-    generator = random.SystemRandom()
-    while True:
-        port = generator.choice(PORTS)
-        if _is_free(port):
-            return port
+    """Return a port that is free at the moment for both TCP and UDP.
+
+    A process gets a port again only after all others: callers choose the ports of
+    several listeners before they bind the first, and no two may be the same.
+    """
+    return next(port for port in _candidates if _is_free(port))
 
 
 def _is_free(port: int) -> bool:
--- a/tests/standins/test_loopback.py
+++ b/tests/standins/test_loopback.py
@@ -18,3 +18,11 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as used:
         used.bind((loopback.HOST, 0))
         assert not loopback._is_free(used.getsockname()[1])
+
+
+def test_ports_chosen_before_any_is_bound_differ() -> None:
+    # A VM of the test site chooses the ports of all its listeners before it binds the
+    # first. With an equal pair its start fails with "address already in use".
+    ports = [loopback.find_free_port() for _ in range(len(loopback.PORTS) // 4)]
+
+    assert len(set(ports)) == len(ports)
