--- a/bench/retry_fleet.py
+++ b/bench/retry_fleet.py
@@ -134,7 +134,9 @@
         now = anyio.current_time()
         share = self.load.unreachable.find_share(now - self._begin)
         if self.registry.list_entries().index(target) < share * self.load.count:
-            return target_client.Attempt(plan.Result.UNREACHABLE, None, "refused")
+            return target_client.Attempt(
+                plan.AttemptResult.UNREACHABLE, None, "refused"
+            )
         mark_sent()
         headers = dict(request.headers)
         name = headers[words.HEADERS.request_id].decode()
@@ -142,18 +144,18 @@
         is_full = self._busy[target.target_id] >= 2 * target.slots
         if is_full or self._rng.random() < self.load.shed.find_share(now - self._begin):
             await anyio.sleep(FAIL_TIME)
-            return target_client.Attempt(plan.Result.TURNED_AWAY, None, "503")
+            return target_client.Attempt(plan.AttemptResult.TURNED_AWAY, None, "503")
         if self._rng.random() < self.load.failing.find_share(now - self._begin):
             await anyio.sleep(FAIL_TIME)
             answer = http_exchange.Answer(500, [], b"", True, b"")
-            return target_client.Attempt(plan.Result.ERROR, answer, "500")
+            return target_client.Attempt(plan.AttemptResult.ERROR, answer, "500")
         self._busy[target.target_id] += 1
         try:
             await anyio.sleep(self._draw_work(target))
         finally:
             self._busy[target.target_id] -= 1
         answer = http_exchange.Answer(200, [], b"", True, b"")
-        return target_client.Attempt(plan.Result.ANSWERED, answer, "200")
+        return target_client.Attempt(plan.AttemptResult.ANSWERED, answer, "200")
 
     def _draw_work(self, target: targets.Entry) -> float:
         mean = self.load.work
--- a/packages/zinniastand-core/src/zinniastand_core/forwarding/plan.py
+++ b/packages/zinniastand-core/src/zinniastand_core/forwarding/plan.py
@@ -15,7 +15,7 @@
 from ..deployment import configuration
 
 
-class Result(enum.StrEnum):
+class AttemptResult(enum.StrEnum):
     """How one attempt at a target ended."""
 
     ANSWERED = "answered"
@@ -37,7 +37,7 @@
     """No connection was established, so nothing was sent."""
 
 
-PROVED_NOT_RUN = frozenset({Result.TURNED_AWAY, Result.MISPLACED})
+PROVED_NOT_RUN = frozenset({AttemptResult.TURNED_AWAY, AttemptResult.MISPLACED})
 """Results that prove that a request, though sent, has not run."""
 
 MAX_UNCONNECTED_ATTEMPTS = 6
@@ -180,18 +180,18 @@
         """
         self._sent += 1
 
-    def end_attempt(self, result: Result, now: float) -> Step:
+    def end_attempt(self, result: AttemptResult, now: float) -> Step:
         """Record how an attempt ended; return the next step."""
         self._in_flight -= 1
-        if result is Result.ANSWERED:
+        if result is AttemptResult.ANSWERED:
             self._is_answered = True
-        if result is Result.UNREACHABLE:
+        if result is AttemptResult.UNREACHABLE:
             self._committed -= 1
         if result in PROVED_NOT_RUN:
             # The proof holds for this attempt only; another attempt of idempotent
             # work may have run.
             self._proved_not_run += 1
-        if result is Result.ERROR:
+        if result is AttemptResult.ERROR:
             self._has_error = True
         return self.decide_next(now)
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/attempt_ends.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/attempt_ends.py
@@ -10,12 +10,12 @@
 from . import request_recorder, run_dependencies
 
 OUTCOMES = {
-    plan.Result.ANSWERED: messages.Outcome.GOOD,
-    plan.Result.ERROR: messages.Outcome.FAILED,
-    plan.Result.BROKEN: messages.Outcome.FAILED,
-    plan.Result.TURNED_AWAY: messages.Outcome.SHED,
-    plan.Result.MISPLACED: messages.Outcome.MISPLACED,
-    plan.Result.UNREACHABLE: messages.Outcome.UNREACHABLE,
+    plan.AttemptResult.ANSWERED: messages.Outcome.GOOD,
+    plan.AttemptResult.ERROR: messages.Outcome.FAILED,
+    plan.AttemptResult.BROKEN: messages.Outcome.FAILED,
+    plan.AttemptResult.TURNED_AWAY: messages.Outcome.SHED,
+    plan.AttemptResult.MISPLACED: messages.Outcome.MISPLACED,
+    plan.AttemptResult.UNREACHABLE: messages.Outcome.UNREACHABLE,
 }
 
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
@@ -165,7 +165,7 @@
             # from the store would make every VM send work to leaving targets.
             attempt_ends.report(self._dependencies, slot, attempt_ends.UNUSED)
             now = anyio.current_time()
-            return self._plan.end_attempt(plan.Result.UNREACHABLE, now)
+            return self._plan.end_attempt(plan.AttemptResult.UNREACHABLE, now)
         overdue_at = self._find_overdue_at(slot.grant, anyio.current_time())
         if overdue_at < math.inf:
             return await self._attempt_with_backup(slot, target, overdue_at)
@@ -305,12 +305,14 @@
             )
         except Exception as error:
             self._dependencies.recorder.log_error(self._request_id, error)
-            return target_client.Attempt(plan.Result.BROKEN, None, UNEXPECTED_ERROR)
+            return target_client.Attempt(
+                plan.AttemptResult.BROKEN, None, UNEXPECTED_ERROR
+            )
 
     def _handle_end(
         self, attempt: target_client.Attempt, target: targets.Entry, now: float
     ) -> plan.Step:
-        if attempt.result is plan.Result.UNREACHABLE:
+        if attempt.result is plan.AttemptResult.UNREACHABLE:
             self._dependencies.unreachable.record(target.target_id, now)
         if not self._plan.is_answered:
             self._why = attempt.detail
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_client.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_client.py
@@ -78,7 +78,7 @@
 class Attempt:
     """Outcome of one attempt."""
 
-    result: plan.Result
+    result: plan.AttemptResult
     """What it means for the request."""
 
     answer: http_exchange.Answer | None
@@ -197,7 +197,7 @@
         """
         connection = await self._acquire(target, request, work)
         if connection is None:
-            return Attempt(plan.Result.UNREACHABLE, None, "no connection")
+            return Attempt(plan.AttemptResult.UNREACHABLE, None, "no connection")
         is_reused = not connection.is_new
         mark_sent()
         attempt = await self._exchange(target, connection, request)
@@ -227,7 +227,7 @@
         attempt = await self._exchange(target, connection, request)
         if attempt.result in plan.PROVED_NOT_RUN:
             detail = f"{first.detail}, then {attempt.detail}"
-            return Attempt(plan.Result.BROKEN, None, detail, is_resent=True)
+            return Attempt(plan.AttemptResult.BROKEN, None, detail, is_resent=True)
         return dataclasses.replace(attempt, is_resent=True)
 
     def list_connected_targets(self, work: services.Work, now: float) -> list[str]:
@@ -278,7 +278,7 @@
             ):
                 self.unidentified_answers += 1
             is_pooled = (
-                attempt.result is not plan.Result.BROKEN
+                attempt.result is not plan.AttemptResult.BROKEN
                 and answer.is_reusable
                 and request.method != UNPOOLED_METHOD
             )
@@ -289,7 +289,7 @@
             is_late = anyio.current_time() > stale_until
             has_begun = exchange.has_answer_begun or is_late
             return Attempt(
-                plan.Result.BROKEN,
+                plan.AttemptResult.BROKEN,
                 None,
                 str(error),
                 may_have_begun=has_begun,
@@ -309,25 +309,31 @@
             or status == MISPLACED_STATUS
         ):
             if status == MISPLACED_STATUS:
-                return Attempt(plan.Result.MISPLACED, None, "another target's address")
-            return Attempt(plan.Result.TURNED_AWAY, None, f"turned away with {status}")
+                return Attempt(
+                    plan.AttemptResult.MISPLACED, None, "another target's address"
+                )
+            return Attempt(
+                plan.AttemptResult.TURNED_AWAY, None, f"turned away with {status}"
+            )
         if answer.find(b"content-encoding") is not None:
-            return Attempt(plan.Result.BROKEN, None, "an encoded body")
+            return Attempt(plan.AttemptResult.BROKEN, None, "an encoded body")
         if status in SUCCESS_STATUSES:
             if answer_id is None:
                 return Attempt(
-                    plan.Result.BROKEN, None, "a success that names no request"
+                    plan.AttemptResult.BROKEN, None, "a success that names no request"
                 )
             if answer.find(self._header_names.signature) is None:
-                return Attempt(plan.Result.BROKEN, None, "a success without signature")
-            return Attempt(plan.Result.ANSWERED, answer, str(status))
+                return Attempt(
+                    plan.AttemptResult.BROKEN, None, "a success without signature"
+                )
+            return Attempt(plan.AttemptResult.ANSWERED, answer, str(status))
         if status in NOT_RUN_STATUSES:
             # These statuses would promise the caller that its request has not run. The
             # target's answer does not prove that.
-            return Attempt(plan.Result.BROKEN, None, f"{status} without proof")
+            return Attempt(plan.AttemptResult.BROKEN, None, f"{status} without proof")
         if status >= MIN_SERVER_ERROR_STATUS:
-            return Attempt(plan.Result.ERROR, answer, str(status))
-        return Attempt(plan.Result.ANSWERED, answer, str(status))
+            return Attempt(plan.AttemptResult.ERROR, answer, str(status))
+        return Attempt(plan.AttemptResult.ANSWERED, answer, str(status))
 
     def _read_rate_limit(self, answer: http_exchange.Answer) -> float | None:
         """Return the rate limit that an answer states, in requests per second.
--- a/tests/edge/test_crash_check.py
+++ b/tests/edge/test_crash_check.py
@@ -35,7 +35,7 @@
         request = http_exchange.Request(b"GET", b"/x", [(b"host", b"h")], b"", False)
         work = services.Work.AT_MOST_ONCE
         seen = await client.attempt(target, request, work, lambda: None)
-        assert (seen.result, seen.is_cut) == (plan.Result.BROKEN, True)
+        assert (seen.result, seen.is_cut) == (plan.AttemptResult.BROKEN, True)
         now = anyio.current_time()
         assert not await crash_check.CrashCheck().is_down(target, now)
         group.cancel_scope.cancel()
--- a/tests/edge/test_earned_retries.py
+++ b/tests/edge/test_earned_retries.py
@@ -11,7 +11,7 @@
 from zinniastand_core.dispatch import messages
 from zinniastand_core.forwarding import plan
 
-Result = plan.Result
+Result = plan.AttemptResult
 
 
 class RecordingSlots(scripted_run.ScriptedSlots):
--- a/tests/edge/test_request_run.py
+++ b/tests/edge/test_request_run.py
@@ -11,13 +11,13 @@
 from zinniastand_core.dispatch import messages
 from zinniastand_core.forwarding import plan
 
-Result = plan.Result
+Result = plan.AttemptResult
 FAILURES = [one for one in Result if one is not Result.ANSWERED]
 
 
 @pytest.mark.parametrize("result", FAILURES)
 def test_overdue_attempt_continues_until_its_backup_is_answered(
-    result: plan.Result,
+    result: plan.AttemptResult,
 ) -> None:
     # Guards against cancelling the overdue attempt in favour of its backup: the backup
     # fails, and the caller would get 502, or the error of the backup, although the
--- a/tests/edge/test_run_races.py
+++ b/tests/edge/test_run_races.py
@@ -19,7 +19,7 @@
     target_client,
 )
 
-Result = plan.Result
+Result = plan.AttemptResult
 
 
 class TimedTargets(runs.ScriptedTargets):
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize("last", [Result.ANSWERED, Result.ERROR])
 def test_answer_is_relayed_if_nested_backup_fails_in_same_loop_iteration(
-    last: plan.Result,
+    last: plan.AttemptResult,
 ) -> None:
     # Of three concurrent attempts, the second fails in the loop iteration in which the
     # first is answered. Guards against the step of the nested task group ("wait")
@@ -189,7 +189,7 @@
 class EndingTogether(runs.ScriptedTargets):
     """The second attempt fails in the loop iteration in which the first is answered."""
 
-    def __init__(self, last: plan.Result) -> None:
+    def __init__(self, last: plan.AttemptResult) -> None:
         super().__init__({"t3": runs.Script(Result.BROKEN, 0.01)})
         self._last = last
         self.second_ends = anyio.Event()
@@ -218,7 +218,7 @@
 @pytest.mark.anyio
 @pytest.mark.parametrize("last", [Result.ANSWERED, Result.ERROR])
 async def test_answer_is_relayed_if_nested_backup_fails_at_once_on_asyncio(
-    last: plan.Result,
+    last: plan.AttemptResult,
 ) -> None:
     # The same race as above on asyncio, which the daemon uses, with a fixed order.
     exchange = EndingTogether(last)
--- a/tests/edge/test_stop_corners.py
+++ b/tests/edge/test_stop_corners.py
@@ -300,8 +300,8 @@
     # abandoned. The target states that it did not run it, but nobody waits for the
     # answer any more.
     scripts = {
-        "t1": scripted_run.Script(plan.Result.TURNED_AWAY, 0.3),
-        "t2": scripted_run.Script(plan.Result.ANSWERED, 0.1),
+        "t1": scripted_run.Script(plan.AttemptResult.TURNED_AWAY, 0.3),
+        "t2": scripted_run.Script(plan.AttemptResult.ANSWERED, 0.1),
     }
     slots = scripted_run.ScriptedSlots(list(scripts))
     exchange = scripted_run.ScriptedTargets(scripts)
@@ -324,7 +324,7 @@
 def test_target_is_not_blamed_for_a_request_cut_off_by_a_stop() -> None:
     # The process ends long before the deadline of a request and before its answer.
     # Reporting the target as silent would count as a failure of the target.
-    scripts = {"t1": scripted_run.Script(plan.Result.ANSWERED, 1.5)}
+    scripts = {"t1": scripted_run.Script(plan.AttemptResult.ANSWERED, 1.5)}
     seen = scripted_run.play(scripts, services.Work.AT_MOST_ONCE, ends_at=0.3)
     assert seen.cancelled == ("t1",)
     assert seen.outcomes == (messages.Outcome.ABANDONED,)
@@ -357,7 +357,7 @@
     # may follow; then the first is sent too. When the second becomes overdue, the
     # number of targets allowed by the route must be checked again.
     scripts = {
-        name: scripted_run.Script(plan.Result.ANSWERED, 1.2)
+        name: scripted_run.Script(plan.AttemptResult.ANSWERED, 1.2)
         for name in ("t1", "t2", "t3")
     }
     slots, exchange = scripted_run.ScriptedSlots(list(scripts)), ConnectsSlowly(scripts)
--- a/tests/edge/test_target_client.py
+++ b/tests/edge/test_target_client.py
@@ -89,7 +89,7 @@
 async def test_complete_signed_answer_counts() -> None:
     async with run_target(answer_with(GOOD)) as target:
         found = await attempt(target)
-    assert found.result is plan.Result.ANSWERED
+    assert found.result is plan.AttemptResult.ANSWERED
     assert found.answer is not None
     assert found.answer.body == b"ok"
 
@@ -112,7 +112,7 @@
     # refusal without proof must not become a promise that the request has not run.
     async with run_target(answer_with(answer)) as target:
         found = await attempt(target)
-    assert found.result is plan.Result.BROKEN
+    assert found.result is plan.AttemptResult.BROKEN
     assert found.answer is None
 
 
@@ -122,7 +122,7 @@
     unnamed = GOOD.replace(b"X-Request-Id: id-1\r\n", b"")
     async with run_target(answer_with(unnamed)) as target:
         found = await attempt(target)
-    assert found.result is plan.Result.BROKEN
+    assert found.result is plan.AttemptResult.BROKEN
     assert found.detail == "a success that names no request"
 
 
@@ -133,7 +133,11 @@
     async with run_target(answer_with(unnamed, unnamed, GOOD)) as target:
         client = target_client.TargetClient(words.HEADERS)
         found = [(await attempt(target, client)).result for _ in range(3)]
-    assert found == [plan.Result.ERROR, plan.Result.ERROR, plan.Result.ANSWERED]
+    assert found == [
+        plan.AttemptResult.ERROR,
+        plan.AttemptResult.ERROR,
+        plan.AttemptResult.ANSWERED,
+    ]
     assert client.unidentified_answers == 1
 
 
@@ -144,7 +148,7 @@
 
     async with run_target(script) as target:
         found = await attempt(target)
-    assert found.result is plan.Result.ANSWERED
+    assert found.result is plan.AttemptResult.ANSWERED
     assert found.answer is not None
     assert found.answer.body == b"whole"
 
@@ -162,7 +166,7 @@
 
     async with run_target(script) as target:
         found = await attempt(target)
-    assert found.result is plan.Result.BROKEN
+    assert found.result is plan.AttemptResult.BROKEN
 
 
 async def test_late_answer_to_an_earlier_request_is_skipped() -> None:
@@ -170,7 +174,7 @@
     # an earlier request where the next answer is expected.
     async with run_target(answer_with(LATE + GOOD)) as target:
         found = await attempt(target)
-    assert found.result is plan.Result.ANSWERED
+    assert found.result is plan.AttemptResult.ANSWERED
 
 
 async def test_late_answer_does_not_end_the_wait_for_the_own_answer() -> None:
@@ -192,7 +196,7 @@
     async with run_target(script) as target:
         client = target_client.TargetClient(words.HEADERS)
         found = await attempt(target, client)
-    assert found.result is plan.Result.ANSWERED
+    assert found.result is plan.AttemptResult.ANSWERED
     assert not was_aborted
     assert client.foreign_answers == 1
 
@@ -240,7 +244,7 @@
 
     async with run_target(script) as target:
         found = await attempt(target, body=body)
-    assert found.result is plan.Result.ANSWERED
+    assert found.result is plan.AttemptResult.ANSWERED
 
 
 async def test_connection_that_a_late_answer_closes_is_not_reused() -> None:
@@ -251,7 +255,7 @@
         client = target_client.TargetClient(words.HEADERS)
         for _ in range(2):
             found = await attempt(target, client)
-            assert found.result is plan.Result.ANSWERED
+            assert found.result is plan.AttemptResult.ANSWERED
         assert client.opened_connections == 2
 
 
@@ -278,7 +282,7 @@
         client = target_client.TargetClient(words.HEADERS)
         for method in methods:
             found = await attempt(target, client, method=method)
-            assert found.result is plan.Result.ANSWERED
+            assert found.result is plan.AttemptResult.ANSWERED
     assert last == methods[-1]
     assert client.opened_connections == 2
 
@@ -288,10 +292,10 @@
     # its deadline, and none of those answers may reach the caller.
     most = http_exchange.MAX_FOREIGN_ANSWERS
     async with run_target(answer_with(LATE * most + GOOD)) as target:
-        assert (await attempt(target)).result is plan.Result.ANSWERED
+        assert (await attempt(target)).result is plan.AttemptResult.ANSWERED
     async with run_target(answer_with(LATE * (most + 1) + GOOD)) as target:
         found = await attempt(target)
-    assert found.result is plan.Result.BROKEN
+    assert found.result is plan.AttemptResult.BROKEN
     assert found.answer is None
 
 
@@ -300,7 +304,7 @@
         client = target_client.TargetClient(words.HEADERS)
         for _ in range(2):
             found = await attempt(target, client)
-            assert found.result is plan.Result.ANSWERED
+            assert found.result is plan.AttemptResult.ANSWERED
         assert client.opened_connections == 2
 
 
@@ -324,7 +328,7 @@
     async with run_target(answer_with(GOOD, GOOD, GOOD)) as target:
         client = target_client.TargetClient(words.HEADERS)
         for _ in range(3):
-            assert (await attempt(target, client)).result is plan.Result.ANSWERED
+            assert (await attempt(target, client)).result is plan.AttemptResult.ANSWERED
         assert client.opened_connections == 1
 
 
@@ -352,7 +356,7 @@
         work = services.Work.IDEMPOTENT
         first = await attempt(target, client, work)
         second = await attempt(target, client, work)
-    assert second.result is plan.Result.ANSWERED
+    assert second.result is plan.AttemptResult.ANSWERED
     assert (first.is_resent, second.is_resent) == (False, True)
 
 
@@ -379,7 +383,7 @@
         await attempt(target, client, work)
         found = await attempt(target, client, work)
     assert connections == 2
-    assert found.result is plan.Result.BROKEN
+    assert found.result is plan.AttemptResult.BROKEN
     assert found.is_resent
     assert "then" in found.detail
 
@@ -397,9 +401,11 @@
     async with run_target(script) as target:
         client = target_client.TargetClient(words.HEADERS)
         work = services.Work.IDEMPOTENT
-        assert (await attempt(target, client, work)).result is plan.Result.ANSWERED
+        assert (
+            await attempt(target, client, work)
+        ).result is plan.AttemptResult.ANSWERED
         found = await attempt(gone, client, work)
-    assert found.result is plan.Result.BROKEN
+    assert found.result is plan.AttemptResult.BROKEN
     assert "then" in found.detail
 
 
@@ -407,9 +413,9 @@
     refused = b"HTTP/1.1 503 No\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
     other = b"HTTP/1.1 421 No\r\nX-Instance-Id: t9\r\nContent-Length: 0\r\n\r\n"
     async with run_target(answer_with(refused)) as target:
-        assert (await attempt(target)).result is plan.Result.TURNED_AWAY
+        assert (await attempt(target)).result is plan.AttemptResult.TURNED_AWAY
     async with run_target(answer_with(other)) as target:
-        assert (await attempt(target)).result is plan.Result.MISPLACED
+        assert (await attempt(target)).result is plan.AttemptResult.MISPLACED
 
 
 async def test_target_that_does_not_listen_is_unreachable_and_gets_nothing() -> None:
@@ -420,7 +426,7 @@
     found = await client.attempt(
         target, make_request(), services.Work.AT_MOST_ONCE, lambda: sent.append("x")
     )
-    assert found.result is plan.Result.UNREACHABLE
+    assert found.result is plan.AttemptResult.UNREACHABLE
     assert sent == []
 
 
@@ -437,7 +443,7 @@
         body = b"x" * 20_000_000
         for _ in range(2):
             found = await attempt(target, client, body=body)
-            assert found.result is plan.Result.ANSWERED
+            assert found.result is plan.AttemptResult.ANSWERED
         assert client.opened_connections == 2
 
 
@@ -448,7 +454,7 @@
 
     async with run_target(script) as target:
         found = await attempt(target, body=b"x" * 100_000)
-    assert found.result is plan.Result.BROKEN
+    assert found.result is plan.AttemptResult.BROKEN
 
 
 @pytest.mark.parametrize(
@@ -477,7 +483,7 @@
     async with run_target(script) as target:
         await attempt(target, client, services.Work.IDEMPOTENT)
         second = await attempt(target, client, services.Work.IDEMPOTENT)
-    assert second.result is plan.Result.BROKEN
+    assert second.result is plan.AttemptResult.BROKEN
     assert connections == 1
 
 
@@ -496,7 +502,7 @@
             group.start_soon(send)
             await anyio.lowlevel.checkpoint()
             time.sleep(0.5)
-        assert seen[0].result is plan.Result.ANSWERED
+        assert seen[0].result is plan.AttemptResult.ANSWERED
 
 
 async def test_targets_are_listed_while_a_connection_may_carry_the_work(
--- a/tests/forwarding/test_plan.py
+++ b/tests/forwarding/test_plan.py
@@ -10,7 +10,7 @@
 from zinniastand_core.deployment import configuration
 from zinniastand_core.forwarding import plan
 
-Result, Step = plan.Result, plan.Step
+Result, Step = plan.AttemptResult, plan.Step
 NOT_RUN = {Result.TURNED_AWAY, Result.MISPLACED, Result.UNREACHABLE}
 
 
@@ -29,7 +29,7 @@
     return plan.Plan(route, plan.Deadlines(objective_at=0.5, deadline_at=1.0))
 
 
-def attempt(one: plan.Plan, result: plan.Result, now: float = 0.1) -> plan.Step:
+def attempt(one: plan.Plan, result: plan.AttemptResult, now: float = 0.1) -> plan.Step:
     one.start_attempt(f"t{one.attempts}")
     if result is not Result.UNREACHABLE:
         one.mark_sent()
@@ -37,7 +37,9 @@
 
 
 @pytest.mark.parametrize("result", [Result.BROKEN, Result.ERROR])
-def test_work_that_may_have_run_goes_to_no_second_target(result: plan.Result) -> None:
+def test_work_that_may_have_run_goes_to_no_second_target(
+    result: plan.AttemptResult,
+) -> None:
     # The target accepted the request and gave no complete answer, or a failure.
     # A second target could run it again, and one order would become two.
     one = make_plan(services.Work.AT_MOST_ONCE)
@@ -48,7 +50,9 @@
 @pytest.mark.parametrize(
     "result", [Result.TURNED_AWAY, Result.MISPLACED, Result.UNREACHABLE]
 )
-def test_work_proved_not_to_have_run_is_tried_elsewhere(result: plan.Result) -> None:
+def test_work_proved_not_to_have_run_is_tried_elsewhere(
+    result: plan.AttemptResult,
+) -> None:
     one = make_plan(services.Work.AT_MOST_ONCE)
     assert attempt(one, result) is Step.TRY_AGAIN
     assert one.excluded == ("t0",)
@@ -85,7 +89,7 @@
     results=st.lists(st.sampled_from(list(Result)), min_size=1, max_size=12),
 )
 def test_promises_hold_for_any_results(
-    work: services.Work, most: int, results: list[plan.Result]
+    work: services.Work, most: int, results: list[plan.AttemptResult]
 ) -> None:
     one = make_plan(work, most)
     runs = 0
@@ -112,7 +116,7 @@
     "result", [Result.TURNED_AWAY, Result.MISPLACED, Result.BROKEN, Result.ERROR]
 )
 def test_plan_waits_for_the_first_attempt_when_its_backup_fails(
-    result: plan.Result,
+    result: plan.AttemptResult,
 ) -> None:
     # Idempotent work is overdue at one target, and the backup fails. The first target
     # still works on it: an error now would be wrong, since its answer may come.
@@ -160,7 +164,7 @@
     ),
 )
 def test_no_final_error_while_an_attempt_is_in_flight(
-    most: int, moves: list[tuple[int, plan.Result] | None]
+    most: int, moves: list[tuple[int, plan.AttemptResult] | None]
 ) -> None:
     # A move without a result starts one more attempt; the others end one of those in
     # flight, in any order.
--- a/tests/forwarding/test_suspended_plan.py
+++ b/tests/forwarding/test_suspended_plan.py
@@ -62,17 +62,20 @@
         self.ran.append(data.draw(st.sampled_from(self._list_idle())))
 
     @stateful.precondition(lambda self: self.at_work and self.final is None)
-    @stateful.rule(result=st.sampled_from(list(plan.Result)))
-    def attempt_ends(self, result: plan.Result) -> None:
+    @stateful.rule(result=st.sampled_from(list(plan.AttemptResult)))
+    def attempt_ends(self, result: plan.AttemptResult) -> None:
         name = self.at_work
         assert name is not None
-        if result is plan.Result.UNREACHABLE:
+        if result is plan.AttemptResult.UNREACHABLE:
             return  # Nothing was sent, so a sent attempt can't end so.
         proves_not_run = result in plan.PROVED_NOT_RUN
         has_run = name in self.ran
         if proves_not_run and has_run:
             return  # A target doesn't refuse what it has run.
-        if result in (plan.Result.ANSWERED, plan.Result.ERROR) and not has_run:
+        if (
+            result in (plan.AttemptResult.ANSWERED, plan.AttemptResult.ERROR)
+            and not has_run
+        ):
             self.ran.append(name)
         if proves_not_run:
             self.turned_away.append(name)
--- a/tests/scripted_run.py
+++ b/tests/scripted_run.py
@@ -31,7 +31,7 @@
 """Expected duration in seconds. An attempt at a target that surely works is overdue
 after four times this duration."""
 
-Result = plan.Result
+Result = plan.AttemptResult
 NOT_SENT = {Result.UNREACHABLE}
 
 
@@ -39,7 +39,7 @@
 class Script:
     """Behaviour of one target."""
 
-    result: plan.Result
+    result: plan.AttemptResult
     """How the attempt ends."""
 
     after: float
