--- a/packages/zinniastand-core/src/zinniastand_core/forwarding/plan.py
+++ b/packages/zinniastand-core/src/zinniastand_core/forwarding/plan.py
@@ -50,7 +50,7 @@
 work."""
 
 
-class Step(enum.StrEnum):
+class NextStep(enum.StrEnum):
     """Next step of a request."""
 
     TRY_AGAIN = "try-again"
@@ -180,7 +180,7 @@
         """
         self._sent += 1
 
-    def end_attempt(self, result: AttemptResult, now: float) -> Step:
+    def end_attempt(self, result: AttemptResult, now: float) -> NextStep:
         """Record how an attempt ended; return the next step."""
         self._in_flight -= 1
         if result is AttemptResult.ANSWERED:
@@ -199,27 +199,27 @@
         """Record that an attempt was cancelled before it ended."""
         self._in_flight -= 1
 
-    def decide_next(self, now: float) -> Step:
+    def decide_next(self, now: float) -> NextStep:
         """Return the next step by what is known at `now`."""
         if not self._is_answered and self._may_try_again(now):
-            return Step.TRY_AGAIN
+            return NextStep.TRY_AGAIN
         return self.give_up()
 
-    def give_up(self) -> Step:
+    def give_up(self) -> NextStep:
         """Return the next step if no further target will be tried.
 
         An attempt in flight may still be answered. Ending the request before that would
         give its caller an error while a target is working on it.
         """
         if self._in_flight and not self._is_answered:
-            return Step.WAIT
+            return NextStep.WAIT
         return self.decide_final()
 
-    def decide_final(self) -> Step:
+    def decide_final(self) -> NextStep:
         """Return the final answer, without waiting for attempts in flight."""
         if self._is_answered or self._has_error:
-            return Step.RELAY
-        return Step.ANSWER_UNKNOWN if self.may_have_run else Step.ANSWER_NOT_RUN
+            return NextStep.RELAY
+        return NextStep.ANSWER_UNKNOWN if self.may_have_run else NextStep.ANSWER_NOT_RUN
 
     def _may_try_again(self, now: float) -> bool:
         if now + MIN_TIME_LEFT_S >= self.deadlines.deadline_at:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
@@ -137,14 +137,14 @@
         """
         return self._plan.is_idempotent or not self._plan.may_have_run
 
-    async def _try_targets(self) -> plan.Step:
+    async def _try_targets(self) -> plan.NextStep:
         """Try targets one after the other; return the step that ends the attempts."""
-        step = plan.Step.TRY_AGAIN
-        while step is plan.Step.TRY_AGAIN:
+        step = plan.NextStep.TRY_AGAIN
+        while step is plan.NextStep.TRY_AGAIN:
             step = await self._try_once()
         return step
 
-    async def _try_once(self) -> plan.Step:
+    async def _try_once(self) -> plan.NextStep:
         self._dependencies.check_suspension()
         if self._incoming.caller.has_disconnected and self._may_cancel():
             return self._plan.give_up()
@@ -219,14 +219,14 @@
 
     async def _attempt_with_backup(
         self, slot: attempt_ends.HeldSlot, target: targets.Entry, overdue_at: float
-    ) -> plan.Step:
+    ) -> plan.NextStep:
         """Send an attempt; once it is overdue, try other targets in parallel.
 
         The first answer ends all attempts. The overdue attempt is not cancelled before
         there is an answer: if the backup failed, the caller would get 502 although the
         first target was still working.
         """
-        step = plan.Step.WAIT
+        step = plan.NextStep.WAIT
         is_overdue = False
         async with anyio.create_task_group() as group:
 
@@ -240,11 +240,11 @@
             await anyio.sleep_until(overdue_at)
             is_overdue = True
             step = self._plan.decide_next(anyio.current_time())
-            if step is plan.Step.TRY_AGAIN:
+            if step is plan.NextStep.TRY_AGAIN:
                 step = await self._try_targets()
             if self._plan.is_answered:
                 group.cancel_scope.cancel()
-        if step is plan.Step.WAIT or self._plan.is_answered:
+        if step is plan.NextStep.WAIT or self._plan.is_answered:
             # Attempts that end in the same iteration of the event loop may update the
             # plan in any order, so that `step` may be outdated.
             return self._plan.decide_next(anyio.current_time())
@@ -252,7 +252,7 @@
 
     async def _attempt(
         self, slot: attempt_ends.HeldSlot, target: targets.Entry, overdue_at: float
-    ) -> plan.Step:
+    ) -> plan.NextStep:
         """Send to one target; report, record and handle the result."""
         started = anyio.current_time()
         outcome, why = messages.Outcome.ABANDONED, CALLER_LEFT
@@ -311,7 +311,7 @@
 
     def _handle_end(
         self, attempt: target_client.Attempt, target: targets.Entry, now: float
-    ) -> plan.Step:
+    ) -> plan.NextStep:
         if attempt.result is plan.AttemptResult.UNREACHABLE:
             self._dependencies.unreachable.record(target.target_id, now)
         if not self._plan.is_answered:
@@ -337,7 +337,7 @@
     def _find_deadline_reason(self) -> str:
         return STOPPING if self._is_ending else DEADLINE
 
-    def _finish(self, step: plan.Step) -> calls.Reply:
+    def _finish(self, step: plan.NextStep) -> calls.Reply:
         now = anyio.current_time()
         reply = self._make_reply(step, now)
         duration = now - self._incoming.first_byte_at
@@ -355,11 +355,11 @@
         )
         return reply
 
-    def _make_reply(self, step: plan.Step, now: float) -> calls.Reply:
-        if step is plan.Step.RELAY and self._answer is not None:
+    def _make_reply(self, step: plan.NextStep, now: float) -> calls.Reply:
+        if step is plan.NextStep.RELAY and self._answer is not None:
             headers = http_exchange.strip_connection_headers(self._answer.headers)
             return calls.Reply(self._answer.status, headers, self._answer.body)
-        if step is plan.Step.ANSWER_NOT_RUN:
+        if step is plan.NextStep.ANSWER_NOT_RUN:
             return replies.make_problem_reply(
                 503, self._why, self._find_retry_after(now)
             )
--- a/tests/edge/test_target_proof.py
+++ b/tests/edge/test_target_proof.py
@@ -62,7 +62,7 @@
     # connection, where the target refuses it. Only the second sending has not run.
     breaking = BreakingTarget()
     one = plan.Plan(runs.make_route(WORK, 1), plan.Deadlines(1.0, 2.0))
-    step = plan.Step.TRY_AGAIN
+    step = plan.NextStep.TRY_AGAIN
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
     port = listener.extra(anyio.abc.SocketAttribute.local_port)
     async with listener, anyio.create_task_group() as group:
@@ -76,4 +76,4 @@
         step = one.end_attempt(second.result, 0.1)
         group.cancel_scope.cancel()
     assert breaking.ran == 2
-    assert step is not plan.Step.ANSWER_NOT_RUN
+    assert step is not plan.NextStep.ANSWER_NOT_RUN
--- a/tests/forwarding/test_plan.py
+++ b/tests/forwarding/test_plan.py
@@ -10,7 +10,7 @@
 from zinniastand_core.deployment import configuration
 from zinniastand_core.forwarding import plan
 
-Result, Step = plan.AttemptResult, plan.Step
+Result, Step = plan.AttemptResult, plan.NextStep
 NOT_RUN = {Result.TURNED_AWAY, Result.MISPLACED, Result.UNREACHABLE}
 
 
@@ -29,7 +29,9 @@
     return plan.Plan(route, plan.Deadlines(objective_at=0.5, deadline_at=1.0))
 
 
-def attempt(one: plan.Plan, result: plan.AttemptResult, now: float = 0.1) -> plan.Step:
+def attempt(
+    one: plan.Plan, result: plan.AttemptResult, now: float = 0.1
+) -> plan.NextStep:
     one.start_attempt(f"t{one.attempts}")
     if result is not Result.UNREACHABLE:
         one.mark_sent()
--- a/tests/forwarding/test_suspended_plan.py
+++ b/tests/forwarding/test_suspended_plan.py
@@ -10,7 +10,7 @@
 from zinniastand_core.deployment import configuration
 from zinniastand_core.forwarding import plan
 
-Step = plan.Step
+Step = plan.NextStep
 
 
 class SuspendedRequest(stateful.RuleBasedStateMachine):
