--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/retry_window.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/retry_window.py
@@ -38,7 +38,7 @@
 once dispatched for itself."""
 
 
-class Basis(enum.Enum):
+class CountScope(enum.Enum):
     """Which counts allow retries."""
 
     ALL = enum.auto()
@@ -93,7 +93,7 @@
         Length of the window in seconds.
     counter : str, optional
         Name of this counter among all counters of the service.
-    read_basis : callable, optional
+    read_count_scope : callable, optional
         Returns which counts currently allow retries.
     """
 
@@ -103,11 +103,13 @@
         read_slack: collections.abc.Callable[[], float],
         span: float,
         counter: str = "",
-        read_basis: collections.abc.Callable[[], Basis] = lambda: Basis.ALL,
+        read_count_scope: collections.abc.Callable[[], CountScope] = lambda: (
+            CountScope.ALL
+        ),
     ) -> None:
         self._ratio = ratio
         self._read_slack = read_slack
-        self._read_basis = read_basis
+        self._read_count_scope = read_count_scope
         self._span = span
         self._counter = counter
         self._newest = 0
@@ -118,7 +120,7 @@
         self._others: dict[str, dict[int, tuple[float, Bucket]]] = {}
         self._received = ([0] * KEPT_BUCKETS, [0] * KEPT_BUCKETS)
         self._room: float | None = None
-        self._basis = Basis.ALL
+        self._count_scope = CountScope.ALL
         self._spent = 0
         self.unsent_retries = 0
         """Retries granted since counts were last sent to the others."""
@@ -244,14 +246,14 @@
         Requests of the newest bucket count from the next one on.
         """
         self._advance_to(now)
-        basis = self._read_basis()
-        if self._room is None or self._basis is not basis:
-            self._basis = basis
+        scope = self._read_count_scope()
+        if self._room is None or self._count_scope is not scope:
+            self._count_scope = scope
             requests, retries = self._requests, self._retries
-            if basis is not Basis.OWN:
+            if scope is not CountScope.OWN:
                 requests = _add_up(requests, self._received[0])
                 retries = _add_up(retries, self._received[1])
-            if basis is Basis.NONE:
+            if scope is CountScope.NONE:
                 requests = [0] * KEPT_BUCKETS
             self._spent = sum(retries[-BUCKETS_PER_WINDOW:])
             self._room = self._find_room(requests, retries)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
@@ -136,7 +136,7 @@
                 lambda: self._find_slack(service),
                 self._budget.window,
                 self._counter,
-                lambda: self._choose_basis(service),
+                lambda: self._choose_count_scope(service),
             )
         return window
 
@@ -242,12 +242,12 @@
             share /= self._fleet.count()
         return share * self._budget.slack
 
-    def _choose_basis(self, service: str) -> retry_window.Basis:
+    def _choose_count_scope(self, service: str) -> retry_window.CountScope:
         if self._is_alone(service):
-            return retry_window.Basis.OWN
+            return retry_window.CountScope.OWN
         if self._is_fully_informed(service, anyio.current_time()):
-            return retry_window.Basis.ALL
-        return retry_window.Basis.NONE
+            return retry_window.CountScope.ALL
+        return retry_window.CountScope.NONE
 
     def _is_fully_informed(self, service: str, now: float) -> bool:
         """Return whether this VM knows all retries granted within the window.
--- a/tests/dispatch/test_retry_window.py
+++ b/tests/dispatch/test_retry_window.py
@@ -12,8 +12,8 @@
 SPAN = 2.0
 
 
-def find_own() -> retry_window.Basis:
-    return retry_window.Basis.OWN
+def find_own() -> retry_window.CountScope:
+    return retry_window.CountScope.OWN
 
 
 @hypothesis.given(
