--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
@@ -290,7 +290,9 @@
                 state.update_failure_estimate(failed=False, now=now)
                 self._service_level.add(is_served=True, now=now)
                 if granted is not None:
-                    self._update_durations(state, granted.ask.kind, report.took, now)
+                    self._update_durations(
+                        state, granted.ask.kind, report.duration, now
+                    )
             case messages.Outcome.FAILED | messages.Outcome.SILENT:
                 state.update_failure_estimate(failed=True, now=now)
                 if granted is None or not granted.ask.may_retry:
@@ -324,7 +326,7 @@
             state.limit.set_rate(rate, now)
 
     def _update_durations(
-        self, state: pool.TargetState, kind: str, took: float, now: float
+        self, state: pool.TargetState, kind: str, duration: float, now: float
     ) -> None:
         """Update the duration of the kind of work separately from the target's
         slowness.
@@ -335,9 +337,9 @@
         """
         slowness = state.find_slowness(now)
         mean = max(self._kinds.find_mean(kind), MIN_MEAN_S)
-        if took > mean or self._kinds.is_known(kind):
-            state.record_slowness(took / mean, now)
-        self._kinds.add(kind, took / max(1.0, slowness))
+        if duration > mean or self._kinds.is_known(kind):
+            state.record_slowness(duration / mean, now)
+        self._kinds.add(kind, duration / max(1.0, slowness))
 
     def _refuse(
         self, ask: messages.SlotRequest, reason: messages.RefusalReason, now: float
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/messages.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/messages.py
@@ -166,7 +166,7 @@
     outcome: Outcome
     """How the attempt ended."""
 
-    took: float
+    duration: float
     """Seconds from sending to the end of the attempt."""
 
     vm: str
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
@@ -210,7 +210,7 @@
     "ticket",
     "target_id",
     "outcome",
-    "took",
+    "duration",
     "vm",
     "rate_limit",
     "is_resent",
