--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/shards.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/shards.py
@@ -64,14 +64,14 @@
     """Number of shards in the data centre."""
 
     @property
-    def is_whole(self) -> bool:
+    def is_undivided(self) -> bool:
         """Whether the service is not divided."""
         return not self.data_centre and self.count == 1
 
     @property
     def task(self) -> str:
         """Name of the task of dispatching for this shard."""
-        if self.is_whole:
+        if self.is_undivided:
             return self.service
         return f"{self.service}@{self.data_centre}#{self.index}/{self.count}"
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
@@ -102,7 +102,7 @@
 
     def covers(self, shard: shards.Shard, target_id: str) -> bool:
         """Return whether a target of the service belongs to the shard."""
-        if shard.is_whole:
+        if shard.is_undivided:
             return True
         entry = self._registry.find(target_id)
         return entry is not None and shard.covers(entry)
