--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/retry_window.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/retry_window.py
@@ -130,7 +130,7 @@
         """Retries granted here, without those that were refunded."""
         self.resent = 0
         """Of these, retries that were sent without a reservation."""
-        self.returned = 0
+        self.refunded = 0
         """Retries that were refunded."""
 
     def set_bounds(self, ratio: float, span: float, now: float) -> None:
@@ -192,7 +192,7 @@
         if index >= -KEPT_BUCKETS and self._retries[index] > 0:
             self._retries[index] -= 1
             self.retries -= 1
-            self.returned += 1
+            self.refunded += 1
             self._room = None
 
     def export_counts(self, now: float, is_whole: bool) -> list[CounterHistory]:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
@@ -197,7 +197,7 @@
             window.requests,
             window.retries,
             window.resent,
-            window.returned,
+            window.refunded,
             round(left, 1),
         )
 
