--- a/bench/least_busy.py
+++ b/bench/least_busy.py
@@ -17,15 +17,15 @@
         self._rng = rng
 
     def request_slot(
-        self, ask: messages.SlotRequest, now: float
+        self, slot_request: messages.SlotRequest, now: float
     ) -> list[messages.Decision]:
         """Send at once, to one that has not failed lately if there is any."""
-        usable = [name for name in self._busy if name not in ask.excluded]
+        usable = [name for name in self._busy if name not in slot_request.excluded]
         spared = [name for name in usable if self._struck.get(name, 0.0) <= now]
         names = spared or usable
         name = min(names, key=lambda one: (self._busy[one], self._rng.random()))
         self._busy[name] += 1
-        return [messages.Grant(ask.ticket, name, 0.0, 0.2)]
+        return [messages.Grant(slot_request.ticket, name, 0.0, 0.2)]
 
     def handle_report(
         self, report: messages.Report, now: float
--- a/bench/load_model.py
+++ b/bench/load_model.py
@@ -55,7 +55,7 @@
     """Decides where requests go."""
 
     def request_slot(
-        self, ask: messages.SlotRequest, now: float
+        self, slot_request: messages.SlotRequest, now: float
     ) -> list[messages.Decision]:
         """Take in a request."""
         ...
@@ -231,7 +231,7 @@
         ticket = f"{request.number}/{request.attempt}/{request.returns}"
         self._open[ticket] = request
         kind = request.kind
-        ask = messages.SlotRequest(
+        slot_request = messages.SlotRequest(
             ticket,
             SHARD,
             kind.name,
@@ -244,7 +244,7 @@
             request.excluded,
             self._list_open(request.vm, now),
         )
-        self._apply(self._policy.request_slot(ask, now), now)
+        self._apply(self._policy.request_slot(slot_request, now), now)
 
     def _list_open(self, vm: int, now: float) -> tuple[str, ...]:
         """Return the targets to which a VM has an idle connection."""
--- a/bench/shard_model.py
+++ b/bench/shard_model.py
@@ -46,7 +46,7 @@
         self._shard_of: dict[str, shards.Shard] = {}
 
     def request_slot(
-        self, ask: messages.SlotRequest, now: float
+        self, slot_request: messages.SlotRequest, now: float
     ) -> list[messages.Decision]:
         """Ask in one shard, and in another where the first refuses."""
         chooser = self._rng.choice(self._choosers)
@@ -57,11 +57,11 @@
             shard = chooser.choose(list(self._dispatchers), now, refused)
             if shard is None:
                 break
-            placed = dataclasses.replace(ask, shard=shard)
+            placed = dataclasses.replace(slot_request, shard=shard)
             decisions = self._dispatchers[shard].request_slot(placed, now)
-            others += [one for one in decisions if one.ticket != ask.ticket]
-            own = [one for one in decisions if one.ticket == ask.ticket]
-            self._shard_of[ask.ticket] = shard
+            others += [one for one in decisions if one.ticket != slot_request.ticket]
+            own = [one for one in decisions if one.ticket == slot_request.ticket]
+            self._shard_of[slot_request.ticket] = shard
             for one in own:
                 if not isinstance(one, messages.Wait):
                     chooser.record_pressure(shard, one.pressure, now)
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
@@ -62,7 +62,7 @@
 class _Grant:
     """A slot in use."""
 
-    ask: messages.SlotRequest
+    slot_request: messages.SlotRequest
     target_id: str
     started_at: float
     expected: float
@@ -127,33 +127,38 @@
         return self._serve_queue(now)
 
     def request_slot(
-        self, ask: messages.SlotRequest, now: float
+        self, slot_request: messages.SlotRequest, now: float
     ) -> list[messages.Decision]:
         """Decide on a slot request; one received before gets its current state
         again.
         """
-        if ask.is_first:
+        if slot_request.is_first:
             # Refused requests count too: they are requests for the service.
             self._retries.add_request(now)
-        granted = self._grants.get(ask.ticket)
+        granted = self._grants.get(slot_request.ticket)
         if granted is not None:
             return [self._make_repeated_grant(granted, now)]
-        if self._queue.holds(ask.ticket):
-            return [messages.Wait(ask.ticket)]
+        if self._queue.holds(slot_request.ticket):
+            return [messages.Wait(slot_request.ticket)]
         if self.pool.is_empty():
-            return [self._refuse(ask, messages.RefusalReason.NO_TARGET, now)]
-        if ask.attempt > 1 and not self._retries.reserve(now):
-            return [self._refuse(ask, messages.RefusalReason.RETRY_BUDGET, now)]
+            return [self._refuse(slot_request, messages.RefusalReason.NO_TARGET, now)]
+        if slot_request.attempt > 1 and not self._retries.reserve(now):
+            return [
+                self._refuse(slot_request, messages.RefusalReason.RETRY_BUDGET, now)
+            ]
         entry = waiting.QueuedRequest(
-            self._find_effective_priority(ask, now), now, ask.ticket, ask
+            self._find_effective_priority(slot_request, now),
+            now,
+            slot_request.ticket,
+            slot_request,
         )
         if not self._queue.enter(entry, now):
             self._release_retry(entry)
-            return [self._refuse(ask, messages.RefusalReason.OVERLOADED, now)]
+            return [self._refuse(slot_request, messages.RefusalReason.OVERLOADED, now)]
         decisions = self._serve_queue(now)
-        if any(answer.ticket == ask.ticket for answer in decisions):
+        if any(answer.ticket == slot_request.ticket for answer in decisions):
             return decisions
-        return [*decisions, messages.Wait(ask.ticket)]
+        return [*decisions, messages.Wait(slot_request.ticket)]
 
     def handle_report(
         self, report: messages.Report, now: float
@@ -185,8 +190,8 @@
     def adopt_slot(self, held: messages.HeldSlot, now: float) -> None:
         """Take over a slot that another dispatcher granted."""
         state = self.pool.find(held.target_id)
-        if state is not None and held.slot_request.ticket not in self._grants:
-            self._start(held.slot_request, state, now, is_retry=False)
+        if state is not None and held.granted_request.ticket not in self._grants:
+            self._start(held.granted_request, state, now, is_retry=False)
 
     def wake(self, now: float) -> list[messages.Decision]:
         """Detect slow targets, free slots without a report, and end waits."""
@@ -195,7 +200,7 @@
             elapsed = now - granted.started_at
             if state is not None and elapsed > SLOW_FACTOR * granted.expected:
                 state.record_overdue(elapsed / granted.expected, now)
-            if now > granted.ask.deadline_at + LOST_REPORT_GRACE_S:
+            if now > granted.slot_request.deadline_at + LOST_REPORT_GRACE_S:
                 del self._grants[ticket]
                 if state is not None:
                     state.tickets.discard(ticket)
@@ -213,14 +218,16 @@
         without: set[tuple[str, bool]] = set()
         has_free = len(self._queue) > 0 and self.pool.has_free(now)
         for queued in self._queue:
-            ask = queued.ask
-            group = (ask.kind, ask.may_retry)
+            slot_request = queued.slot_request
+            group = (slot_request.kind, slot_request.may_retry)
             decision: messages.Decision | None = None
-            least = MIN_WORK_FACTOR * self._kinds.find_mean(ask.kind)
-            if now + least >= ask.deadline_at:
+            least = MIN_WORK_FACTOR * self._kinds.find_mean(slot_request.kind)
+            if now + least >= slot_request.deadline_at:
                 self._release_retry(queued)
-                decision = self._refuse(ask, messages.RefusalReason.TOO_LATE, now)
-            elif has_free and (group not in without or ask.excluded):
+                decision = self._refuse(
+                    slot_request, messages.RefusalReason.TOO_LATE, now
+                )
+            elif has_free and (group not in without or slot_request.excluded):
                 decision = self._place(queued, now)
             if decision is None:
                 without.add(group)
@@ -233,25 +240,27 @@
     def _place(
         self, queued: waiting.QueuedRequest, now: float
     ) -> messages.Decision | None:
-        ask = queued.ask
+        slot_request = queued.slot_request
         ease = self._find_ease(now)
         offer = self.pool.find_best(
-            ask, ease, now, self._service_level.find_unserved(now)
+            slot_request, ease, now, self._service_level.find_unserved(now)
         )
         if offer is None or self._queue.should_wait(queued, offer, ease, now):
             return None
         state = self.pool.find(offer.target_id)
         if state is None:
             return None
-        if ask.may_retry and offer.failure_probability > 0:
+        if slot_request.may_retry and offer.failure_probability > 0:
             state.record_trial(now)
-        granted = self._start(ask, state, now, is_retry=ask.attempt > 1)
+        granted = self._start(
+            slot_request, state, now, is_retry=slot_request.attempt > 1
+        )
         if granted.is_retry:
             self._retries.spend(now)
         if state.limit is not None:
             state.limit.record_request(self._read_share(), now)
         return messages.Grant(
-            ask.ticket,
+            slot_request.ticket,
             offer.target_id,
             offer.failure_probability,
             granted.expected,
@@ -267,15 +276,15 @@
 
     def _start(
         self,
-        ask: messages.SlotRequest,
+        slot_request: messages.SlotRequest,
         state: pool.TargetState,
         now: float,
         is_retry: bool,
     ) -> _Grant:
-        expected = self._kinds.find_mean(ask.kind) * state.find_slowness(now)
-        state.record_grant(ask.ticket, now)
-        granted = _Grant(ask, state.entry.target_id, now, expected, is_retry)
-        self._grants[ask.ticket] = granted
+        expected = self._kinds.find_mean(slot_request.kind) * state.find_slowness(now)
+        state.record_grant(slot_request.ticket, now)
+        granted = _Grant(slot_request, state.entry.target_id, now, expected, is_retry)
+        self._grants[slot_request.ticket] = granted
         return granted
 
     def _apply_outcome(
@@ -291,11 +300,11 @@
                 self._service_level.add(is_served=True, now=now)
                 if granted is not None:
                     self._update_durations(
-                        state, granted.ask.kind, report.duration, now
+                        state, granted.slot_request.kind, report.duration, now
                     )
             case messages.Outcome.FAILED | messages.Outcome.SILENT:
                 state.update_failure_estimate(failed=True, now=now)
-                if granted is None or not granted.ask.may_retry:
+                if granted is None or not granted.slot_request.may_retry:
                     self._service_level.add(is_served=False, now=now)
             case messages.Outcome.SHED:
                 state.record_shed(now)
@@ -342,13 +351,16 @@
         self._kinds.add(kind, duration / max(1.0, slowness))
 
     def _refuse(
-        self, ask: messages.SlotRequest, reason: messages.RefusalReason, now: float
+        self,
+        slot_request: messages.SlotRequest,
+        reason: messages.RefusalReason,
+        now: float,
     ) -> messages.Refuse:
         """Refuse, and spread the returns over the time that the queue needs."""
         self._service_level.add(is_served=False, now=now)
         pause = max(MIN_RETURN_DELAY_S, self._queue.find_backlog(now))
         return messages.Refuse(
-            ask.ticket,
+            slot_request.ticket,
             reason,
             now + pause * (1 + self._rng.random()),
             self._find_pressure(now),
@@ -360,10 +372,12 @@
         Load pattern: targets turn work away, and more second attempts are requested
         than may be sent. Refused ones would use up the retries of others.
         """
-        if queued.ask.attempt > 1:
+        if queued.slot_request.attempt > 1:
             self._retries.release()
 
-    def _find_effective_priority(self, ask: messages.SlotRequest, now: float) -> int:
+    def _find_effective_priority(
+        self, slot_request: messages.SlotRequest, now: float
+    ) -> int:
         """Return the priority of a request in the queue.
 
         Load pattern: high load, a third of the targets failing. Idempotent work tests
@@ -372,10 +386,10 @@
         In a long queue it keeps its priority, or it would crowd out work that may run
         only once.
         """
-        goes_up = ask.attempt > 1 and self._policy.second_rank
+        goes_up = slot_request.attempt > 1 and self._policy.second_rank
         if goes_up and self._queue.find_backlog(now) < SHORT_BACKLOG_S:
-            return ask.priority - 1
-        return ask.priority
+            return slot_request.priority - 1
+        return slot_request.priority
 
     def _find_pressure(self, now: float) -> float:
         """Return the requests here for each slot that is proven healthy.
@@ -391,7 +405,7 @@
     def _make_repeated_grant(self, granted: _Grant, now: float) -> messages.Grant:
         """Return a grant again, since the first message may have been lost."""
         return messages.Grant(
-            granted.ask.ticket,
+            granted.slot_request.ticket,
             granted.target_id,
             0.0,
             granted.expected,
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/messages.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/messages.py
@@ -184,7 +184,7 @@
 class HeldSlot:
     """A granted slot that its VM still uses, sent to a dispatcher that takes over."""
 
-    slot_request: SlotRequest
+    granted_request: SlotRequest
     """The slot request that was granted."""
 
     target_id: str
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/pool.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/pool.py
@@ -331,13 +331,17 @@
         return not self._states
 
     def find_best(
-        self, ask: messages.SlotRequest, ease: float, now: float, unserved: float = 0.0
+        self,
+        slot_request: messages.SlotRequest,
+        ease: float,
+        now: float,
+        unserved: float = 0.0,
     ) -> Offer | None:
         """Return the cheapest target with a free slot, or None if there is none.
 
         Parameters
         ----------
-        ask : messages.SlotRequest
+        slot_request : messages.SlotRequest
             The request.
         ease : float
             How freely retries may be spent, from 0 for none to 1.
@@ -349,9 +353,9 @@
         is_poor = unserved >= MIN_POOR_UNSERVED_SHARE and self._policy.idle_work
         best: Offer | None = None
         for state in self._states.values():
-            if not state.is_free(now) or state.entry.target_id in ask.excluded:
+            if not state.is_free(now) or state.entry.target_id in slot_request.excluded:
                 continue
-            offer = self._make_offer(state, ask, ease, now)
+            offer = self._make_offer(state, slot_request, ease, now)
             if (
                 is_poor
                 and offer.failure_probability <= MAX_HEALTHY_FAILURE_PROBABILITY
@@ -404,23 +408,31 @@
         self._capacity = proven or unproven
 
     def _make_offer(
-        self, state: TargetState, ask: messages.SlotRequest, ease: float, now: float
+        self,
+        state: TargetState,
+        slot_request: messages.SlotRequest,
+        ease: float,
+        now: float,
     ) -> Offer:
         failure_probability = state.find_request_failure_probability(now)
-        expected = self._kinds.find_mean(ask.kind) * state.find_slowness(now)
+        expected = self._kinds.find_mean(slot_request.kind) * state.find_slowness(now)
         load = len(state.tickets) / max(1, state.entry.slots)
-        cost = LATE_COST * _find_lateness(expected, ask.objective_at - now)
+        cost = LATE_COST * _find_lateness(expected, slot_request.objective_at - now)
         cost += LOAD_COST * load * load * self._policy.load_price
-        if state.entry.data_centre != ask.data_centre:
+        if state.entry.data_centre != slot_request.data_centre:
             cost += DISTANCE_COST
-        if state.entry.target_id not in ask.connected_targets:
+        if state.entry.target_id not in slot_request.connected_targets:
             cost += CONNECTION_COST * self._policy.connection_price
-        if not ask.may_retry or ease <= 0.0:
+        if not slot_request.may_retry or ease <= 0.0:
             return Offer(
                 state.entry.target_id, cost + failure_probability, failure_probability
             )
         cost += (1.0 - (1.0 - RETRY_COST) * ease) * failure_probability
-        if ask.attempt == 1 and state.may_be_tried(now) and self._policy.trials:
+        if (
+            slot_request.attempt == 1
+            and state.may_be_tried(now)
+            and self._policy.trials
+        ):
             failing = state.find_failing_probability(now)
             cost -= TRIAL_GAIN * ease * 4 * failing * (1 - failing)
             return Offer(
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/waiting.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/waiting.py
@@ -53,7 +53,7 @@
     ticket: str
     """Ticket of the slot request."""
 
-    ask: messages.SlotRequest = dataclasses.field(compare=False)
+    slot_request: messages.SlotRequest = dataclasses.field(compare=False)
     """The slot request."""
 
 
@@ -106,7 +106,7 @@
             # A free slot, even of a target that may be failing, takes work from the
             # queue before the queue makes answers late.
             self._standing_from = None
-        if wait > 0 and not self._may_wait(queued.ask, wait, now):
+        if wait > 0 and not self._may_wait(queued.slot_request, wait, now):
             return False
         bisect.insort(self._queue, queued)
         return True
@@ -117,7 +117,7 @@
 
     def find_backlog(self, now: float) -> float:
         """Return the seconds that the proven healthy slots need for all queued work."""
-        work = sum(self._kinds.find_mean(one.ask.kind) for one in self._queue)
+        work = sum(self._kinds.find_mean(one.slot_request.kind) for one in self._queue)
         return work / max(1.0, self._pool.find_capacity(now))
 
     def should_wait(
@@ -141,23 +141,23 @@
         now : float
             Seconds of a monotonic clock.
         """
-        ask = queued.ask
+        slot_request = queued.slot_request
         if (
             offer.failure_probability <= pool.MAX_HEALTHY_FAILURE_PROBABILITY
             or not self._policy.patience
         ):
             return False
-        if ask.may_retry and ease > 0.0:
+        if slot_request.may_retry and ease > 0.0:
             is_useful = offer.is_trial and ease >= 1.0
             return not is_useful and self._may_wait_for_proven(queued, now)
         proven = self._pool.count_proven_slots(now)
         if not proven:
             return False
-        mean = self._kinds.find_mean(ask.kind)
-        ahead = sum(1 for one in self._queue if one.priority <= ask.priority)
+        mean = self._kinds.find_mean(slot_request.kind)
+        ahead = sum(1 for one in self._queue if one.priority <= slot_request.priority)
         # Only while the answer can still be on time. Waiting until the deadline would
         # let the queue grow as long as that, and make every answer late.
-        return now + mean + mean * max(1, ahead) / proven < ask.objective_at
+        return now + mean + mean * max(1, ahead) / proven < slot_request.objective_at
 
     def _may_wait_for_proven(self, queued: QueuedRequest, now: float) -> bool:
         """Return whether idempotent work waits a little for a proven healthy target.
@@ -166,17 +166,19 @@
         is often a fraction of the time until the objective. Behind a long queue it does
         not wait: work of a higher priority would keep it from any target.
         """
-        ask = queued.ask
+        slot_request = queued.slot_request
         if not self._pool.count_proven_slots(now):
             return False
         if now - queued.arrived_at > PROVEN_TARGET_WAIT_SHARE * (
-            ask.objective_at - queued.arrived_at
+            slot_request.objective_at - queued.arrived_at
         ):
             return False
-        ahead = [one for one in self._queue if one.priority <= ask.priority]
-        work = sum(self._kinds.find_mean(one.ask.kind) for one in ahead)
+        ahead = [one for one in self._queue if one.priority <= slot_request.priority]
+        work = sum(self._kinds.find_mean(one.slot_request.kind) for one in ahead)
         capacity = max(MIN_SLOTS, self._pool.find_capacity(now))
-        return work / capacity < PROVEN_TARGET_WAIT_SHARE * (ask.objective_at - now)
+        return work / capacity < PROVEN_TARGET_WAIT_SHARE * (
+            slot_request.objective_at - now
+        )
 
     def _find_wait(self, queued: QueuedRequest, now: float) -> float:
         """Return how many seconds a request would wait for its turn."""
@@ -186,13 +188,15 @@
         if not self._queue and self._pool.has_free(now):
             return 0.0
         ahead = self._queue[: bisect.bisect_left(self._queue, queued)]
-        work = sum(self._kinds.find_mean(one.ask.kind) for one in ahead)
-        return (work + self._kinds.find_mean(queued.ask.kind)) / capacity
+        work = sum(self._kinds.find_mean(one.slot_request.kind) for one in ahead)
+        return (work + self._kinds.find_mean(queued.slot_request.kind)) / capacity
 
-    def _may_wait(self, ask: messages.SlotRequest, wait: float, now: float) -> bool:
+    def _may_wait(
+        self, slot_request: messages.SlotRequest, wait: float, now: float
+    ) -> bool:
         """Return whether a request may wait `wait` seconds for its turn."""
-        mean = self._kinds.find_mean(ask.kind)
-        left = ask.objective_at - now
+        mean = self._kinds.find_mean(slot_request.kind)
+        left = slot_request.objective_at - now
         short = max(MIN_WAIT_S, left - WORK_TIME_MARGIN * mean)
         if wait <= short:
             return True
@@ -200,5 +204,5 @@
             self._standing_from = now + STANDING_QUEUE_AFTER_S
         if now >= self._standing_from and self._policy.short_queue:
             return False
-        beyond = max(0.0, ask.deadline_at - ask.objective_at)
+        beyond = max(0.0, slot_request.deadline_at - slot_request.objective_at)
         return wait <= left + WAIT_SHARE * beyond - mean
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
@@ -302,7 +302,12 @@
             return ["a", message.vm, *_pack_ask(message.ask, now)]
         case SlotHeld():
             held = message.held
-            return ["k", message.vm, held.target_id, *_pack_ask(held.slot_request, now)]
+            return [
+                "k",
+                message.vm,
+                held.target_id,
+                *_pack_ask(held.granted_request, now),
+            ]
         case SuspectRequests():
             return ["s", suspect_codec.pack(message.items, now)]
         case RetryUsage():
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
@@ -136,8 +136,8 @@
 
     def adopt(self, vm: str, held: messages.HeldSlot, now: float) -> None:
         """Count a slot as in use that another dispatcher granted to a VM."""
-        self._requesters[held.slot_request.ticket] = (vm, now + TICKET_RETENTION_S)
-        self._open_dispatcher(held.slot_request.shard, now).adopt_slot(held, now)
+        self._requesters[held.granted_request.ticket] = (vm, now + TICKET_RETENTION_S)
+        self._open_dispatcher(held.granted_request.shard, now).adopt_slot(held, now)
 
     def update_targets(self, now: float) -> None:
         """Update all dispatchers to the current targets of the registry."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
@@ -303,14 +303,14 @@
             return
         self._dispatchers[shard] = vm
         for ticket, held in list(self._held.items()):
-            if held.slot_request.shard.service != shard.service:
+            if held.granted_request.shard.service != shard.service:
                 continue
             if self._local_dispatchers is not None and self._local_dispatchers.covers(
                 shard, held.target_id
             ):
-                slot_request = dataclasses.replace(held.slot_request, shard=shard)
+                slot_request = dataclasses.replace(held.granted_request, shard=shard)
                 moved = self._held[ticket] = dataclasses.replace(
-                    held, slot_request=slot_request
+                    held, granted_request=slot_request
                 )
                 self._granters.setdefault(ticket, []).append(_Granter(vm, shard))
                 self._send(vm, datagrams.SlotHeld(self._fleet.own.vm, moved))
--- a/tests/dispatch/test_rate_limit.py
+++ b/tests/dispatch/test_rate_limit.py
@@ -111,10 +111,10 @@
         now = number * STEP
         decisions = one.wake(now)
         if number % max(1, round(1 / (rate * STEP))) == 0:
-            ask = messages.SlotRequest(
+            slot_request = messages.SlotRequest(
                 f"k{number}", SHARD, "w", False, 1, now + 0.6, now + 1.2, 1, "a"
             )
-            decisions += one.request_slot(ask, now)
+            decisions += one.request_slot(slot_request, now)
         while under_way and under_way[0][0] <= now:
             _, ticket, name = under_way.pop(0)
             good, named = messages.Outcome.GOOD, limits.get(name, math.inf)
--- a/tests/edge/test_placement.py
+++ b/tests/edge/test_placement.py
@@ -193,7 +193,7 @@
     one.fleet.suspect(one.first, one.now)
     await one.placement.acquire(one.make_slot_request("t:2"))
     adopted = [
-        (vm, message.held.slot_request.ticket)
+        (vm, message.held.granted_request.ticket)
         for vm, message in one.link.sent_messages
         if isinstance(message, datagrams.SlotHeld)
     ]
@@ -329,10 +329,10 @@
     for n in range(40):
         await one.placement.acquire(one.make_slot_request(f"n:{n}"))
     moved = [
-        message.held.slot_request.shard
+        message.held.granted_request.shard
         for _, message in one.link.sent_messages
         if isinstance(message, datagrams.SlotHeld)
-        and message.held.slot_request.ticket == "t:1"
+        and message.held.granted_request.ticket == "t:1"
     ]
     entry = one.registry.find("t1")
     assert entry is not None
