--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/retry_window.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/retry_window.py
@@ -119,7 +119,7 @@
         self._reserved = 0
         self._others: dict[str, dict[int, tuple[float, Bucket]]] = {}
         self._received = ([0] * KEPT_BUCKETS, [0] * KEPT_BUCKETS)
-        self._room: float | None = None
+        self._headroom: float | None = None
         self._count_scope = CountScope.ALL
         self._spent = 0
         self.unsent_retries = 0
@@ -147,7 +147,7 @@
             # Other VMs have these counts under the bucket numbers of the former window.
             self._first_sent_number = self._newest + 1
         self._ratio = ratio
-        self._room = None
+        self._headroom = None
 
     def add_request(self, now: float) -> None:
         """Count a request."""
@@ -180,8 +180,8 @@
         self._advance_to(now)
         self._retries[-1] += 1
         self._spent += 1
-        if self._room is not None:
-            self._room -= 1.0
+        if self._headroom is not None:
+            self._headroom -= 1.0
         self.unsent_retries += 1
         self.retries += 1
 
@@ -193,7 +193,7 @@
             self._retries[index] -= 1
             self.retries -= 1
             self.refunded += 1
-            self._room = None
+            self._headroom = None
 
     def export_counts(self, now: float, is_whole: bool) -> list[CounterHistory]:
         """Return the recent counts made here, or all known counts of every counter."""
@@ -230,7 +230,7 @@
             retries = max(before.retries, part.retries)
             known[part.number] = (at, Bucket(part.number, 0.0, requests, retries))
             self._add(at, requests - before.requests, retries - before.retries)
-        self._room = None
+        self._headroom = None
 
     def find_ease(self, now: float) -> float:
         """Return how freely retries may be spent: 1 for freely, 0 for none left."""
@@ -247,7 +247,7 @@
         """
         self._advance_to(now)
         scope = self._read_count_scope()
-        if self._room is None or self._count_scope is not scope:
+        if self._headroom is None or self._count_scope is not scope:
             self._count_scope = scope
             requests, retries = self._requests, self._retries
             if scope is not CountScope.OWN:
@@ -256,10 +256,10 @@
             if scope is CountScope.NONE:
                 requests = [0] * KEPT_BUCKETS
             self._spent = sum(retries[-BUCKETS_PER_WINDOW:])
-            self._room = self._find_room(requests, retries)
-        return self._room + self._read_slack() - self._reserved
+            self._headroom = self._find_headroom(requests, retries)
+        return self._headroom + self._read_slack() - self._reserved
 
-    def _find_room(self, requests: list[int], retries: list[int]) -> float:
+    def _find_headroom(self, requests: list[int], retries: list[int]) -> float:
         """Return how many more retries the requests allow.
 
         Each window that began within the last one may contain them, and must keep to
@@ -345,7 +345,7 @@
         if passed <= 0:
             return
         self._newest += passed
-        self._room = None
+        self._headroom = None
         self._requests = _shift(self._requests, passed)
         self._retries = _shift(self._retries, passed)
         requests, retries = self._received
--- a/tests/machines/plants.py
+++ b/tests/machines/plants.py
@@ -110,7 +110,7 @@
     return _APPLY_SNAPSHOT(bundle_chain, snapshot)
 
 
-def _find_room_in_last_window(
+def _find_headroom_in_last_window(
     window: typing.Any, requests: list[int], spent: list[int]
 ) -> float:
     parts = retry_window.BUCKETS_PER_WINDOW
@@ -136,8 +136,8 @@
         "retries are bounded only in the window that ends now",
         retries.RetryMachine,
         retry_window.RetryWindow,
-        "_find_room",
-        _find_room_in_last_window,
+        "_find_headroom",
+        _find_headroom_in_last_window,
     ),
     Plant(
         "the start deadline is dropped",
