--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/messages.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/messages.py
@@ -166,7 +166,7 @@
     outcome: Outcome
     """How the attempt ended."""
 
-    took: float
+    duration: float
     """Seconds from sending to the end of the attempt."""
 
     vm: str
@@ -184,7 +184,7 @@
 class HeldSlot:
     """A granted slot that its VM still uses, sent to a dispatcher that takes over."""
 
-    slot_request: SlotRequest
+    granted_request: SlotRequest
     """The slot request that was granted."""
 
     target_id: str
