--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
@@ -164,7 +164,7 @@
     vm: str
     """Name of the requesting VM."""
 
-    ask: messages.SlotRequest
+    request: messages.SlotRequest
     """The request."""
 
 
@@ -299,10 +299,15 @@
             durations = [list(one) for one in message.durations]
             return ["o", *_pack_shard(message.shard), items, durations, message.vm]
         case SlotRequested():
-            return ["a", message.vm, *_pack_ask(message.ask, now)]
+            return ["a", message.vm, *_pack_slot_request(message.request, now)]
         case SlotHeld():
             held = message.held
-            return ["k", message.vm, held.target_id, *_pack_ask(held.slot_request, now)]
+            return [
+                "k",
+                message.vm,
+                held.target_id,
+                *_pack_slot_request(held.slot_request, now),
+            ]
         case SuspectRequests():
             return ["s", suspect_codec.pack(message.items, now)]
         case RetryUsage():
@@ -343,7 +348,7 @@
             durations = tuple((name, seconds) for name, seconds in rest[5])
             return TargetEstimates(shards.Shard(*rest[:4]), items, durations, *rest[6:])
         case "a":
-            return SlotRequested(rest[0], _unpack_ask(rest[1:], now))
+            return SlotRequested(rest[0], _unpack_slot_request(rest[1:], now))
         case "s":
             return SuspectRequests(suspect_codec.unpack(rest[0], now))
         case "t":
@@ -361,7 +366,7 @@
         case "e":
             return _unpack_report(rest)
         case "k":
-            held = messages.HeldSlot(_unpack_ask(rest[2:], now), rest[1])
+            held = messages.HeldSlot(_unpack_slot_request(rest[2:], now), rest[1])
             return SlotHeld(rest[0], held)
         case _:
             raise UnreadableError(f"unknown kind {kind!r:.20}")
@@ -391,24 +396,24 @@
     return [shard.service, shard.data_centre, shard.index, shard.count]
 
 
-def _pack_ask(ask: messages.SlotRequest, now: float) -> list[object]:
+def _pack_slot_request(request: messages.SlotRequest, now: float) -> list[object]:
     return [
-        *_pack_shard(ask.shard),
-        ask.ticket,
-        ask.kind,
-        ask.may_retry,
-        ask.priority,
-        ask.objective_at - now,
-        ask.deadline_at - now,
-        ask.attempt,
-        ask.data_centre,
-        list(ask.excluded),
-        list(ask.connected_targets),
-        ask.is_first,
+        *_pack_shard(request.shard),
+        request.ticket,
+        request.kind,
+        request.may_retry,
+        request.priority,
+        request.objective_at - now,
+        request.deadline_at - now,
+        request.attempt,
+        request.data_centre,
+        list(request.excluded),
+        list(request.connected_targets),
+        request.is_first,
     ]
 
 
-def _unpack_ask(fields: list, now: float) -> messages.SlotRequest:
+def _unpack_slot_request(fields: list, now: float) -> messages.SlotRequest:
     ticket, kind, may_retry, priority, objective, deadline = fields[4:10]
     attempt, data_centre, excluded, open_to, is_first = fields[10:]
     return messages.SlotRequest(
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_messenger.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_messenger.py
@@ -131,7 +131,7 @@
             case datagrams.SlotRequested():
                 self._fleet.record_contact(message.vm, now)
                 self._receivers.local_dispatchers.request_slot(
-                    message.vm, message.ask, now
+                    message.vm, message.request, now
                 )
             case datagrams.SlotHeld():
                 self._receivers.local_dispatchers.adopt(message.vm, message.held, now)
--- a/tests/edge/test_datagrams.py
+++ b/tests/edge/test_datagrams.py
@@ -15,7 +15,7 @@
 from zinniastand_proxy.edge import datagrams, ports
 
 SHARD = shards.Shard("desk", "a", 1, 4)
-ASK = messages.SlotRequest(
+SLOT_REQUEST = messages.SlotRequest(
     "vm:1:2", SHARD, "r", True, 1, 0.5, 1.5, 2, "a", ("t1", "t2")
 )
 ENTRY = targets.Entry(
@@ -36,8 +36,8 @@
         (("r", 0.2),),
         "vm-1",
     ),
-    datagrams.SlotRequested("vm-1", ASK),
-    datagrams.SlotHeld("vm-1", messages.HeldSlot(ASK, "t1")),
+    datagrams.SlotRequested("vm-1", SLOT_REQUEST),
+    datagrams.SlotHeld("vm-1", messages.HeldSlot(SLOT_REQUEST, "t1")),
     datagrams.SuspectRequests(
         (
             (
@@ -66,11 +66,11 @@
 def test_times_are_sent_relative_to_the_clock_of_the_sender() -> None:
     # The monotonic clocks of two VMs are unrelated: a deadline sent as an absolute time
     # could lie years away for the receiver.
-    data = datagrams.encode(datagrams.SlotRequested("vm-1", ASK), 1.0)
+    data = datagrams.encode(datagrams.SlotRequested("vm-1", SLOT_REQUEST), 1.0)
     found = datagrams.decode(data, 1001.0)
     assert isinstance(found, datagrams.SlotRequested)
-    assert found.ask.deadline_at == 1001.5
-    assert found.ask.objective_at == 1000.5
+    assert found.request.deadline_at == 1001.5
+    assert found.request.objective_at == 1000.5
 
 
 @hypothesis.example(b"bl\x00")
--- a/tests/edge/test_placement.py
+++ b/tests/edge/test_placement.py
@@ -104,7 +104,7 @@
     def answer_with_grant(self, *vms: str) -> None:
         def answer(vm: str, message: datagrams.Message) -> None:
             if vm in vms and isinstance(message, datagrams.SlotRequested):
-                grant = messages.Grant(message.ask.ticket, "t1", 0.1, 0.2)
+                grant = messages.Grant(message.request.ticket, "t1", 0.1, 0.2)
                 self.placement.handle_decision(grant)
 
         self.link.answer = answer
@@ -205,7 +205,7 @@
 
     def answer(vm: str, message: datagrams.Message) -> None:
         if isinstance(message, datagrams.SlotRequested):
-            one.placement.handle_decision(messages.Wait(message.ask.ticket))
+            one.placement.handle_decision(messages.Wait(message.request.ticket))
 
     one.link.answer = answer
     with anyio.move_on_after(0.7):
@@ -223,7 +223,7 @@
 
     def answer(vm: str, message: datagrams.Message) -> None:
         if isinstance(message, datagrams.SlotRequested):
-            site.placement.handle_decision(messages.Wait(message.ask.ticket))
+            site.placement.handle_decision(messages.Wait(message.request.ticket))
 
     site.link.answer = answer
     ask = dataclasses.replace(site.make_slot_request(), deadline_at=site.now + 0.3)
@@ -259,7 +259,7 @@
 
 def list_requested_shards(one: Fixture) -> list[shards.Shard]:
     return [
-        message.ask.shard
+        message.request.shard
         for _, message in one.link.sent_messages
         if isinstance(message, datagrams.SlotRequested)
     ]
@@ -281,7 +281,7 @@
     def answer(vm: str, message: datagrams.Message) -> None:
         if not isinstance(message, datagrams.SlotRequested):
             return
-        ticket, shard = message.ask.ticket, message.ask.shard
+        ticket, shard = message.request.ticket, message.request.shard
         if not refusing:
             refusing.append(shard)
         decision: messages.Decision = messages.Grant(ticket, "t1", 0.1, 0.2)
@@ -306,7 +306,7 @@
     def answer(vm: str, message: datagrams.Message) -> None:
         if isinstance(message, datagrams.SlotRequested):
             reason = messages.RefusalReason.OVERLOADED
-            refuse = messages.Refuse(message.ask.ticket, reason, one.now + 1, 3.0)
+            refuse = messages.Refuse(message.request.ticket, reason, one.now + 1, 3.0)
             one.placement.handle_decision(refuse)
 
     one.link.answer = answer
@@ -360,7 +360,7 @@
     def answer(vm: str, message: datagrams.Message) -> None:
         if not isinstance(message, datagrams.SlotRequested):
             return
-        ticket = message.ask.ticket
+        ticket = message.request.ticket
         decision: messages.Decision = messages.Grant(ticket, "t1", 0.1, 0.2)
         if vm == one.first:
             reason = messages.RefusalReason.NO_TARGET
