--- a/bench/retry_fleet.py
+++ b/bench/retry_fleet.py
@@ -22,7 +22,7 @@
 from zinniastand_core import services
 from zinniastand_core.deployment import configuration, targets
 from zinniastand_core.forwarding import plan
-from zinniastand_platform import words
+from zinniastand_platform import wire_names
 from zinniastand_proxy.edge import (
     calls,
     datagrams,
@@ -137,7 +137,7 @@
             return target_client.Attempt(plan.Result.UNREACHABLE, None, "refused")
         mark_sent()
         headers = dict(request.headers)
-        name = headers[words.HEADERS.request_id].decode()
+        name = headers[wire_names.HEADERS.request_id].decode()
         self._arrivals.append((now, name))
         is_full = self._busy[target.target_id] >= 2 * target.slots
         if is_full or self._rng.random() < self.load.shed.find_share(now - self._begin):
@@ -277,7 +277,7 @@
 
     async def _call(self, vm: retry_vms.Vm, name: str, work: services.Work) -> None:
         now = anyio.current_time()
-        headers = [(words.HEADERS.request_id, name.encode())]
+        headers = [(wire_names.HEADERS.request_id, name.encode())]
         request = http_exchange.Request(b"GET", b"/x", headers, b"", False)
         incoming = calls.Incoming(request, "h", now, calls.Caller())
         route = configuration.Route(
--- a/bench/retry_vms.py
+++ b/bench/retry_vms.py
@@ -15,7 +15,7 @@
 
 from zinniastand_core.deployment import targets
 from zinniastand_core.dispatch import messages
-from zinniastand_platform import words
+from zinniastand_platform import wire_names
 from zinniastand_proxy.edge import (
     calls,
     datagrams,
@@ -200,7 +200,7 @@
             fleet.registry,
             unreachable_targets.UnreachableTargets(),
             fleet.notes,
-            words.HEADERS,
+            wire_names.HEADERS,
             lambda: f"{own.vm}:{own.incarnation}:{next(numbers)}",
             _Unsuspected(),
             fleet.is_down,
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -9,7 +9,7 @@
 import anyio
 import anyio.abc
 
-from zinniastand_platform import words
+from zinniastand_platform import wire_names
 from zinniastand_proxy.edge import http_exchange
 
 from . import ledger, links, vms
@@ -200,7 +200,7 @@
         return answer.trailing
 
     def _see_answer(self, sent: ledger.Sent, answer: http_exchange.Answer) -> None:
-        is_signed = answer.find(words.HEADERS.signature) is not None
+        is_signed = answer.find(wire_names.HEADERS.signature) is not None
         self._see(sent, answer.status, is_signed, answer.body)
 
     def _see(
@@ -245,7 +245,7 @@
 def _make_request(sent: ledger.Sent) -> http_exchange.Request:
     headers = [
         (b"host", HOST),
-        (words.HEADERS.request_id, sent.request_id.encode()),
-        (words.HEADERS.time_left, b"%d" % int(PATIENCE * words.MS_PER_S)),
+        (wire_names.HEADERS.request_id, sent.request_id.encode()),
+        (wire_names.HEADERS.time_left, b"%d" % int(PATIENCE * wire_names.MS_PER_S)),
     ]
     return http_exchange.Request(b"POST", sent.path.encode(), headers, sent.body, True)
--- a/soak/operators.py
+++ b/soak/operators.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from zinniastand_platform import encoding, words
+from zinniastand_platform import encoding, wire_names
 
 from . import callers, ledger, links, promises, shared_store, targets
 
@@ -24,7 +24,7 @@
         _make_route("/moving/", "unsafe", moving),
     ]
     value = encoding.encode_configuration(version, routes)
-    store.put(words.CONFIGURATION_TOPIC, words.CONFIGURATION_KEY, value)
+    store.put(wire_names.CONFIGURATION_TOPIC, wire_names.CONFIGURATION_KEY, value)
     book.published.append(ledger.Published(version, moving, anyio.current_time()))
 
 
@@ -36,12 +36,12 @@
         held.bind((links.HOST, 0))
         address = f"{links.HOST}:{held.getsockname()[1]}"
         value = encoding.encode_entry(service, address, targets.SLOTS, "ready")
-        store.put(words.TARGETS_TOPIC, name, value)
+        store.put(wire_names.TARGETS_TOPIC, name, value)
         await anyio.sleep(seconds)
-        store.put(words.TARGETS_TOPIC, name, b"")
+        store.put(wire_names.TARGETS_TOPIC, name, b"")
 
 
 def _make_route(prefix: str, kind: str, service: str) -> list[object]:
-    limit = int(promises.TIME_LIMIT * words.MS_PER_S)
+    limit = int(promises.TIME_LIMIT * wire_names.MS_PER_S)
     host = callers.HOST.decode()
     return [prefix, host, prefix, kind, limit, OBJECTIVE_MS, 1, service, 2]
--- a/soak/run.py
+++ b/soak/run.py
@@ -12,7 +12,7 @@
 import anyio.abc
 
 from zinniastand_core.deployment import configuration
-from zinniastand_platform import encoding, words
+from zinniastand_platform import encoding, wire_names
 from zinniastand_proxy.edge import http_server
 from zinniastand_standins import topic_store, topic_store_app
 
@@ -235,8 +235,8 @@
                 await anyio.sleep(step.for_s)
                 self._store.topics.fault = topic_store.Fault.NONE
             case plan.Act.FORGET:
-                self._store.topics.forget(words.TARGETS_TOPIC)
-                self._store.topics.forget(words.CONFIGURATION_TOPIC)
+                self._store.topics.forget(wire_names.TARGETS_TOPIC)
+                self._store.topics.forget(wire_names.CONFIGURATION_TOPIC)
             case plan.Act.PUBLISH:
                 operators.publish(self._store, self._book)
             case plan.Act.ROLL:
@@ -366,7 +366,7 @@
 
     async def _start_successor(self, crashed: targets.Target) -> None:
         await anyio.sleep(BACK_AFTER)
-        self._store.put(words.TARGETS_TOPIC, crashed.target_id, b"")
+        self._store.put(wire_names.TARGETS_TOPIC, crashed.target_id, b"")
         await self._start_target(crashed.service)
 
     def _register(self, target: targets.Target, state: str) -> None:
@@ -374,7 +374,7 @@
         value = encoding.encode_entry(
             target.service, address, targets.SLOTS, state, next(self._sequences)
         )
-        self._store.put(words.TARGETS_TOPIC, target.target_id, value)
+        self._store.put(wire_names.TARGETS_TOPIC, target.target_id, value)
 
     async def _replace(self, target: targets.Target) -> None:
         if target.is_leaving:
@@ -387,7 +387,7 @@
         self._targets.remove(target)
         is_long = self._shape.kind is plan.Kind.DRILLS
         await anyio.sleep(LEAVE_LATE if is_long else LEAVE_AFTER)
-        self._store.put(words.TARGETS_TOPIC, target.target_id, b"")
+        self._store.put(wire_names.TARGETS_TOPIC, target.target_id, b"")
 
 
 DEFAULT_SHAPE = Shape()
--- a/soak/targets.py
+++ b/soak/targets.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from zinniastand_platform import words
+from zinniastand_platform import wire_names
 from zinniastand_proxy.edge import calls
 
 from . import ledger, links, promises
@@ -67,8 +67,8 @@
 STALE_ANSWER = b"\r\n".join(
     [
         b"HTTP/1.1 200 OK",
-        words.HEADERS.request_id + b": another",
-        words.HEADERS.signature + b": signed",
+        wire_names.HEADERS.request_id + b": another",
+        wire_names.HEADERS.signature + b": signed",
         b"content-length: 4",
         b"",
         b"late",
@@ -129,14 +129,14 @@
     async def handle(self, incoming: calls.Incoming) -> calls.Reply:
         """Run one request, or fail as the fault says."""
         headers = dict(incoming.request.headers)
-        request_id = headers.get(words.HEADERS.request_id, b"").decode()
-        if headers.get(words.HEADERS.expected_target) != self.target_id.encode():
+        request_id = headers.get(wire_names.HEADERS.request_id, b"").decode()
+        if headers.get(wire_names.HEADERS.expected_target) != self.target_id.encode():
             return calls.Reply(421, [], b"")
         now = anyio.current_time()
         arrived = ledger.Arrived(request_id, self.target_id, self.service, now)
         self._book.arrived.append(arrived)
         if self._fault is Fault.SHED:
-            not_run = (words.HEADERS.not_run, b"1")
+            not_run = (wire_names.HEADERS.not_run, b"1")
             return calls.Reply(503, [not_run, *self._name_limit()], b"")
         status = {Fault.ERROR: 500, Fault.BARE: 503}.get(self._fault, 200)
         ran = ledger.Ran(
@@ -147,7 +147,7 @@
             incoming.request.body,
             status,
             anyio.current_time(),
-            int(headers.get(words.HEADERS.time_left, b"0")) / words.MS_PER_S,
+            int(headers.get(wire_names.HEADERS.time_left, b"0")) / wire_names.MS_PER_S,
         )
         self._book.ran.append(ran)
         if ran.path.startswith(promises.CRASHING):
@@ -165,7 +165,7 @@
         if self._limit is None:
             return []
         self._limited_at = self._limited_at or anyio.current_time()
-        return [(words.HEADERS.rate_limit, b"%.1f" % self._limit)]
+        return [(wire_names.HEADERS.rate_limit, b"%.1f" % self._limit)]
 
     def _find_time(self) -> float:
         self._began += 1
@@ -176,10 +176,10 @@
 
     def _answer(self, request_id: str, status: int) -> calls.Reply:
         headers = [
-            (words.HEADERS.request_id, request_id.encode()),
+            (wire_names.HEADERS.request_id, request_id.encode()),
             *self._name_limit(),
         ]
         if self._fault is not Fault.UNSIGNED:
-            headers.append((words.HEADERS.signature, b"signed"))
+            headers.append((wire_names.HEADERS.signature, b"signed"))
         body = promises.make_answer(request_id) if status == 200 else b"failed"
         return calls.Reply(status, headers, body)
--- a/soak/vms.py
+++ b/soak/vms.py
@@ -14,7 +14,7 @@
 import anyio
 import anyio.abc
 
-from zinniastand_platform import words
+from zinniastand_platform import wire_names
 from zinniastand_standins import loopback
 
 from . import links, promises
@@ -185,4 +185,4 @@
 
 def find_default_program() -> pathlib.Path:
     """Return the script that starts the daemon of this checkout."""
-    return pathlib.Path(words.__file__).parent.parent / "launch.py"
+    return pathlib.Path(wire_names.__file__).parent.parent / "launch.py"
--- a/tests/edge/test_configuration_keeper.py
+++ b/tests/edge/test_configuration_keeper.py
@@ -78,8 +78,10 @@
     # Guards against each VM reading a record that none of them can use.
     async with edge_site.run_site() as site:
         vms = await start_settled(site)
-        words = edge_site.words
-        site.store.put(words.CONFIGURATION_TOPIC, words.CONFIGURATION_KEY, b"{cut")
+        wire_names = edge_site.wire_names
+        site.store.put(
+            wire_names.CONFIGURATION_TOPIC, wire_names.CONFIGURATION_KEY, b"{cut"
+        )
         await anyio.sleep(1.0)
         refused = [
             line
--- a/tests/edge/test_crash_check.py
+++ b/tests/edge/test_crash_check.py
@@ -11,7 +11,7 @@
 from zinniastand_core import services
 from zinniastand_core.deployment import targets
 from zinniastand_core.forwarding import plan
-from zinniastand_platform import words
+from zinniastand_platform import wire_names
 from zinniastand_proxy.edge import crash_check, http_exchange, target_client
 
 pytestmark = pytest.mark.anyio
@@ -31,7 +31,7 @@
     async with listener, anyio.create_task_group() as group:
         group.start_soon(listener.serve, drop)
         target = make_target(listener.extra(anyio.abc.SocketAttribute.local_port))
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         request = http_exchange.Request(b"GET", b"/x", [(b"host", b"h")], b"", False)
         work = services.Work.AT_MOST_ONCE
         seen = await client.attempt(target, request, work, lambda: None)
--- a/tests/edge/test_fingerprints.py
+++ b/tests/edge/test_fingerprints.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from zinniastand_platform import words
+from zinniastand_platform import wire_names
 from zinniastand_proxy.edge import fingerprints, http_exchange
 
 HEADERS = [(b"x-request-id", b"1"), (b"authorization", b"Bearer a")]
@@ -14,7 +14,7 @@
 
 
 def find(request: http_exchange.Request, host: str = "h") -> str:
-    return fingerprints.make_fingerprint(request, host, words.HEADERS)
+    return fingerprints.make_fingerprint(request, host, wire_names.HEADERS)
 
 
 def test_repeated_request_with_another_id_has_the_same_fingerprint() -> None:
--- a/tests/edge/test_knowledge_keeper.py
+++ b/tests/edge/test_knowledge_keeper.py
@@ -40,7 +40,7 @@
         vm = await site.start_vm("vm-1")
         await edge_site.wait_ready(vm)
         site.register(site.targets["t1"], "draining")
-        site.store.forget(edge_site.words.TARGETS_TOPIC)
+        site.store.forget(edge_site.wire_names.TARGETS_TOPIC)
         await anyio.sleep(1.2)
         for n in range(6):
             await edge_site.call(vm, request_id=f"r{n}")
--- a/tests/edge/test_stopping.py
+++ b/tests/edge/test_stopping.py
@@ -18,7 +18,7 @@
 import pytest
 
 from zinniastand_core.deployment import configuration
-from zinniastand_platform import encoding, words
+from zinniastand_platform import encoding, wire_names
 from zinniastand_proxy.edge import (
     datagrams,
     forwarder,
@@ -34,7 +34,7 @@
 
 Break = collections.abc.Callable[[edge_site.Vm], None]
 
-LAUNCH = pathlib.Path(words.__file__).parent.parent / "launch.py"
+LAUNCH = pathlib.Path(wire_names.__file__).parent.parent / "launch.py"
 
 RUN_KEEPER = knowledge_keeper.KnowledgeKeeper.run
 
--- a/tests/edge/test_target_client.py
+++ b/tests/edge/test_target_client.py
@@ -15,7 +15,7 @@
 from zinniastand_core import services
 from zinniastand_core.deployment import targets
 from zinniastand_core.forwarding import plan
-from zinniastand_platform import words
+from zinniastand_platform import wire_names
 from zinniastand_proxy.edge import http_exchange, target_client
 
 pytestmark = pytest.mark.anyio
@@ -80,7 +80,7 @@
     body: bytes = b"",
     method: bytes = b"POST",
 ) -> target_client.Attempt:
-    client = client or target_client.TargetClient(words.HEADERS)
+    client = client or target_client.TargetClient(wire_names.HEADERS)
     request = dataclasses.replace(make_request(body), method=method)
     with anyio.fail_after(5.0):
         return await client.attempt(target, request, work, lambda: None)
@@ -131,7 +131,7 @@
     # one, it counts as this request's answer too, which nothing proves.
     unnamed = b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
     async with run_target(answer_with(unnamed, unnamed, GOOD)) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         found = [(await attempt(target, client)).result for _ in range(3)]
     assert found == [plan.Result.ERROR, plan.Result.ERROR, plan.Result.ANSWERED]
     assert client.unidentified_answers == 1
@@ -190,7 +190,7 @@
         await anyio.sleep(0.3)
 
     async with run_target(script) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         found = await attempt(target, client)
     assert found.result is plan.Result.ANSWERED
     assert not was_aborted
@@ -214,7 +214,7 @@
             ended.set()
 
     async with run_target(script) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         async with anyio.create_task_group() as group:
             group.start_soon(attempt, target, client)
             await late_sent.wait()
@@ -248,7 +248,7 @@
     # meet the announced close.
     late = LATE.replace(b"Content-Length", b"Connection: close\r\nContent-Length")
     async with run_target(answer_with(late + GOOD, GOOD)) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         for _ in range(2):
             found = await attempt(target, client)
             assert found.result is plan.Result.ANSWERED
@@ -275,7 +275,7 @@
             before = last = method
 
     async with run_target(script) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         for method in methods:
             found = await attempt(target, client, method=method)
             assert found.result is plan.Result.ANSWERED
@@ -297,7 +297,7 @@
 
 async def test_connection_with_bytes_after_an_answer_is_not_reused() -> None:
     async with run_target(answer_with(GOOD + LATE, GOOD)) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         for _ in range(2):
             found = await attempt(target, client)
             assert found.result is plan.Result.ANSWERED
@@ -313,7 +313,7 @@
         await anyio.sleep(1.0)
 
     async with run_target(script) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         await attempt(target, client)
         await anyio.sleep(0.15)
         await attempt(target, client)
@@ -322,7 +322,7 @@
 
 async def test_connection_is_reused_within_its_reuse_timeout() -> None:
     async with run_target(answer_with(GOOD, GOOD, GOOD)) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         for _ in range(3):
             assert (await attempt(target, client)).result is plan.Result.ANSWERED
         assert client.opened_connections == 1
@@ -332,7 +332,7 @@
     # Guards against requests lost on an idle connection that a network device between
     # VM and target has dropped. A new connection costs a millisecond.
     async with run_target(answer_with(GOOD, GOOD)) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         await attempt(target, client)
         await anyio.sleep(target_client.AT_MOST_ONCE_REUSE_TIMEOUT_S + 0.05)
         await attempt(target, client)
@@ -348,7 +348,7 @@
         await stream.receive()
 
     async with run_target(script) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         work = services.Work.IDEMPOTENT
         first = await attempt(target, client, work)
         second = await attempt(target, client, work)
@@ -374,7 +374,7 @@
         await stream.receive()
 
     async with run_target(script) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         work = services.Work.IDEMPOTENT
         await attempt(target, client, work)
         found = await attempt(target, client, work)
@@ -395,7 +395,7 @@
     async with run_target(answer_with(GOOD)) as gone:
         pass
     async with run_target(script) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         work = services.Work.IDEMPOTENT
         assert (await attempt(target, client, work)).result is plan.Result.ANSWERED
         found = await attempt(gone, client, work)
@@ -416,7 +416,7 @@
     async with run_target(answer_with(GOOD)) as target:
         pass
     sent: list[str] = []
-    client = target_client.TargetClient(words.HEADERS)
+    client = target_client.TargetClient(wire_names.HEADERS)
     found = await client.attempt(
         target, make_request(), services.Work.AT_MOST_ONCE, lambda: sent.append("x")
     )
@@ -433,7 +433,7 @@
         await anyio.sleep(1.0)
 
     async with run_target(script) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         body = b"x" * 20_000_000
         for _ in range(2):
             found = await attempt(target, client, body=body)
@@ -473,7 +473,7 @@
         await anyio.sleep(work_time)
         await stream.send(answer)
 
-    client = target_client.TargetClient(words.HEADERS)
+    client = target_client.TargetClient(wire_names.HEADERS)
     async with run_target(script) as target:
         await attempt(target, client, services.Work.IDEMPOTENT)
         second = await attempt(target, client, services.Work.IDEMPOTENT)
@@ -503,7 +503,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(target_client, "AT_MOST_ONCE_REUSE_TIMEOUT_S", 0.05)
-    client = target_client.TargetClient(words.HEADERS)
+    client = target_client.TargetClient(wire_names.HEADERS)
     async with run_target(answer_with(GOOD)) as target:
         await attempt(target, client, services.Work.AT_MOST_ONCE)
         now = anyio.current_time()
@@ -516,7 +516,7 @@
 
 
 async def test_idle_connection_is_kept_for_the_timeout_that_its_target_states() -> None:
-    client = target_client.TargetClient(words.HEADERS)
+    client = target_client.TargetClient(wire_names.HEADERS)
     stated = GOOD.replace(b"Content-Length", b"Keep-Alive: timeout=9\r\nContent-Length")
     async with run_target(answer_with(stated)) as target:
         await attempt(target, client, services.Work.IDEMPOTENT)
@@ -532,7 +532,7 @@
 ) -> None:
     # Guards against closing a connection that an idempotent request could still use.
     monkeypatch.setattr(target_client, "AT_MOST_ONCE_REUSE_TIMEOUT_S", 0.0)
-    client = target_client.TargetClient(words.HEADERS)
+    client = target_client.TargetClient(wire_names.HEADERS)
     async with run_target(answer_with(GOOD, GOOD)) as target:
         await attempt(target, client, services.Work.IDEMPOTENT)
         await attempt(target, client, services.Work.AT_MOST_ONCE)
--- a/tests/edge/test_target_proof.py
+++ b/tests/edge/test_target_proof.py
@@ -10,7 +10,7 @@
 from zinniastand_core import services
 from zinniastand_core.deployment import targets
 from zinniastand_core.forwarding import plan
-from zinniastand_platform import words
+from zinniastand_platform import wire_names
 from zinniastand_proxy.edge import (
     http_exchange,
     target_client,
@@ -67,7 +67,10 @@
     port = listener.extra(anyio.abc.SocketAttribute.local_port)
     async with listener, anyio.create_task_group() as group:
         group.start_soon(listener.serve, breaking.serve)
-        target, client = make_entry(port), target_client.TargetClient(words.HEADERS)
+        target, client = (
+            make_entry(port),
+            target_client.TargetClient(wire_names.HEADERS),
+        )
         headers = [(b"host", b"h"), (b"x-request-id", b"id-1")]
         request = http_exchange.Request(b"GET", b"/x", headers, b"", False)
         await client.attempt(target, request, WORK, lambda: None)
--- a/tests/edge_site.py
+++ b/tests/edge_site.py
@@ -17,7 +17,7 @@
 import httpx
 
 from zinniastand_core.deployment import configuration
-from zinniastand_platform import encoding, store, words
+from zinniastand_platform import encoding, store, wire_names
 from zinniastand_proxy.edge import (
     calls,
     edge_daemon,
@@ -60,27 +60,27 @@
     async def handle(self, incoming: calls.Incoming) -> calls.Reply:
         """Run one request."""
         headers = dict(incoming.request.headers)
-        request_id = headers[words.HEADERS.request_id].decode()
-        if headers.get(words.HEADERS.expected_target) != self.target_id.encode():
+        request_id = headers[wire_names.HEADERS.request_id].decode()
+        if headers.get(wire_names.HEADERS.expected_target) != self.target_id.encode():
             return calls.Reply(421, [], b"")
         self.arrived.append(anyio.current_time())
         if incoming.request.path == self.crash_path:
             self.crash_scope.cancel()
             await anyio.sleep_forever()
         if self.status == 503:
-            return calls.Reply(503, [(words.HEADERS.not_run, b"1")], b"")
+            return calls.Reply(503, [(wire_names.HEADERS.not_run, b"1")], b"")
         self.ran.append(request_id)
-        self.time_left.append(int(headers[words.HEADERS.time_left]))
+        self.time_left.append(int(headers[wire_names.HEADERS.time_left]))
         with anyio.CancelScope() as scope:
             incoming.caller.watch(scope, lambda: True)
             await anyio.sleep(self.delay)
         if incoming.caller.has_disconnected:
             self.cancelled.append(request_id)
-        answered = [(words.HEADERS.request_id, request_id.encode())]
+        answered = [(wire_names.HEADERS.request_id, request_id.encode())]
         if self.limit is not None:
             answered.append((b"server-limit", str(self.limit).encode()))
         if self.is_signed:
-            answered.append((words.HEADERS.signature, b"signed"))
+            answered.append((wire_names.HEADERS.signature, b"signed"))
         body = self.target_id.encode() + b" " + incoming.request.body
         return calls.Reply(self.status, answered, body)
 
@@ -153,7 +153,7 @@
                     self.register(target)
                     started.set()
             await anyio.sleep(CRASH_DURATION_S)
-            self.store.put(words.TARGETS_TOPIC, target.target_id, b"")
+            self.store.put(wire_names.TARGETS_TOPIC, target.target_id, b"")
             target = Target(f"{name}-{number}", target.service)
             target.crash_path = path
 
@@ -164,14 +164,14 @@
         value = encoding.encode_entry(
             target.service, address, target.slots, state, sequence
         )
-        self.store.put(words.TARGETS_TOPIC, target.target_id, value)
+        self.store.put(wire_names.TARGETS_TOPIC, target.target_id, value)
 
     def publish(self, routes: list[list[object]]) -> None:
         """Publish a configuration of these routes."""
         self.version += 1
         self.store.put(
-            words.CONFIGURATION_TOPIC,
-            words.CONFIGURATION_KEY,
+            wire_names.CONFIGURATION_TOPIC,
+            wire_names.CONFIGURATION_KEY,
             encoding.encode_configuration(self.version, routes),
         )
 
@@ -189,7 +189,7 @@
         daemon = edge_daemon.EdgeDaemon(
             settings,
             store.PlatformStore(settings.store, log),
-            words.HEADERS,
+            wire_names.HEADERS,
             log,
             random.Random(name),
             edge_settings.SettingsFile(path) if path is not None else None,
--- a/tests/platform_adapter/test_eras.py
+++ b/tests/platform_adapter/test_eras.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from zinniastand_platform import eras, words
+from zinniastand_platform import eras, wire_names
 from zinniastand_proxy.edge import http_exchange, log_lines, ports
 
 
 def answer(*values: bytes) -> http_exchange.Answer:
-    headers = [(words.STORE_ERA, value) for value in values]
+    headers = [(wire_names.STORE_ERA, value) for value in values]
     return http_exchange.Answer(200, headers, b"", True, b"")
 
 
--- a/tests/platform_adapter/test_store.py
+++ b/tests/platform_adapter/test_store.py
@@ -11,7 +11,7 @@
 import pytest
 
 from zinniastand_core.deployment import configuration, targets
-from zinniastand_platform import encoding, store, words
+from zinniastand_platform import encoding, store, wire_names
 from zinniastand_proxy.edge import edge_settings, http_server, log_lines, ports
 from zinniastand_standins import topic_store, topic_store_app
 
@@ -55,7 +55,7 @@
         page = await client.read_targets()
         [entry] = page.changes
         assert isinstance(entry, targets.Entry)
-        topics.put(words.TARGETS_TOPIC, "t1", b"")
+        topics.put(wire_names.TARGETS_TOPIC, "t1", b"")
         put_target(topics, "t2")
         found = await client.read_target_changes(page.position, 0.0)
         assert found.changes[0] == targets.Removal("t1", 1)
@@ -81,7 +81,9 @@
         async def publish() -> None:
             await anyio.sleep(0.1)
             data = encoding.encode_configuration(7, [edge_site.make_route()])
-            topics.put(words.CONFIGURATION_TOPIC, words.CONFIGURATION_KEY, data)
+            topics.put(
+                wire_names.CONFIGURATION_TOPIC, wire_names.CONFIGURATION_KEY, data
+            )
 
         async with anyio.create_task_group() as group:
             group.start_soon(publish)
@@ -93,20 +95,22 @@
 async def test_malformed_records_and_unknown_keys_are_ignored() -> None:
     async with run_store() as (topics, client):
         data = encoding.encode_configuration(7, [edge_site.make_route()])
-        topics.put(words.CONFIGURATION_TOPIC, words.CONFIGURATION_KEY, data)
+        topics.put(wire_names.CONFIGURATION_TOPIC, wire_names.CONFIGURATION_KEY, data)
         page = await client.read_configuration()
-        topics.put(words.CONFIGURATION_TOPIC, words.CONFIGURATION_KEY, b"{broken")
-        topics.put(words.CONFIGURATION_TOPIC, "other", data)
+        topics.put(
+            wire_names.CONFIGURATION_TOPIC, wire_names.CONFIGURATION_KEY, b"{broken"
+        )
+        topics.put(wire_names.CONFIGURATION_TOPIC, "other", data)
         found = await client.wait_configuration(page.position, 0.5)
         assert found.newest is None
-        topics.put(words.TARGETS_TOPIC, "t1", b"{}")
+        topics.put(wire_names.TARGETS_TOPIC, "t1", b"{}")
         assert (await client.read_targets()).changes == ()
 
 
 async def test_read_from_a_dropped_offset_raises_history_lost() -> None:
     async with run_store() as (topics, client):
         put_target(topics, "t1")
-        topics.forget(words.TARGETS_TOPIC)
+        topics.forget(wire_names.TARGETS_TOPIC)
         with pytest.raises(ports.HistoryLostError):
             await client.read_target_changes(0, 0.0)
         assert len((await client.read_targets()).changes) == 1
--- a/tests/scripted_run.py
+++ b/tests/scripted_run.py
@@ -13,7 +13,7 @@
 from zinniastand_core.deployment import configuration, targets
 from zinniastand_core.dispatch import messages
 from zinniastand_core.forwarding import plan
-from zinniastand_platform import words
+from zinniastand_platform import wire_names
 from zinniastand_proxy import metrics
 from zinniastand_proxy.edge import (
     calls,
@@ -200,7 +200,7 @@
         registry,
         unreachable_targets.UnreachableTargets(),
         recorder,
-        words.HEADERS,
+        wire_names.HEADERS,
         lambda: "ticket",
         NoSuspects(),
         exchange.is_down,
