--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
@@ -76,7 +76,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Source:
+class KeeperDependencies:
     """Where configurations are read, and what decides when the store is read."""
 
     store: ports.ConfigurationSource
@@ -97,7 +97,7 @@
 
     Parameters
     ----------
-    source : Source
+    dependencies : KeeperDependencies
         Where configurations are read, and when.
     routing_state : forwarder.RoutingState
         Holds the configuration in force.
@@ -115,7 +115,7 @@
 
     def __init__(
         self,
-        source: Source,
+        dependencies: KeeperDependencies,
         routing_state: forwarder.RoutingState,
         fleet: members.Members,
         broadcaster: broadcasting.Broadcaster,
@@ -123,10 +123,10 @@
         log: log_lines.LogLines,
         rng: random.Random,
     ) -> None:
-        self._store = source.store
-        self._turn = source.turn
-        self._start = source.start
-        self._fetch = source.fetch
+        self._store = dependencies.store
+        self._turn = dependencies.turn
+        self._start = dependencies.start
+        self._fetch = dependencies.fetch
         self._routing_state = routing_state
         self._fleet = fleet
         self._broadcaster = broadcaster
@@ -276,10 +276,10 @@
         """Wait for a new configuration; if `position` is None, return the newest."""
         if position is None:
             return await self._store.read_configuration()
-        late_at = anyio.current_time() + STORE_WAIT_S + READ_SLACK_S
-        with anyio.CancelScope(deadline=late_at) as self._wait_scope:
+        timeout_at = anyio.current_time() + STORE_WAIT_S + READ_SLACK_S
+        with anyio.CancelScope(deadline=timeout_at) as self._wait_scope:
             return await self._store.wait_configuration(position, STORE_WAIT_S)
-        if anyio.current_time() >= late_at:
+        if anyio.current_time() >= timeout_at:
             raise ports.StoreUnavailableError("no answer in time")
         return await self._store.read_configuration()
 
@@ -293,14 +293,14 @@
         """Return a VM with a newer version that is overdue here, or None."""
         version = self._routing_state.configuration_state.version
         self._peer_versions = {
-            vm: (known, at)
-            for vm, (known, at) in self._peer_versions.items()
-            if known > version
+            vm: (peer_version, learnt_at)
+            for vm, (peer_version, learnt_at) in self._peer_versions.items()
+            if peer_version > version
         }
         due = [
             vm
-            for vm, (_, at) in self._peer_versions.items()
-            if now - at >= PUSH_TIMEOUT_S
+            for vm, (_, learnt_at) in self._peer_versions.items()
+            if now - learnt_at >= PUSH_TIMEOUT_S
         ]
         return self._rng.choice(due) if due else None
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
@@ -203,7 +203,7 @@
     within the window."""
 
 
-MAX_NAMES = 256
+MAX_LISTED_TARGETS = 256
 """Names of targets in one list of a slot request; a VM excludes fewer."""
 
 REPORT_FIELDS = (
@@ -287,7 +287,7 @@
             left = message.until - now
             return ["q", message.vm, message.incarnation, message.task, left]
         case TargetUpdate():
-            changes = [pack_change(one, now) for one in message.changes]
+            changes = [pack_change(recent, now) for recent in message.changes]
             head = [message.vm, message.version, message.position, message.since]
             return ["n", *head, changes, message.is_for_relay]
         case ConfigurationUpdate():
@@ -295,8 +295,8 @@
         case VersionNotice():
             return ["v", message.vm, message.version]
         case TargetEstimates():
-            items = [_pack_estimate(one) for one in message.items]
-            durations = [list(one) for one in message.durations]
+            items = [_pack_estimate(item) for item in message.items]
+            durations = [list(kind_duration) for kind_duration in message.durations]
             return ["o", *_pack_shard(message.shard), items, durations, message.vm]
         case SlotRequested():
             return ["a", message.vm, *_pack_slot_request(message.request, now)]
@@ -336,7 +336,7 @@
         case "q":
             return Resigned(rest[0], rest[1], rest[2], now + rest[3])
         case "n":
-            changes = tuple(unpack_change(one, now) for one in rest[4])
+            changes = tuple(unpack_change(row, now) for row in rest[4])
             vm, version, position, since = rest[:4]
             return TargetUpdate(vm, version, position, since, changes, bool(rest[5]))
         case "c":
@@ -344,7 +344,7 @@
         case "v":
             return VersionNotice(rest[0], rest[1])
         case "o":
-            items = tuple(TargetEstimate(*one) for one in rest[4])
+            items = tuple(TargetEstimate(*item) for item in rest[4])
             durations = tuple((name, seconds) for name, seconds in rest[5])
             return TargetEstimates(shards.Shard(*rest[:4]), items, durations, *rest[6:])
         case "a":
@@ -415,7 +415,7 @@
 
 def _unpack_slot_request(fields: list, now: float) -> messages.SlotRequest:
     ticket, kind, may_retry, priority, objective, deadline = fields[4:10]
-    attempt, data_centre, excluded, open_to, is_first = fields[10:]
+    attempt, data_centre, excluded, connected, is_first = fields[10:]
     return messages.SlotRequest(
         ticket,
         shards.Shard(*fields[:4]),
@@ -426,21 +426,21 @@
         now + deadline,
         attempt,
         data_centre,
-        _unpack_names(excluded),
-        _unpack_names(open_to),
+        _unpack_target_ids(excluded),
+        _unpack_target_ids(connected),
         is_first is True,
     )
 
 
-def _unpack_names(value: object) -> tuple[str, ...]:
+def _unpack_target_ids(value: object) -> tuple[str, ...]:
     """Return names of targets.
 
     A malformed or overlong list is rejected, because a dispatcher searches the list for
     each of its targets.
     """
-    if not isinstance(value, list) or len(value) > MAX_NAMES:
+    if not isinstance(value, list) or len(value) > MAX_LISTED_TARGETS:
         raise UnreadableError("no list of names")
-    if not all(isinstance(name, str) for name in value):
+    if not all(isinstance(listed_id, str) for listed_id in value):
         raise UnreadableError("a name that is no text")
     return tuple(value)
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -71,7 +71,7 @@
         Settings at the start.
     store : ports.Store
         The platform's store.
-    words : header_names.HeaderNames
+    platform_headers : header_names.HeaderNames
         Header names of the platform.
     log : log_lines.LogLines
         Logs events and decisions.
@@ -85,7 +85,7 @@
         self,
         settings: edge_settings.Settings,
         store: ports.Store,
-        words: header_names.HeaderNames,
+        platform_headers: header_names.HeaderNames,
         log: log_lines.LogLines,
         rng: random.Random,
         settings_file: edge_settings.SettingsFile | None = None,
@@ -93,7 +93,7 @@
         self._settings = settings
         self._settings_file = settings_file
         self._store = store
-        self._words = words
+        self._platform_headers = platform_headers
         self._log = log
         self._rng = rng
         self._is_stopping = False
@@ -115,12 +115,12 @@
         """
         self._is_stopping = True
         self._messenger.is_leaving = True
-        self._callers.is_stopping = True
+        self._caller_server.is_stopping = True
         self._forwarder.end_by(answer_by)
         self._log.write(
             "stopping",
-            in_flight=self._callers.in_flight,
-            reading=self._callers.count_receiving(),
+            in_flight=self._caller_server.in_flight,
+            reading=self._caller_server.count_receiving(),
             limit_ms=round((answer_by - anyio.current_time()) * MS_PER_S),
         )
 
@@ -203,9 +203,9 @@
         async with anyio.create_task_group() as group:
             self._scope = group.cancel_scope
             for server, address in (
-                (self._callers, settings.callers),
-                (self._readiness, settings.readiness),
-                (self._exporter, settings.metrics),
+                (self._caller_server, settings.callers),
+                (self._readiness_server, settings.readiness),
+                (self._metrics_server, settings.metrics),
             ):
                 await group.start(server.serve, address.host, address.port)
             for name, task in self._list_tasks():
@@ -217,7 +217,7 @@
             settings = self._settings
             times = stopping.StopTimes(settings.stop_limit, settings.unready_after)
             self._stop_summary = await stopping.stop(
-                self, self._callers, times, self._report_fault
+                self, self._caller_server, times, self._report_fault
             )
             group.cancel_scope.cancel()
 
@@ -238,17 +238,17 @@
 
     async def _serve_knowledge(self) -> None:
         peers = self._settings.peers
-        take = self._keeper.make_snapshot
-        await knowledge_exchange.serve(peers.host, peers.port, take)
+        make_own_snapshot = self._keeper.make_snapshot
+        await knowledge_exchange.serve(peers.host, peers.port, make_own_snapshot)
 
     def _build(self) -> None:
         own = self._build_fleet()
-        knowledge = forwarder.RoutingState(
+        routing_state = forwarder.RoutingState(
             self._configuration_state, routing.Router(self._rng), self._registry
         )
         self._keeper = knowledge_keeper.KnowledgeKeeper(
             self._store,
-            knowledge,
+            routing_state,
             self._fleet,
             self._link,
             self._log,
@@ -256,21 +256,21 @@
             self._rng,
             self._resignation,
         )
-        hearers = fleet_messenger.Receivers(
+        receivers = fleet_messenger.Receivers(
             self._local_dispatchers, self._keeper, self._placement, self._suspects
         )
         self._messenger = fleet_messenger.FleetMessenger(
-            self._fleet, self._link, hearers, self._log, self._report_fault
+            self._fleet, self._link, receivers, self._log, self._report_fault
         )
         self._local_dispatchers.retries.use_announcer(self._messenger.send_retry_counts)
-        self._client = target_client.TargetClient(self._words)
+        self._client = target_client.TargetClient(self._platform_headers)
         self._suspension = suspension.SuspensionWatch(self._handle_suspension)
         dependencies = forwarder.Dependencies(
-            knowledge,
+            routing_state,
             self._placement,
             self._client,
             self._suspects,
-            self._words,
+            self._platform_headers,
             self._log,
             self.metrics,
             self._suspension.check,
@@ -313,18 +313,18 @@
         return own
 
     def _build_servers(self, handler: calls.Handler) -> None:
-        self._callers = http_server.Server(
+        self._caller_server = http_server.Server(
             handler,
             self._read_limits,
             self._report_server_error,
             self._forwarder.may_overlap,
         )
-        self._readiness = http_server.Server(
+        self._readiness_server = http_server.Server(
             pages.Page(self._serve_readiness),
             configuration.Limits,
             self._report_server_error,
         )
-        self._exporter = http_server.Server(
+        self._metrics_server = http_server.Server(
             pages.Page(self._serve_metrics),
             configuration.Limits,
             self._report_server_error,
@@ -349,7 +349,7 @@
 
     def _serve_metrics(self) -> calls.Reply:
         for name, value in (
-            ("zinniastand_requests_in_flight", self._callers.in_flight),
+            ("zinniastand_requests_in_flight", self._caller_server.in_flight),
             ("zinniastand_datagrams_sent_total", self._link.sent),
             ("zinniastand_datagram_bytes_sent_total", self._link.sent_bytes),
             (
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_messenger.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_messenger.py
@@ -25,7 +25,7 @@
 """Seconds between two broadcasts of a dispatcher's estimates of its targets. The VM
 that succeeds it starts with estimates of at most that age."""
 
-BROADCAST_EVERY = 4
+SENDINGS_PER_BROADCAST = 4
 """One in this many sendings of estimates goes to all VMs. A VM that is cut off from the
 others places its requests by itself, and then knows which targets were failing a second
 before. Targets fail for some ten seconds."""
@@ -42,7 +42,7 @@
 SUSPECTS_SENDER_COUNT = 3
 """VMs that send a starting VM the requests that are suspected to crash targets."""
 
-RETRY_COUNTING_VMS = 3
+RETRY_COUNTS_RECEIVER_COUNT = 3
 """VMs by rank for each shard that receive the retry counts of its service: its
 dispatcher and those that would succeed it."""
 
@@ -176,7 +176,7 @@
         """Send the estimates of the dispatchers here until cancelled."""
         for number in itertools.count():
             await anyio.sleep(ESTIMATES_INTERVAL_S)
-            self.send_estimates(is_broadcast=number % BROADCAST_EVERY == 0)
+            self.send_estimates(is_broadcast=number % SENDINGS_PER_BROADCAST == 0)
 
     def send_estimates(self, is_broadcast: bool) -> None:
         """Send the estimates of the dispatchers here, and the retry counts.
@@ -214,13 +214,15 @@
             vm
             for shard in dispatchers.list_shards(service)
             for vm in fleet.rank_reachable(shard.task, now, shard.data_centre)[
-                :RETRY_COUNTING_VMS
+                :RETRY_COUNTS_RECEIVER_COUNT
             ]
         }
         names.discard(fleet.own.vm)
         receivers = [fleet.find(vm) for vm in sorted(names)]
         for usage in dispatchers.retries.make_updates(service, now, is_whole):
-            self._link.send_many(usage, [one for one in receivers if one is not None])
+            self._link.send_many(
+                usage, [receiver for receiver in receivers if receiver is not None]
+            )
 
     async def greet(self) -> None:
         """Greet VMs that did not answer, until cancelled."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_exchange.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_exchange.py
@@ -83,8 +83,8 @@
     try:
         with anyio.fail_after(FETCH_TIMEOUT_S):
             async with await anyio.connect_tcp(host, port) as stream:
-                async for part in stream:
-                    data += part
+                async for chunk in stream:
+                    data += chunk
                     if len(data) > MAX_SNAPSHOT_BYTES:
                         return None
         # Ages count from the request, so that the time in transit is included.
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
@@ -61,7 +61,7 @@
         Called after the targets changed.
     rng : random.Random
         Jitter for calls, and choice of peers.
-    resign : resignation.Resignation
+    own_resignation : resignation.Resignation
         Leaves fleet-wide tasks to other VMs.
     """
 
@@ -74,14 +74,14 @@
         log: log_lines.LogLines,
         on_targets: collections.abc.Callable[[], None],
         rng: random.Random,
-        resign: resignation.Resignation,
+        own_resignation: resignation.Resignation,
     ) -> None:
         self._configuration_state = routing_state.configuration_state
         self._registry = routing_state.registry
         self._fleet = fleet
         self._link = link
         self._rng = rng
-        self._resignation = resign
+        self._resignation = own_resignation
         self._start_wait_end = anyio.current_time() + START_WAIT_S
         self._store = store
         self._broadcaster = broadcasting.Broadcaster(fleet, link)
@@ -104,7 +104,9 @@
         turn = reading_turn.ReadingTurn(fleet)
         start = start_turn.StartTurn(fleet, anyio.current_time())
         self._configuration_keeper = configuration_keeper.ConfigurationKeeper(
-            configuration_keeper.Source(store, turn, start, self._fetch_from),
+            configuration_keeper.KeeperDependencies(
+                store, turn, start, self._fetch_from
+            ),
             routing_state,
             fleet,
             self._broadcaster,
@@ -121,7 +123,7 @@
             self._configuration_keeper.has_recent_read,
         )
         self._target_reader = target_reader.TargetReader(
-            target_reader.Source(store, turn, start),
+            target_reader.ReaderDependencies(store, turn, start),
             self._target_record,
             self._update_sender,
             store_contact.StoreContact("targets", log, rng),
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/members.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/members.py
@@ -69,10 +69,10 @@
         bool
             Whether the VM, or this incarnation of it, was unknown before.
         """
-        known = self._members.get(member.vm)
+        stored = self._members.get(member.vm)
         if member.vm == self.own.vm:
             return False
-        if known is not None and not self._is_later(member, known):
+        if stored is not None and not self._is_later(member, stored):
             return False
         self._members[member.vm] = member
         self._reachable_since.pop(member.vm, None)
@@ -81,7 +81,7 @@
         self._ranks.clear()
         return True
 
-    def _is_later(self, member: ports.Member, known: ports.Member) -> bool:
+    def _is_later(self, member: ports.Member, stored: ports.Member) -> bool:
         """Return whether an entry is from a later start of its VM than the known one.
 
         Incarnations are wall-clock times, and the clock may be set back between two
@@ -89,8 +89,8 @@
         therefore from its next start.
         """
         if member.vm in self._leaving_until:
-            return member.incarnation != known.incarnation
-        return member.incarnation > known.incarnation
+            return member.incarnation != stored.incarnation
+        return member.incarnation > stored.incarnation
 
     def record_contact(self, vm: str, now: float) -> None:
         """Record that a message from a VM arrived."""
@@ -128,8 +128,8 @@
         dispatchers could not answer its slot requests, it would take each of them for
         dead.
         """
-        known = self._members.get(vm)
-        if known is not None and known.incarnation == incarnation:
+        stored = self._members.get(vm)
+        if stored is not None and stored.incarnation == incarnation:
             self._leaving_until[vm] = now + LEAVING_RETENTION_S
 
     def record_resignation(
@@ -145,13 +145,17 @@
         bool
             Whether the resignation takes effect.
         """
-        known = self._members.get(vm)
-        if known is None or known.incarnation != incarnation:
+        stored = self._members.get(vm)
+        if stored is None or stored.incarnation != incarnation:
             return False
         self._resigned_until = {
             key: at for key, at in self._resigned_until.items() if at > now
         }
-        others = [one for one, of in self._resigned_until if of == task and one != vm]
+        others = [
+            name
+            for name, resigned_task in self._resigned_until
+            if resigned_task == task and name != vm
+        ]
         max_resigned = MAX_RESIGNED if task else max(MAX_RESIGNED, self.count() // 4)
         if len(others) >= max_resigned:
             return False
@@ -180,7 +184,7 @@
 
     def list_others(self) -> list[ports.Member]:
         """Return all other VMs, including suspected ones."""
-        return [one for one in self._members.values() if one.vm != self.own.vm]
+        return [other for other in self._members.values() if other.vm != self.own.vm]
 
     def list_suspects(self, now: float) -> list[ports.Member]:
         """Return the VMs that did not answer and those never heard from.
@@ -189,12 +193,12 @@
         returned.
         """
         return [
-            one
-            for one in self.list_others()
-            if one.vm not in self._leaving_until
+            other
+            for other in self.list_others()
+            if other.vm not in self._leaving_until
             and (
-                self._suspect_until.get(one.vm, 0.0) > now
-                or one.vm not in self._reachable_since
+                self._suspect_until.get(other.vm, 0.0) > now
+                or other.vm not in self._reachable_since
             )
         ]
 
@@ -224,7 +228,9 @@
 
     def list_in(self, data_centre: str) -> list[ports.Member]:
         """Return the other VMs of a data centre, including suspected ones."""
-        return [one for one in self.list_others() if one.data_centre == data_centre]
+        return [
+            other for other in self.list_others() if other.data_centre == data_centre
+        ]
 
     def is_direct(self, vm: str, is_for_relay: bool) -> bool:
         """Return whether an update from a VM arrived without passing through a relay.
@@ -241,7 +247,7 @@
     @property
     def data_centres(self) -> set[str]:
         """Data centres that have at least one known VM."""
-        return {one.data_centre for one in self._members.values()}
+        return {entry.data_centre for entry in self._members.values()}
 
     def _rank(self, task: str, data_centre: str, now: float, count: int) -> list[str]:
         reachable: list[str] = []
@@ -275,7 +281,10 @@
     def _has_resigned(self, vm: str, task: str, now: float) -> bool:
         if not self._resigned_until:
             return False
-        return any(self._resigned_until.get((vm, of), 0.0) > now for of in (task, ""))
+        return any(
+            self._resigned_until.get((vm, resigned_task), 0.0) > now
+            for resigned_task in (task, "")
+        )
 
     def _is_reachable(self, vm: str, now: float) -> bool:
         return (
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/peer_link.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/peer_link.py
@@ -14,7 +14,7 @@
 MAX_DATAGRAM_BYTES = 60_000
 """Size of the largest datagram that is sent; UDP allows 65,507 bytes."""
 
-MAX_BATCH = 64
+MAX_BATCH_DATAGRAMS = 64
 """Datagrams that are handled before other tasks run."""
 
 
@@ -48,7 +48,7 @@
         """Receive until cancelled; can be called again after an error."""
         while True:
             await anyio.wait_readable(self._socket)
-            for _ in range(MAX_BATCH):
+            for _ in range(MAX_BATCH_DATAGRAMS):
                 if not self._receive_one(receive):
                     break
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/stopping.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/stopping.py
@@ -46,7 +46,7 @@
     """Duration of the stop in seconds."""
 
 
-class CallerSide(typing.Protocol):
+class CallerServer(typing.Protocol):
     """The server for callers."""
 
     @property
@@ -91,7 +91,7 @@
 
 async def stop(
     vm: StoppingVm,
-    callers: CallerSide,
+    callers: CallerServer,
     times: StopTimes,
     report_fault: supervision.ReportFault,
 ) -> StopSummary:
@@ -120,6 +120,6 @@
     return StopSummary(callers.in_flight, callers.count_receiving(), duration)
 
 
-async def _wait_until_answered(served: CallerSide, end: float) -> None:
-    while served.has_unfinished_work() and anyio.current_time() < end:
+async def _wait_until_answered(caller_server: CallerServer, end: float) -> None:
+    while caller_server.has_unfinished_work() and anyio.current_time() < end:
         await anyio.sleep(POLL_INTERVAL_S)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/store_contact.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/store_contact.py
@@ -15,7 +15,7 @@
 """Longest delay, in seconds, between calls to a store that does not answer. A longer
 delay could push a new configuration past its limit of two seconds after an outage."""
 
-MAX_ERROR_CHARS = 120
+MAX_ERROR_CHARACTERS = 120
 """Characters of an error message that are kept in a log line."""
 
 
@@ -55,7 +55,7 @@
         """
         if not self._is_lost:
             self._is_lost = True
-            why = str(error)[:MAX_ERROR_CHARS]
+            why = str(error)[:MAX_ERROR_CHARACTERS]
             self._log.write("store_lost", part=self._part, why=why)
         await anyio.sleep(self._delay * (0.5 + self._rng.random()))
         self._delay = min(max_delay, 2 * self._delay)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_reader.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_reader.py
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Source:
+class ReaderDependencies:
     """The store to read, and what decides when it is read."""
 
     store: ports.TargetSource
@@ -66,7 +66,7 @@
 
     Parameters
     ----------
-    source : Source
+    dependencies : ReaderDependencies
         The store to read, and what decides when it is read.
     record : target_record.TargetRecord
         Applies what was read.
@@ -87,7 +87,7 @@
 
     def __init__(
         self,
-        source: Source,
+        dependencies: ReaderDependencies,
         record: target_record.TargetRecord,
         update_sender: target_update_sender.TargetUpdateSender,
         contact: store_contact.StoreContact,
@@ -96,9 +96,9 @@
         resignation: resignation.Resignation,
         on_complete: collections.abc.Callable[[], None],
     ) -> None:
-        self._store = source.store
-        self._turn = source.turn
-        self._start = source.start
+        self._store = dependencies.store
+        self._turn = dependencies.turn
+        self._start = dependencies.start
         self._record = record
         self._update_sender = update_sender
         self._contact = contact
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_record.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_record.py
@@ -97,7 +97,7 @@
 
     def apply_listing(self, page: ports.TargetPage, now: float) -> bool:
         """Apply a full list read from the store; return whether any target changed."""
-        entries = [one for one in page.changes if isinstance(one, targets.Entry)]
+        entries = [entry for entry in page.changes if isinstance(entry, targets.Entry)]
         applied = self._registry.replace(entries, page.position, now)
         was_complete = self.is_complete
         self.position = page.position
--- a/tests/edge/test_configuration_keeper.py
+++ b/tests/edge/test_configuration_keeper.py
@@ -11,10 +11,10 @@
 
 pytestmark = pytest.mark.anyio
 
-BOUND = 2.0
+IN_FORCE_LIMIT_S = 2.0
 """Seconds within which a version must be in force."""
 
-SETTLED = 4.0
+SETTLE_WAIT_S = 4.0
 """Seconds after which one VM reads the store for the fleet."""
 
 
@@ -30,7 +30,7 @@
     ]
     for vm in vms:
         await edge_site.wait_ready(vm)
-    await anyio.sleep(SETTLED)
+    await anyio.sleep(SETTLE_WAIT_S)
     return vms
 
 
@@ -57,8 +57,10 @@
 
 
 async def wait_in_force(site: edge_site.Site, vms: list[edge_site.Vm]) -> None:
-    """Wait until all VMs have the newest version; fail after `BOUND`."""
-    await edge_site.wait_until(lambda: have_version(vms, site.version), BOUND)
+    """Wait until all VMs have the newest version; fail after `IN_FORCE_LIMIT_S`."""
+    await edge_site.wait_until(
+        lambda: have_version(vms, site.version), IN_FORCE_LIMIT_S
+    )
 
 
 async def test_store_calls_for_a_new_version_do_not_grow_with_the_fleet() -> None:
--- a/tests/edge/test_datagrams.py
+++ b/tests/edge/test_datagrams.py
@@ -58,7 +58,7 @@
 ]
 
 
-@pytest.mark.parametrize("message", MESSAGES, ids=lambda one: type(one).__name__)
+@pytest.mark.parametrize("message", MESSAGES, ids=lambda sample: type(sample).__name__)
 def test_decoding_an_encoded_message_returns_it(message: datagrams.Message) -> None:
     assert datagrams.decode(datagrams.encode(message, 0.0), 0.0) == message
 
--- a/tests/edge/test_leaving_vm.py
+++ b/tests/edge/test_leaving_vm.py
@@ -46,7 +46,11 @@
             for line in leaving.read_log()
             if line["event"] == "attempt"
         }
-        lost = [one for one in leaving.read_log() if one["event"] == "dispatcher_lost"]
+        lost = [
+            record
+            for record in leaving.read_log()
+            if record["event"] == "dispatcher_lost"
+        ]
         assert lost == [], (waited, lost)
 
 
@@ -94,8 +98,11 @@
             await anyio.sleep(0.05)
         answers = [(await edge_site.call(leaving)).status_code]
         lines = [
-            {k: e.get(k) for k in ("event", "why", "waited_ms", "status", "peer")}
-            for e in leaving.read_log()
-            if e["event"] in ("attempt", "answer", "dispatcher_lost")
+            {
+                key: entry.get(key)
+                for key in ("event", "why", "waited_ms", "status", "peer")
+            }
+            for entry in leaving.read_log()
+            if entry["event"] in ("attempt", "answer", "dispatcher_lost")
         ]
         assert answers == [200], lines
--- a/tests/edge/test_members.py
+++ b/tests/edge/test_members.py
@@ -6,7 +6,7 @@
 
 from zinniastand_proxy.edge import members, ports
 
-SETTLED = members.SETTLE_TIME_S + 0.1
+SETTLED_AT_S = members.SETTLE_TIME_S + 0.1
 
 
 def make_member(name: str, incarnation: int = 1) -> ports.Member:
@@ -29,38 +29,38 @@
         for name in names:
             fleet.add(make_member(name))
             fleet.record_contact(name, 0.0)
-        ranks.add(tuple(fleet.rank("desk", SETTLED, 3)))
+        ranks.add(tuple(fleet.rank("desk", SETTLED_AT_S, 3)))
     assert len(ranks) == 1
 
 
 def test_suspected_vm_has_no_tasks_until_it_is_reachable_again() -> None:
     fleet = make_fleet("a", "b", "c")
-    first, second, *_ = fleet.rank("desk", SETTLED, 4)
+    first, second, *_ = fleet.rank("desk", SETTLED_AT_S, 4)
     if first == "own":
         first, second = second, first
-    assert fleet.suspect(first, SETTLED)
-    assert not fleet.suspect(first, SETTLED)
-    assert first not in fleet.rank("desk", SETTLED, 4)
-    assert first in {one.vm for one in fleet.list_suspects(SETTLED)}
-    fleet.record_contact(first, SETTLED)
-    assert first in fleet.rank("desk", SETTLED, 4)
+    assert fleet.suspect(first, SETTLED_AT_S)
+    assert not fleet.suspect(first, SETTLED_AT_S)
+    assert first not in fleet.rank("desk", SETTLED_AT_S, 4)
+    assert first in {member.vm for member in fleet.list_suspects(SETTLED_AT_S)}
+    fleet.record_contact(first, SETTLED_AT_S)
+    assert first in fleet.rank("desk", SETTLED_AT_S, 4)
 
 
 def test_vm_never_heard_from_gets_no_task() -> None:
     # The store still holds the records of VMs that stopped long ago.
     fleet = make_fleet("a")
     fleet.add(make_member("gone"))
-    assert "gone" not in fleet.rank("desk", SETTLED, 4)
+    assert "gone" not in fleet.rank("desk", SETTLED_AT_S, 4)
 
 
 def test_new_vm_takes_over_tasks_only_after_settling() -> None:
     # A VM that has just started has no data on slots in use and failing targets.
     fleet = make_fleet("a", "b")
     fleet.add(make_member("new"))
-    fleet.record_contact("new", SETTLED)
-    assert "new" not in fleet.rank("desk", SETTLED, 4)
-    assert "new" in fleet.rank("desk", 2 * SETTLED, 4)
-    assert "new" in fleet.rank_reachable("desk", SETTLED)
+    fleet.record_contact("new", SETTLED_AT_S)
+    assert "new" not in fleet.rank("desk", SETTLED_AT_S, 4)
+    assert "new" in fleet.rank("desk", 2 * SETTLED_AT_S, 4)
+    assert "new" in fleet.rank_reachable("desk", SETTLED_AT_S)
 
 
 def test_tasks_are_assigned_while_the_whole_fleet_is_new() -> None:
@@ -72,8 +72,8 @@
     fleet = make_fleet("a")
     assert fleet.add(make_member("a", incarnation=2))
     assert not fleet.add(make_member("a", incarnation=1))
-    fleet.record_contact("a", SETTLED)
-    assert "a" not in fleet.rank("desk", SETTLED, 4)
+    fleet.record_contact("a", SETTLED_AT_S)
+    assert "a" not in fleet.rank("desk", SETTLED_AT_S, 4)
 
 
 def test_leaving_vm_has_no_tasks_but_keeps_its_address() -> None:
@@ -81,39 +81,39 @@
     # address, they could not answer its slot requests: it would take one dispatcher
     # after the other for dead, 0.09 s each, and refuse its own retries.
     fleet = make_fleet("a", "b")
-    fleet.record_leaving("a", 1, SETTLED)
-    assert "a" not in fleet.rank("desk", SETTLED, 4)
-    assert "a" not in fleet.rank_reachable("desk", SETTLED)
-    fleet.record_contact("a", SETTLED)
-    assert "a" not in fleet.rank("desk", SETTLED, 4)
+    fleet.record_leaving("a", 1, SETTLED_AT_S)
+    assert "a" not in fleet.rank("desk", SETTLED_AT_S, 4)
+    assert "a" not in fleet.rank_reachable("desk", SETTLED_AT_S)
+    fleet.record_contact("a", SETTLED_AT_S)
+    assert "a" not in fleet.rank("desk", SETTLED_AT_S, 4)
     assert fleet.find("a") is not None
-    assert fleet.list_suspects(SETTLED) == []
+    assert fleet.list_suspects(SETTLED_AT_S) == []
 
 
 def test_vm_that_left_is_removed_after_the_retention_time() -> None:
     fleet = make_fleet("a")
-    fleet.record_leaving("a", 1, SETTLED)
-    fleet.remove_departed(SETTLED + 1)
+    fleet.record_leaving("a", 1, SETTLED_AT_S)
+    fleet.remove_departed(SETTLED_AT_S + 1)
     assert fleet.find("a") is not None
-    fleet.remove_departed(SETTLED + members.LEAVING_RETENTION_S)
+    fleet.remove_departed(SETTLED_AT_S + members.LEAVING_RETENTION_S)
     assert fleet.find("a") is None
 
 
 def test_vm_that_left_and_restarts_gets_tasks() -> None:
     fleet = make_fleet("a")
-    fleet.record_leaving("a", 1, SETTLED)
+    fleet.record_leaving("a", 1, SETTLED_AT_S)
     assert fleet.add(make_member("a", incarnation=2))
-    fleet.record_contact("a", SETTLED)
-    assert "a" in fleet.rank("desk", 2 * SETTLED, 4)
-    fleet.remove_departed(SETTLED + members.LEAVING_RETENTION_S)
+    fleet.record_contact("a", SETTLED_AT_S)
+    assert "a" in fleet.rank("desk", 2 * SETTLED_AT_S, 4)
+    fleet.remove_departed(SETTLED_AT_S + members.LEAVING_RETENTION_S)
     assert fleet.find("a") is not None
 
 
 def test_own_entry_stays_while_leaving_without_tasks() -> None:
     fleet = make_fleet("a")
-    fleet.record_leaving("own", 1, SETTLED)
-    assert fleet.rank("desk", SETTLED, 4) == ["a"]
-    fleet.remove_departed(SETTLED + members.LEAVING_RETENTION_S)
+    fleet.record_leaving("own", 1, SETTLED_AT_S)
+    assert fleet.rank("desk", SETTLED_AT_S, 4) == ["a"]
+    fleet.remove_departed(SETTLED_AT_S + members.LEAVING_RETENTION_S)
     assert fleet.find("own") is not None
     other = dataclasses.replace(make_member("own"), incarnation=9)
     assert not fleet.add(other)
@@ -129,7 +129,7 @@
         fleet.record_contact(name, 0.4)
     for tenth in range(40):
         assert fleet.rank("desk", tenth / 10, 4) != ["own"]
-    assert "own" in fleet.rank("desk", 0.4 + SETTLED, 4)
+    assert "own" in fleet.rank("desk", 0.4 + SETTLED_AT_S, 4)
 
 
 def test_vms_of_the_named_data_centre_rank_first() -> None:
@@ -137,11 +137,11 @@
     far = ports.Member("far", "z", "10.0.0.2", 7660, 1)
     fleet.add(far)
     fleet.record_contact("far", 0.0)
-    assert fleet.rank("desk", 2 * SETTLED, 2, "z") == ["far"]
-    assert fleet.rank_reachable("desk", 2 * SETTLED, "z") == ["far"]
-    fleet.suspect("far", 2 * SETTLED)
-    assert "far" not in fleet.rank("desk", 2 * SETTLED, 2, "z")
-    assert len(fleet.rank("desk", 2 * SETTLED, 2, "z")) == 2
+    assert fleet.rank("desk", 2 * SETTLED_AT_S, 2, "z") == ["far"]
+    assert fleet.rank_reachable("desk", 2 * SETTLED_AT_S, "z") == ["far"]
+    fleet.suspect("far", 2 * SETTLED_AT_S)
+    assert "far" not in fleet.rank("desk", 2 * SETTLED_AT_S, 2, "z")
+    assert len(fleet.rank("desk", 2 * SETTLED_AT_S, 2, "z")) == 2
 
 
 def test_update_through_a_relay_does_not_count_as_contact_with_the_reader() -> None:
--- a/tests/edge/test_reading_turn.py
+++ b/tests/edge/test_reading_turn.py
@@ -4,7 +4,7 @@
 
 from zinniastand_proxy.edge import members, ports, reading_turn
 
-SETTLED = members.SETTLE_TIME_S + 0.1
+SETTLED_AT_S = members.SETTLE_TIME_S + 0.1
 
 
 def make_turn(own: str, others: tuple[str, ...]) -> reading_turn.ReadingTurn:
@@ -26,17 +26,19 @@
     turns = make_turns()
     for turn in turns:
         turn.join(0.0, is_alone=False)
-    assert sum(turn.is_first(SETTLED) for turn in turns) == 1
-    assert sum(turn.is_due(SETTLED, received_at=SETTLED) for turn in turns) == 1
+    assert sum(turn.is_first(SETTLED_AT_S) for turn in turns) == 1
+    assert (
+        sum(turn.is_due(SETTLED_AT_S, received_at=SETTLED_AT_S) for turn in turns) == 1
+    )
 
 
 def test_next_in_rank_reads_before_the_others_when_updates_stop() -> None:
-    turns = [turn for turn in make_turns() if not turn.is_first(SETTLED)]
+    turns = [turn for turn in make_turns() if not turn.is_first(SETTLED_AT_S)]
     silent = reading_turn.UPDATE_TIMEOUT_S + reading_turn.RANK_DELAY_S / 2
-    assert sum(turn.is_due(SETTLED, SETTLED - silent) for turn in turns) == 1
+    assert sum(turn.is_due(SETTLED_AT_S, SETTLED_AT_S - silent) for turn in turns) == 1
     longest = reading_turn.RANK_DELAY_S * reading_turn.MAX_DELAYED_RANKS
     silent = reading_turn.UPDATE_TIMEOUT_S + longest + 0.01
-    assert all(turn.is_due(SETTLED, SETTLED - silent) for turn in turns)
+    assert all(turn.is_due(SETTLED_AT_S, SETTLED_AT_S - silent) for turn in turns)
 
 
 def test_vm_is_not_the_reader_before_it_could_receive_heartbeats() -> None:
--- a/tests/edge/test_resignation.py
+++ b/tests/edge/test_resignation.py
@@ -24,7 +24,7 @@
 pytestmark = pytest.mark.anyio
 
 NAMES = tuple(f"vm-{n}" for n in range(6))
-SETTLED = members.SETTLE_TIME_S + 0.1
+SETTLED_AT_S = members.SETTLE_TIME_S + 0.1
 
 
 def make_fleet() -> members.Members:
@@ -39,41 +39,43 @@
 
 
 def resign(fleet: members.Members, vm: str, task: str, until: float) -> bool:
-    return fleet.record_resignation(vm, 1, task, until, SETTLED)
+    return fleet.record_resignation(vm, 1, task, until, SETTLED_AT_S)
 
 
 def test_resigned_vm_gets_no_task_though_it_is_reachable() -> None:
     # Guards against asking a VM first, again and again, that only appears healthy.
     fleet = make_fleet()
-    first = fleet.rank("desk", SETTLED, 1)[0]
-    assert resign(fleet, first, "desk", SETTLED + 3)
-    fleet.record_contact(first, SETTLED + 1)
-    assert fleet.rank("desk", SETTLED + 1, 1) != [first]
-    assert first in fleet.rank("other", SETTLED + 1, len(NAMES) + 1)
-    assert fleet.rank("desk", SETTLED + 3, 1) == [first]
+    first = fleet.rank("desk", SETTLED_AT_S, 1)[0]
+    assert resign(fleet, first, "desk", SETTLED_AT_S + 3)
+    fleet.record_contact(first, SETTLED_AT_S + 1)
+    assert fleet.rank("desk", SETTLED_AT_S + 1, 1) != [first]
+    assert first in fleet.rank("other", SETTLED_AT_S + 1, len(NAMES) + 1)
+    assert fleet.rank("desk", SETTLED_AT_S + 3, 1) == [first]
 
 
 def test_vm_that_resigned_from_all_tasks_gets_none() -> None:
     fleet = make_fleet()
-    assert resign(fleet, "vm-1", resignation.ALL_TASKS, SETTLED + 3)
+    assert resign(fleet, "vm-1", resignation.ALL_TASKS, SETTLED_AT_S + 3)
     for task in ("desk", "other", reading_turn.READER_TASK):
-        assert "vm-1" not in fleet.rank(task, SETTLED, len(NAMES) + 1)
+        assert "vm-1" not in fleet.rank(task, SETTLED_AT_S, len(NAMES) + 1)
 
 
 def test_resignations_are_bounded_in_number_and_duration() -> None:
     # Guards against a task that no VM may perform, and against an endless resignation.
     fleet = make_fleet()
-    done = [resign(fleet, name, "desk", SETTLED + 1e9) for name in NAMES]
+    done = [resign(fleet, name, "desk", SETTLED_AT_S + 1e9) for name in NAMES]
     assert done.count(True) == members.MAX_RESIGNED
-    left = fleet.rank("desk", SETTLED, len(NAMES) + 1)
+    left = fleet.rank("desk", SETTLED_AT_S, len(NAMES) + 1)
     assert len(left) == len(NAMES) + 1 - members.MAX_RESIGNED
-    late = SETTLED + members.MAX_RESIGNATION_S
+    late = SETTLED_AT_S + members.MAX_RESIGNATION_S
     assert len(fleet.rank("desk", late, len(NAMES) + 1)) == len(NAMES) + 1
 
 
 def test_resignation_from_an_earlier_start_is_ignored() -> None:
     fleet = make_fleet()
-    assert not fleet.record_resignation("vm-1", 0, "desk", SETTLED + 3, SETTLED)
+    assert not fleet.record_resignation(
+        "vm-1", 0, "desk", SETTLED_AT_S + 3, SETTLED_AT_S
+    )
 
 
 def test_vm_resigns_only_after_lasting_lateness_with_tasks() -> None:
--- a/tests/edge/test_stopping.py
+++ b/tests/edge/test_stopping.py
@@ -295,7 +295,7 @@
             vm.daemon.reload()
             vm.daemon.stop()
             assert (await receive_answer(stream)).startswith(b"HTTP/1.1 200 ")
-        assert {one["outcome"] for one in list_events(vm, "reload")} == {"in force"}
+        assert {entry["outcome"] for entry in list_events(vm, "reload")} == {"in force"}
 
 
 async def test_sighup_during_a_start_does_not_end_the_process(
--- a/tests/edge/test_store_contact.py
+++ b/tests/edge/test_store_contact.py
@@ -29,7 +29,7 @@
     lines = os.read(reader, 10_000)
     assert lines.count(b'"store_lost"') == 1
     assert lines.count(b'"store_back"') == 1
-    assert lines.count(b"x") == store_contact.MAX_ERROR_CHARS
+    assert lines.count(b"x") == store_contact.MAX_ERROR_CHARACTERS
 
 
 async def test_retry_delay_grows_to_its_maximum_and_is_reset_by_a_success(
--- a/tests/edge/test_store_drill.py
+++ b/tests/edge/test_store_drill.py
@@ -10,7 +10,7 @@
 
 pytestmark = pytest.mark.anyio
 
-SETTLED = 2.0
+ERA_SETTLE_S = 2.0
 """Seconds within which all VMs know the entries of the new era."""
 
 
@@ -56,14 +56,14 @@
         await anyio.sleep(1.0)
         assert "t1" not in await find_used(vms)
         await restore_store(site, copy)
-        await anyio.sleep(SETTLED)
+        await anyio.sleep(ERA_SETTLE_S)
         # Its entry is back in phase "ready", as it was when the copy was made.
         assert "t1" not in await find_used(vms)
         site.register(site.targets["t1"], "draining")
         for name in ("t2", "t3"):
             site.register(site.targets[name], "draining")
         await site.start_target(edge_site.Target("t4"))
-        await anyio.sleep(SETTLED)
+        await anyio.sleep(ERA_SETTLE_S)
         assert await find_used(vms) == {"t4"}
 
 
@@ -76,13 +76,13 @@
         site.publish([edge_site.make_route("/new/")])
         await anyio.sleep(1.0)
         await restore_store(site, copy)
-        await anyio.sleep(SETTLED)
+        await anyio.sleep(ERA_SETTLE_S)
         late = await start(site, "vm-3")
-        await anyio.sleep(SETTLED)
+        await anyio.sleep(ERA_SETTLE_S)
         assert await find_used([*vms, *late], "/new/x") == {"t1"}
         assert await find_used([*vms, *late], "/old/x") == set()
         site.publish([edge_site.make_route("/newest/")])
-        await anyio.sleep(SETTLED)
+        await anyio.sleep(ERA_SETTLE_S)
         assert await find_used([*vms, *late], "/newest/x") == {"t1"}
 
 
@@ -95,8 +95,8 @@
         copy = site.store.take_snapshot()
         await start(site, "vm-2")
         await restore_store(site, copy)
-        await anyio.sleep(2 * SETTLED)
-        listed = {one.key for one in site.store.list_newest("keyed.members")}
+        await anyio.sleep(2 * ERA_SETTLE_S)
+        listed = {record.key for record in site.store.list_newest("keyed.members")}
         assert listed == {"vm-1", "vm-2"}
 
 
--- a/tests/edge/test_suspension.py
+++ b/tests/edge/test_suspension.py
@@ -91,9 +91,9 @@
 
         async with anyio.create_task_group() as group:
             group.start_soon(call)
-            await edge_site.wait_until(lambda: any(one.ran for one in targets))
+            await edge_site.wait_until(lambda: any(each.ran for each in targets))
             suspended.seconds = 1.5
-        first, second = sorted(left for one in targets for left in one.time_left)
+        first, second = sorted(left for each in targets for left in each.time_left)
         assert second - first >= 1500
 
 
--- a/tests/edge_site.py
+++ b/tests/edge_site.py
@@ -29,7 +29,7 @@
 from zinniastand_standins import loopback, topic_store, topic_store_app
 
 HOST = "127.0.0.1"
-LOG_BYTES = 10_000_000
+MAX_LOG_BYTES = 10_000_000
 CRASH_DURATION_S = 0.4
 
 
@@ -200,7 +200,7 @@
         def read_log() -> list[dict[str, object]]:
             log.flush()
             with contextlib.suppress(BlockingIOError):
-                data = os.read(reader, LOG_BYTES)
+                data = os.read(reader, MAX_LOG_BYTES)
                 lines.extend(json.loads(line) for line in data.splitlines())
             return lines
 
