--- a/bench/retry_vms.py
+++ b/bench/retry_vms.py
@@ -253,7 +253,7 @@
     def __init__(self, refused: collections.Counter[str]) -> None:
         self._refused = refused
 
-    def record_attempt(self, attempt: request_recorder.Attempt) -> None:
+    def record_attempt(self, attempt: request_recorder.AttemptRecord) -> None:
         """Take in an attempt."""
 
     def record_final_answer(self, answer: request_recorder.Answer) -> None:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/attempt_ends.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/attempt_ends.py
@@ -101,7 +101,7 @@
 ) -> None:
     """Record an attempt in the log and the metrics."""
     dependencies.recorder.record_attempt(
-        request_recorder.Attempt(
+        request_recorder.AttemptRecord(
             logged_request.request_id,
             logged_request.fingerprint,
             logged_request.service,
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_recorder.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_recorder.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Attempt:
+class AttemptRecord:
     """One attempt at a target, as logged."""
 
     request_id: str
@@ -111,7 +111,7 @@
         self._counters = counters
         self._configuration_state = configuration_state
 
-    def record_attempt(self, attempt: Attempt) -> None:
+    def record_attempt(self, attempt: AttemptRecord) -> None:
         """Record a finished attempt."""
         grant = attempt.grant
         self._log.write(
@@ -165,7 +165,7 @@
         )
 
 
-def _make_target_fields(attempt: Attempt) -> dict[str, log_lines.Value]:
+def _make_target_fields(attempt: AttemptRecord) -> dict[str, log_lines.Value]:
     """Return the log fields for a crash or a rate limit of the target, if any."""
     fields: dict[str, log_lines.Value] = {}
     if attempt.has_crashed:
