--- a/bench/retry_vms.py
+++ b/bench/retry_vms.py
@@ -256,7 +256,7 @@
     def record_attempt(self, attempt: request_recorder.AttemptRecord) -> None:
         """Take in an attempt."""
 
-    def record_final_answer(self, answer: request_recorder.Answer) -> None:
+    def record_final_answer(self, answer: request_recorder.AnswerRecord) -> None:
         """Count an answer other than success."""
         if answer.status != 200:
             self._refused[answer.why] += 1
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/forwarder.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/forwarder.py
@@ -192,6 +192,6 @@
     ) -> calls.Reply:
         request_id = run_messages.read_request_id(incoming, self._platform_headers)
         self._recorder.record_final_answer(
-            request_recorder.Answer(request_id, status, reason)
+            request_recorder.AnswerRecord(request_id, status, reason)
         )
         return replies.make_problem_reply(status, reason, retry_after)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_recorder.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_recorder.py
@@ -60,7 +60,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
+class AnswerRecord:
     """The answer to a request, as logged."""
 
     request_id: str
@@ -134,7 +134,7 @@
             "zinniastand_attempts_total", metrics.label(outcome=attempt.outcome.value)
         )
 
-    def record_final_answer(self, answer: Answer) -> None:
+    def record_final_answer(self, answer: AnswerRecord) -> None:
         """Record the answer to a request."""
         fields: dict[str, log_lines.Value] = {}
         if answer.objective is not None:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
@@ -340,7 +340,7 @@
         reply = self._make_reply(step, now)
         duration = now - self._incoming.first_byte_at
         self._dependencies.recorder.record_final_answer(
-            request_recorder.Answer(
+            request_recorder.AnswerRecord(
                 self._request_id,
                 reply.status,
                 self._why,
