--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/attempt_ends.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/attempt_ends.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeldSlot:
+class GrantedSlot:
     """A target slot held by a request."""
 
     request: messages.SlotRequest
@@ -75,7 +75,7 @@
 
 
 def report(
-    dependencies: run_dependencies.RunDependencies, slot: HeldSlot, end: AttemptEnd
+    dependencies: run_dependencies.RunDependencies, slot: GrantedSlot, end: AttemptEnd
 ) -> None:
     """Release the slot and report the result of the attempt."""
     request = slot.request
@@ -96,7 +96,7 @@
 def record(
     dependencies: run_dependencies.RunDependencies,
     logged_request: LoggedRequest,
-    slot: HeldSlot,
+    slot: GrantedSlot,
     end: AttemptEnd,
 ) -> None:
     """Record an attempt in the log and the metrics."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/caller_connection.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/caller_connection.py
@@ -24,7 +24,7 @@
 
 from zinniastand_core.deployment import configuration
 
-from . import calls, exchanges, request_parser
+from . import caller_exchange, calls, request_parser
 
 LINGER_TIMEOUT_S = 0.5
 """Seconds for which unread input is drained between the last answer and the close, so
@@ -93,9 +93,9 @@
         self.in_flight = 0
         self.overlapping = 0
         self.held_bytes = 0
-        self.idle: set[Connection] = set()
-        self.answering: set[Connection] = set()
-        self.lingering: set[Connection] = set()
+        self.idle: set[CallerConnection] = set()
+        self.answering: set[CallerConnection] = set()
+        self.lingering: set[CallerConnection] = set()
 
     def reserve(self, size: int) -> None:
         """Add bytes of a request body to the total.
@@ -110,13 +110,13 @@
             headers = [(b"retry-after", RETRY_AFTER_S)]
             raise request_parser.BadRequestError(503, headers)
 
-    def remove(self, connection: Connection) -> None:
+    def remove(self, connection: CallerConnection) -> None:
         """Remove a connection from the groups by state."""
         for group in (self.idle, self.answering, self.lingering):
             group.discard(connection)
 
 
-class Connection:
+class CallerConnection:
     """One caller's connection.
 
     Parameters
@@ -131,7 +131,9 @@
         self._stream = stream
         self._shared = shared
         self._parser = request_parser.RequestParser(shared.read_limits, shared.reserve)
-        self._exchanges: collections.deque[exchanges.Exchange] = collections.deque()
+        self._exchanges: collections.deque[caller_exchange.CallerExchange] = (
+            collections.deque()
+        )
         self._group: anyio.abc.TaskGroup | None = None
         self._read_scope = anyio.CancelScope()
         self._changed = anyio.Event()
@@ -202,7 +204,9 @@
                 if parsed is None:
                     break
                 may_overlap = self._shared.may_overlap(parsed.incoming)
-                self._add(exchanges.Exchange(parsed, parsed.engine, may_overlap))
+                self._add(
+                    caller_exchange.CallerExchange(parsed, parsed.engine, may_overlap)
+                )
                 self._has_read_last = parsed.engine.their_state is h11.MUST_CLOSE
                 # After an upgrade request, the answer decides what the next bytes are.
                 self._accepts_requests = parsed.engine.their_state is h11.DONE
@@ -214,11 +218,13 @@
     def _refuse(self, error: request_parser.BadRequestError) -> None:
         """Queue the answer to a malformed request and accept no further requests."""
         reply = calls.Reply(error.status, error.headers, b"")
-        self._add(exchanges.Exchange(None, self._parser.engine, False, reply))
+        self._add(
+            caller_exchange.CallerExchange(None, self._parser.engine, False, reply)
+        )
         self._accepts_requests = False
         self._has_read_last = True
 
-    def _add(self, exchange: exchanges.Exchange) -> None:
+    def _add(self, exchange: caller_exchange.CallerExchange) -> None:
         self._exchanges.append(exchange)
         self._shared.answering.add(self)
         self._notify_changed()
@@ -236,12 +242,14 @@
                 self._start(exchange, is_overlapping=not is_first)
             may_start_later = may_start_later and exchange.may_overlap
 
-    def _may_start_early(self, exchange: exchanges.Exchange) -> bool:
+    def _may_start_early(self, exchange: caller_exchange.CallerExchange) -> bool:
         return (
             exchange.may_overlap and self._shared.overlapping < MAX_OVERLAPPING_REQUESTS
         )
 
-    def _start(self, exchange: exchanges.Exchange, is_overlapping: bool) -> None:
+    def _start(
+        self, exchange: caller_exchange.CallerExchange, is_overlapping: bool
+    ) -> None:
         exchange.is_started = True
         exchange.is_overlapping = is_overlapping
         self._shared.in_flight += 1
@@ -249,7 +257,7 @@
         if self._group is not None:
             self._group.start_soon(self._run, exchange)
 
-    async def _run(self, exchange: exchanges.Exchange) -> None:
+    async def _run(self, exchange: caller_exchange.CallerExchange) -> None:
         if exchange.parsed is not None:
             exchange.reply = await self._handle(exchange.parsed.incoming)
             self._notify_changed()
@@ -264,7 +272,7 @@
             return await self._shared.handler.handle(incoming)
         except Exception as error:
             self._shared.report_error(error)
-            return exchanges.INTERNAL_ERROR_REPLY
+            return caller_exchange.INTERNAL_ERROR_REPLY
 
     async def _answer_all(self) -> bool:
         """Send answers in request order until the connection is to close.
@@ -294,7 +302,7 @@
             self._accepts_requests = self._accepts_requests or not self._exchanges
             self._parse_requests()
 
-    def _drop(self, exchange: exchanges.Exchange) -> None:
+    def _drop(self, exchange: caller_exchange.CallerExchange) -> None:
         """Release the resources of a request that is answered or abandoned."""
         if exchange.parsed is not None:
             self._release(exchange.parsed.body_bytes)
@@ -375,7 +383,9 @@
             self._parser.feed(data, self._received_at)
         return True
 
-    async def _send(self, exchange: exchanges.Exchange, must_close: bool) -> None:
+    async def _send(
+        self, exchange: caller_exchange.CallerExchange, must_close: bool
+    ) -> None:
         reply = exchange.reply
         if reply is None:
             return
@@ -385,7 +395,7 @@
             # The request has run. A final answer tells the caller more than a closed
             # connection would.
             self._shared.report_error(error)
-            data = exchanges.INTERNAL_ERROR_BYTES
+            data = caller_exchange.INTERNAL_ERROR_BYTES
         with anyio.fail_after(self._parser.limits.idle_timeout):
             await self._stream.send(data)
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/exchanges.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/caller_exchange.py
@@ -36,7 +36,7 @@
 """Reply to a request whose handler raised an unexpected error."""
 
 
-class Exchange:
+class CallerExchange:
     """One request of a connection, and its reply once it is known.
 
     Parameters
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/http_server.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/http_server.py
@@ -123,7 +123,7 @@
             return
         self._connection_count += 1
         try:
-            await caller_connection.Connection(stream, self._shared).serve()
+            await caller_connection.CallerConnection(stream, self._shared).serve()
         finally:
             self._connection_count -= 1
             with anyio.CancelScope(shield=True):
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
@@ -23,7 +23,7 @@
     work_times,
 )
 
-from . import datagrams, members, named_limits, retry_counts
+from . import announced_limits, datagrams, members, retry_counts
 
 Deliver = collections.abc.Callable[[str, messages.Decision], None]
 
@@ -84,7 +84,7 @@
         self._times: dict[str, work_times.KindTimes] = {}
         self._requesters: dict[str, tuple[str, float]] = {}
         self._alone_from: dict[shards.Shard, float] = {}
-        self._limits = named_limits.NamedLimits(registry)
+        self._announced_limits = announced_limits.AnnouncedLimits(registry)
         self._received_estimates: dict[str, tuple[datagrams.TargetEstimate, float]] = {}
         self._divisions: dict[str, tuple[shards.Shard, ...]] = {}
 
@@ -148,7 +148,7 @@
             service: shards.divide(service, entries)
             for service, entries in by_service.items()
         }
-        self._limits.remove_expired(now)
+        self._announced_limits.remove_expired(now)
         self.retries.remove_gone_services(
             {*self._divisions, *self.list_services()}, now
         )
@@ -214,7 +214,7 @@
 
     def record_rate_limit(self, target_id: str, rate: float, now: float) -> None:
         """Record a rate limit from a target's answer to this VM, infinite for none."""
-        self._limits.record(target_id, rate, now, now)
+        self._announced_limits.record(target_id, rate, now, now)
 
     def _record_received_limit(
         self, estimate: datagrams.TargetEstimate, vm: str, now: float
@@ -228,8 +228,10 @@
         if estimate.rate_limit is None:
             return
         due_at = now + estimate.next_request_in
-        named_at = now - estimate.rate_limit_age
-        self._limits.record(estimate.target_id, estimate.rate_limit, due_at, named_at)
+        last_announced_at = now - estimate.rate_limit_age
+        self._announced_limits.record(
+            estimate.target_id, estimate.rate_limit, due_at, last_announced_at
+        )
         for shard, known in self._dispatchers.items():
             state = known.pool.find(estimate.target_id)
             if state is not None:
@@ -242,18 +244,20 @@
     ) -> None:
         """Give a dispatcher a rate limit that it has not learned by itself.
 
-        A limit is skipped if a later answer to the dispatcher named none.
+        A limit is skipped if a later answer to the dispatcher announced none.
         """
-        limit = self._limits.find(state.entry, now)
-        if limit is None or not state.may_have_limit(limit.named_at):
+        limit = self._announced_limits.find(state.entry, now)
+        if limit is None or not state.may_have_limit(limit.last_announced_at):
             return
         share = self._find_share(shard)
         if share < 1.0:
             state.limit = rate_limit.start_rate_limit(
-                limit.rate, now, share, self._rng, limit.named_at
+                limit.rate, now, share, self._rng, limit.last_announced_at
             )
         else:
-            state.limit = rate_limit.RateLimit(limit.rate, limit.due_at, limit.named_at)
+            state.limit = rate_limit.RateLimit(
+                limit.rate, limit.due_at, limit.last_announced_at
+            )
 
     def _open_dispatcher(
         self, shard: shards.Shard, now: float
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
@@ -44,7 +44,7 @@
 """Refusals after which another shard may grant a slot: each shard counts its own slots
 and its own share of the service's retries."""
 
-Answer = messages.Grant | messages.Refuse
+FinalDecision = messages.Grant | messages.Refuse
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -62,7 +62,7 @@
     """A slot request without a final answer."""
 
     def __init__(self) -> None:
-        self.answer: Answer | None = None
+        self.answer: FinalDecision | None = None
         self.has_reply = False
         self.changed = anyio.Event()
 
@@ -113,7 +113,7 @@
         """Use these dispatchers where this VM ranks first or no other VM answers."""
         self._local_dispatchers = dispatchers
 
-    async def acquire(self, slot_request: messages.SlotRequest) -> Answer:
+    async def acquire(self, slot_request: messages.SlotRequest) -> FinalDecision:
         """Return a granted slot, or the refusal.
 
         The slot request names the service as a whole; it is sent to one of its shards,
@@ -125,7 +125,7 @@
                 service, anyio.current_time()
             )
         refused: list[shards.Shard] = []
-        answer: Answer = _make_late_refusal(slot_request)
+        answer: FinalDecision = _make_late_refusal(slot_request)
         while len(refused) < MAX_SHARDS:
             now = anyio.current_time()
             shard = self._chooser.choose(self._list_shards(service), now, refused)
@@ -144,11 +144,13 @@
             refused.append(shard)
         return answer
 
-    async def _acquire_in_shard(self, slot_request: messages.SlotRequest) -> Answer:
+    async def _acquire_in_shard(
+        self, slot_request: messages.SlotRequest
+    ) -> FinalDecision:
         pending = self._pending[slot_request.ticket] = _PendingRequest()
         silent: set[str] = set()
         vm = self._choose_dispatcher(slot_request.shard, silent)
-        answer: Answer | None = None
+        answer: FinalDecision | None = None
         try:
             while anyio.current_time() < slot_request.deadline_at:
                 answer = await self._request_from(vm, slot_request, pending, silent)
@@ -224,7 +226,7 @@
         slot_request: messages.SlotRequest,
         pending: _PendingRequest,
         silent: set[str],
-    ) -> Answer | None:
+    ) -> FinalDecision | None:
         """Return a VM's answer, or None if it is silent or no longer the dispatcher."""
         self._send_held_slots(slot_request.shard, vm)
         pending.has_reply = False
@@ -257,7 +259,7 @@
 
     def _check_answer(
         self, pending: _PendingRequest, vm: str, slot_request: messages.SlotRequest
-    ) -> Answer | None:
+    ) -> FinalDecision | None:
         """Return a VM's answer, or None if it knows fewer targets than this VM.
 
         When many VMs start at once, the VM that ranks first for a shard may be asked
@@ -316,8 +318,8 @@
                 self._send(vm, datagrams.SlotHeld(self._fleet.own.vm, moved))
 
     def _register_grant(
-        self, slot_request: messages.SlotRequest, vm: str, answer: Answer
-    ) -> Answer:
+        self, slot_request: messages.SlotRequest, vm: str, answer: FinalDecision
+    ) -> FinalDecision:
         if isinstance(answer, messages.Grant):
             self._granters[slot_request.ticket] = [_Granter(vm, slot_request.shard)]
             self._held[slot_request.ticket] = messages.HeldSlot(
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
@@ -182,7 +182,7 @@
         self._retry_at = hold
         return True
 
-    async def _acquire_slot(self) -> attempt_ends.HeldSlot | None:
+    async def _acquire_slot(self) -> attempt_ends.GrantedSlot | None:
         """Return a slot, or None if it is refused or asking for it fails."""
         requested_at = anyio.current_time()
         slot_request = run_messages.make_slot_request(
@@ -196,7 +196,7 @@
             self._why = UNEXPECTED_ERROR
             return None
         if isinstance(answer, messages.Grant):
-            return attempt_ends.HeldSlot(
+            return attempt_ends.GrantedSlot(
                 slot_request, answer, anyio.current_time() - requested_at
             )
         self._why = answer.reason.value
@@ -218,7 +218,7 @@
         return now + overdue
 
     async def _attempt_with_backup(
-        self, slot: attempt_ends.HeldSlot, target: targets.Entry, overdue_at: float
+        self, slot: attempt_ends.GrantedSlot, target: targets.Entry, overdue_at: float
     ) -> plan.Step:
         """Send an attempt; once it is overdue, try other targets in parallel.
 
@@ -251,7 +251,7 @@
         return step
 
     async def _attempt(
-        self, slot: attempt_ends.HeldSlot, target: targets.Entry, overdue_at: float
+        self, slot: attempt_ends.GrantedSlot, target: targets.Entry, overdue_at: float
     ) -> plan.Step:
         """Send to one target; report, record and handle the result."""
         started = anyio.current_time()
@@ -297,7 +297,7 @@
                 target,
                 self._plan.deadlines.deadline_at - now,
             )
-            return await self._dependencies.exchange.attempt(
+            return await self._dependencies.client.attempt(
                 target,
                 request,
                 self._route.work,
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_dependencies.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_dependencies.py
@@ -23,7 +23,7 @@
     slots: ports.SlotSource
     """Acquires and releases slots of targets."""
 
-    exchange: ports.TargetExchange
+    client: ports.TargetExchange
     """Sends requests to targets."""
 
     registry: targets.Registry
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_messages.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_messages.py
@@ -56,7 +56,7 @@
     """Return the targets of the service to which this VM has an idle connection."""
     found = [
         target_id
-        for target_id in dependencies.exchange.list_connected_targets(route.work, now)
+        for target_id in dependencies.client.list_connected_targets(route.work, now)
         if (entry := dependencies.registry.find(target_id)) is not None
         and entry.service == service
     ]
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_client.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_client.py
@@ -110,7 +110,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Connection:
+class _TargetConnection:
     """A connection to a target, and how long it may be reused."""
 
     stream: anyio.abc.ByteStream
@@ -164,7 +164,7 @@
 
     def __init__(self, names: header_names.HeaderNames) -> None:
         self._header_names = names
-        self._idle: dict[str, collections.deque[_Connection]] = {}
+        self._idle: dict[str, collections.deque[_TargetConnection]] = {}
         self.opened_connections = 0
         self.foreign_answers = 0
         self.unidentified_answers = 0
@@ -259,7 +259,7 @@
     async def _exchange(
         self,
         target: targets.Entry,
-        connection: _Connection,
+        connection: _TargetConnection,
         request: http_exchange.Request,
     ) -> Attempt:
         exchange = http_exchange.Exchange(
@@ -345,14 +345,14 @@
     async def _return_to_pool(
         self,
         target: targets.Entry,
-        connection: _Connection,
+        connection: _TargetConnection,
         answer: http_exchange.Answer,
     ) -> None:
         """Return a connection to the pool; close the oldest beyond its limit."""
         idle = self._idle.setdefault(target.target_id, collections.deque())
         now = anyio.current_time()
         idle_until = now + _read_idle_timeout(answer)
-        idle.append(_Connection(connection.stream, now, idle_until))
+        idle.append(_TargetConnection(connection.stream, now, idle_until))
         if len(idle) > MAX_IDLE_CONNECTIONS:
             await _close(idle.popleft())
 
@@ -361,7 +361,7 @@
         target: targets.Entry,
         request: http_exchange.Request,
         work: services.Work,
-    ) -> _Connection | None:
+    ) -> _TargetConnection | None:
         if request.method == UNPOOLED_METHOD:
             return await self._connect(target)
         now = anyio.current_time()
@@ -377,7 +377,7 @@
             await _close(connection)
         return await self._connect(target)
 
-    async def _connect(self, target: targets.Entry) -> _Connection | None:
+    async def _connect(self, target: targets.Entry) -> _TargetConnection | None:
         """Return a new connection, or None if the target cannot be reached.
 
         A timeout that fires late shows that this process was suspended, and nothing
@@ -389,7 +389,7 @@
             return await self._open_connection(target)
         return connection
 
-    async def _open_connection(self, target: targets.Entry) -> _Connection | None:
+    async def _open_connection(self, target: targets.Entry) -> _TargetConnection | None:
         self.opened_connections += 1
         try:
             with anyio.fail_after(CONNECT_TIMEOUT_S):
@@ -398,7 +398,7 @@
             return None
         raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
         raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
-        return _Connection(stream)
+        return _TargetConnection(stream)
 
 
 def _read_idle_timeout(answer: http_exchange.Answer) -> float:
@@ -422,6 +422,6 @@
     return bool(poll.poll(0))
 
 
-async def _close(connection: _Connection) -> None:
+async def _close(connection: _TargetConnection) -> None:
     with anyio.CancelScope(shield=True):
         await anyio.aclose_forcefully(connection.stream)
