--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/accepting.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/accepting.py
@@ -25,8 +25,9 @@
 ) -> None:
     """Serve each connection of a listener in its own task, until cancelled.
 
-    The accept loop of anyio ends with the first accept that fails, for lack of a file
-    descriptor for instance, and cancels the tasks of all accepted connections.
+    An accept that fails, for lack of a file descriptor for instance, is reported and
+    tried again. The accept loop of anyio would end with it, and cancel the tasks of all
+    accepted connections.
 
     Parameters
     ----------
@@ -38,8 +39,8 @@
         Called with the error of each failed accept.
     """
     async with anyio.create_task_group() as group:
-        for one in getattr(listener, "listeners", [listener]):
-            group.start_soon(_accept_from, one, serve, report_error, group)
+        for socket_listener in getattr(listener, "listeners", [listener]):
+            group.start_soon(_accept_from, socket_listener, serve, report_error, group)
 
 
 async def _accept_from(
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/attempt_ends.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/attempt_ends.py
@@ -17,11 +17,12 @@
     plan.Result.MISPLACED: messages.Outcome.MISPLACED,
     plan.Result.UNREACHABLE: messages.Outcome.UNREACHABLE,
 }
+"""Outcome that is reported to the dispatcher for each result of an attempt."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GrantedSlot:
-    """A target slot held by a request."""
+    """A target slot that was granted to a request."""
 
     request: messages.SlotRequest
     """The slot request that was granted."""
@@ -44,13 +45,14 @@
     """Reason, as written to the log."""
 
     duration: float
-    """Duration in seconds."""
+    """Seconds from the start of the attempt to its end."""
 
     has_crashed: bool = False
     """Whether the target crashed during the attempt."""
 
     rate_limit: float | None = None
-    """Rate limit announced by the target, in requests per second; None if unknown."""
+    """Rate limit announced in the target's answer, in requests per second; infinite if
+    the answer announces none, None if there is no answer or its limit is malformed."""
 
     is_resent: bool = False
     """Whether the request was resent because a reused connection broke."""
@@ -71,7 +73,7 @@
 
 
 UNUSED = AttemptEnd(messages.Outcome.UNUSED, "", 0.0)
-"""The slot was granted, but nothing was sent."""
+"""End of an attempt that was granted a slot but sent nothing."""
 
 
 def report(
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/caller_connection.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/caller_connection.py
@@ -40,7 +40,7 @@
 """Limit on the total bytes of buffered request bodies. A body is kept until its request
 is answered, because it may have to be sent again. Without a limit, many long bodies at
 once would exhaust the VM's memory, and the killed process would drop all connections.
-The smallest VMs have 200 MB, of which an idle process takes 35."""
+The smallest VMs have 200 MB, of which an idle process takes 35 MB."""
 
 MAX_PIPELINED_REQUESTS = 8
 """Limit on the unanswered requests of one connection. Later ones are parsed when an
@@ -111,7 +111,7 @@
             raise request_parser.BadRequestError(503, headers)
 
     def remove(self, connection: CallerConnection) -> None:
-        """Remove a connection from the groups by state."""
+        """Remove a connection from the sets of idle, answering and lingering ones."""
         for group in (self.idle, self.answering, self.lingering):
             group.discard(connection)
 
@@ -137,7 +137,7 @@
         self._group: anyio.abc.TaskGroup | None = None
         self._read_scope = anyio.CancelScope()
         self._changed = anyio.Event()
-        self._capacity_at = -math.inf
+        self._answered_at = -math.inf
         self._received_at = -math.inf
         self._accepts_requests = True
         self._has_read_last = False
@@ -169,7 +169,10 @@
             self._read_scope.deadline = -math.inf
 
     async def _serve_exchanges(self) -> bool:
-        """Read and answer concurrently; return whether an answer closed the series."""
+        """Read and answer concurrently until the connection ends.
+
+        Returns whether an answer was sent after which the connection closes.
+        """
         is_answered = False
         async with anyio.create_task_group() as group:
             self._group = group
@@ -179,7 +182,7 @@
         return is_answered
 
     async def _read_all(self) -> bool:
-        """Read until the connection ends, and start the requests that have arrived."""
+        """Read until the connection ends, and start requests that are complete."""
         try:
             while True:
                 self._parse_requests()
@@ -298,12 +301,12 @@
             self._drop(self._exchanges.popleft())
             if must_close or not exchange.is_connection_reusable:
                 return True
-            self._capacity_at = anyio.current_time()
+            self._answered_at = anyio.current_time()
             self._accepts_requests = self._accepts_requests or not self._exchanges
             self._parse_requests()
 
     def _drop(self, exchange: caller_exchange.CallerExchange) -> None:
-        """Release the resources of a request that is answered or abandoned."""
+        """Release what is counted for a request that is answered or abandoned."""
         if exchange.parsed is not None:
             self._release(exchange.parsed.body_bytes)
             self._shared.in_flight -= exchange.is_started
@@ -341,21 +344,22 @@
         Called after each change of that state, also while a read is pending.
         """
         parser = self._parser
-        is_between = parser.first_byte_at is None
-        if is_between and not self._exchanges and not self._has_ended:
+        is_between_requests = parser.first_byte_at is None
+        if is_between_requests and not self._exchanges and not self._has_ended:
             self._shared.idle.add(self)
         else:
             self._shared.idle.discard(self)
         self._read_scope.deadline = self._find_deadline()
 
     def _find_deadline(self) -> float:
+        """Return when waiting for the next bytes times out; infinite for never."""
         parser, limits = self._parser, self._parser.limits
         if not self._accepts_requests or len(self._exchanges) >= MAX_PIPELINED_REQUESTS:
             return math.inf
         if parser.is_in_body:
-            return max(self._received_at, self._capacity_at) + limits.idle_timeout
+            return max(self._received_at, self._answered_at) + limits.idle_timeout
         if parser.first_byte_at is not None:
-            return max(parser.first_byte_at, self._capacity_at) + limits.head_timeout
+            return max(parser.first_byte_at, self._answered_at) + limits.head_timeout
         if self._exchanges:
             return math.inf
         return anyio.current_time() + limits.idle_timeout
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/caller_exchange.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/caller_exchange.py
@@ -15,15 +15,16 @@
 INTERNAL_ERROR_BODY = json.dumps(
     {"status": INTERNAL_ERROR_STATUS, "reason": "internal-error"}
 ).encode()
-"""Body of that answer, as problem details (RFC 9457)."""
+"""Body of the answer to a request whose handler raised, as problem details
+(RFC 9457)."""
 
 INTERNAL_ERROR_BYTES = (
     b"HTTP/1.1 %d \r\ncontent-type: application/problem+json\r\n"
     b"content-length: %d\r\nconnection: close\r\n\r\n%b"
     % (INTERNAL_ERROR_STATUS, len(INTERNAL_ERROR_BODY), INTERNAL_ERROR_BODY)
 )
-"""The encoded answer. An engine that has rejected an answer encodes nothing more, so
-this is sent without it, and the connection closes."""
+"""The same answer, encoded. An engine that has rejected an answer encodes nothing more,
+so this is sent in its place, and the connection closes."""
 
 BODILESS_STATUSES = frozenset({204, 304})
 """Statuses whose answers must not have a body; the engine rejects one."""
@@ -33,11 +34,11 @@
     [(b"content-type", b"application/problem+json")],
     INTERNAL_ERROR_BODY,
 )
-"""Reply to a request whose handler raised an unexpected error."""
+"""The same answer as a reply, for an engine that still encodes."""
 
 
 class CallerExchange:
-    """One request of a connection, and its reply once it is known.
+    """One request of a connection, and its reply once there is one.
 
     Parameters
     ----------
@@ -48,7 +49,7 @@
     may_overlap : bool
         Whether the request may run concurrently with others of its connection.
     reply : calls.Reply, optional
-        The reply, if it is already known.
+        The reply, if there is one without running the request.
     """
 
     def __init__(
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/crash_check.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/crash_check.py
@@ -11,8 +11,8 @@
 
 CONNECT_TIMEOUT_S = 0.25
 """Seconds to wait for a connection. The host of a crashed process refuses it at once,
-which a busy VM sees some hundredths of a second later. No reply proves nothing, since
-the network may be cut."""
+which a busy VM sees some hundredths of a second later. A missing reply proves nothing,
+since the network may be cut."""
 
 BREAK_TOLERANCE_S = 0.05
 """Seconds by which a check may have started before an answer broke off and still count
@@ -23,7 +23,7 @@
 
 
 class CrashCheck:
-    """Checks whether targets refuse connections, and shares results among callers."""
+    """Checks whether targets refuse connections; concurrent callers share a check."""
 
     def __init__(self) -> None:
         self._results: dict[str, tuple[bool, float]] = {}
@@ -37,14 +37,14 @@
         target : targets.Entry
             Target that broke off the answer.
         broke_at : float
-            Time of that by the event loop's clock, in seconds.
+            When the answer broke off, in seconds of the event loop's clock.
         """
         name = target.target_id
         while name in self._checks_in_flight:
             await self._checks_in_flight[name].wait()
-        known = self._results.get(name)
-        if known is not None and known[1] >= broke_at - BREAK_TOLERANCE_S:
-            return known[0]
+        stored = self._results.get(name)
+        if stored is not None and stored[1] >= broke_at - BREAK_TOLERANCE_S:
+            return stored[0]
         started_at = anyio.current_time()
         done = self._checks_in_flight[name] = anyio.Event()
         try:
@@ -58,8 +58,8 @@
     def _store_result(self, name: str, is_down: bool, started_at: float) -> None:
         now = anyio.current_time()
         self._results = {
-            known: result
-            for known, result in self._results.items()
+            target_name: result
+            for target_name, result in self._results.items()
             if now < result[1] + RESULT_RETENTION_S
         }
         self._results[name] = (is_down, started_at)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fingerprints.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fingerprints.py
@@ -1,7 +1,7 @@
-"""Fingerprints of requests, which stay the same when a caller repeats one.
+"""Fingerprints, by which a request is recognised when a caller repeats it.
 
-The ID that a caller gives a request changes with each attempt, and any VM may receive
-the next one. The method, host, path, credentials and body stay the same.
+A caller sends each repetition under a new request id, and to any VM. The method, host,
+path, credentials and body stay the same.
 """
 
 from __future__ import annotations
@@ -19,7 +19,9 @@
 
 
 def make_fingerprint(
-    request: http_exchange.Request, host: str, words: header_names.HeaderNames
+    request: http_exchange.Request,
+    host: str,
+    platform_headers: header_names.HeaderNames,
 ) -> str:
     """Return the fingerprint of a request, in hexadecimal digits.
 
@@ -29,7 +31,7 @@
     for element in (request.method, host.encode("latin-1", "replace"), request.path):
         digest.update(element + SEPARATOR)
     for name, value in request.headers:
-        if name in words.credentials:
+        if name in platform_headers.credentials:
             digest.update(name + SEPARATOR + value + SEPARATOR)
     digest.update(SEPARATOR + request.body)
     return digest.hexdigest()
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/forwarder.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/forwarder.py
@@ -28,8 +28,8 @@
 )
 
 MAX_REFUSAL_LEAD_S = 1.0
-"""Maximum time in seconds before the end of the process in which new requests are
-refused. Work takes some tenths of a second, even if its route allows far more."""
+"""Limit in seconds on how long before its end a process refuses new requests. Most
+requests take some tenths of a second, even if their route allows far more."""
 
 NO_CONFIGURATION_RETRY_AFTER_S = 0.5
 """Retry-After delay in seconds while this VM has no configuration."""
@@ -167,7 +167,10 @@
             run.end_by(at)
 
     def compensate_suspension(self, seconds: float) -> None:
-        """Shorten all deadlines by `seconds` that the clock did not count."""
+        """Bring all deadlines forward by the duration of a suspension of this VM.
+
+        The clock stands still during a suspension, while callers wait on.
+        """
         self._ends_at -= seconds
         for run in self._runs:
             run.compensate_suspension(seconds)
@@ -177,8 +180,8 @@
 
         Its caller retries at another VM.
         """
-        left = self._ends_at - anyio.current_time()
-        return left < min(route.objective, MAX_REFUSAL_LEAD_S)
+        remaining = self._ends_at - anyio.current_time()
+        return remaining < min(route.objective, MAX_REFUSAL_LEAD_S)
 
     def _make_ticket(self) -> str:
         return f"{self._ticket_prefix}{next(self._ticket_numbers)}"
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/http_exchange.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/http_exchange.py
@@ -2,8 +2,8 @@
 
 `h11` is the engine that `hypercorn` and `httpx` are built on. It is used directly
 because the proxy must know which bytes came on which connection: how an answer was
-framed, what followed it, and whether the connection may be reused (memory and start-up
-time in docs/PLATFORM.md).
+framed, what followed it, and whether the connection may be reused. Its memory use and
+start-up time are in docs/PLATFORM.md.
 """
 
 from __future__ import annotations
@@ -91,8 +91,8 @@
 
 def find_header(headers: Headers, name: bytes) -> bytes | None:
     """Return the first value of a header; None if it is absent."""
-    for known, value in headers:
-        if known == name:
+    for header_name, value in headers:
+        if header_name == name:
             return value
     return None
 
@@ -179,17 +179,18 @@
         if len(self._data) <= MAX_READ_BYTES // 4:
             await self._send()
             return self._forbid_reuse_if_unsent(await self._read_own_answer())
-        ended: Answer | BrokenAnswerError = BrokenAnswerError("cancelled")
+        result: Answer | BrokenAnswerError = BrokenAnswerError("cancelled")
         async with anyio.create_task_group() as group:
             group.start_soon(self._send)
             try:
-                ended = await self._read_own_answer()
+                result = await self._read_own_answer()
             except BrokenAnswerError as error:
-                ended = error  # A task group would wrap it in a group.
+                # Raised from here, it would be wrapped in an exception group.
+                result = error
             group.cancel_scope.cancel()
-        if isinstance(ended, BrokenAnswerError):
-            raise ended
-        return self._forbid_reuse_if_unsent(ended)
+        if isinstance(result, BrokenAnswerError):
+            raise result
+        return self._forbid_reuse_if_unsent(result)
 
     def _forbid_reuse_if_unsent(self, answer: Answer) -> Answer:
         """Return an answer, marked not reusable if some of the request is unsent."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/http_server.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/http_server.py
@@ -51,12 +51,12 @@
 
     @property
     def is_stopping(self) -> bool:
-        """Whether answers close their connection if no other is due on it."""
+        """Whether each answer closes its connection if no other answer is due on it."""
         return self._shared.is_stopping
 
     @is_stopping.setter
     def is_stopping(self, value: bool) -> None:
-        """Start or stop closing connections with their answers."""
+        """Set whether answers close their connections."""
         self._shared.is_stopping = value
 
     @property
@@ -84,8 +84,8 @@
             reuse_port=False,
         )
         async with listener:
-            raw = listener.extra(anyio.abc.SocketAttribute.local_port)
-            task_status.started(raw)
+            bound_port = listener.extra(anyio.abc.SocketAttribute.local_port)
+            task_status.started(bound_port)
             await accepting.accept_all(
                 listener, self._serve_connection, self._shared.report_error
             )
@@ -112,10 +112,10 @@
         return self._connection_count
 
     def count_receiving(self) -> int:
-        """Return on how many connections a request has begun and none is complete."""
+        """Return the number of connections on which only part of a request arrived."""
         shared = self._shared
-        settled = len(shared.idle) + len(shared.answering) + len(shared.lingering)
-        return self._connection_count - settled
+        not_receiving = len(shared.idle) + len(shared.answering) + len(shared.lingering)
+        return self._connection_count - not_receiving
 
     async def _serve_connection(self, stream: anyio.abc.SocketStream) -> None:
         if self._connection_count >= MAX_CONNECTIONS:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/local_dispatchers.py
@@ -1,7 +1,7 @@
 """Dispatchers that this VM runs for itself and for other VMs.
 
-There is one for each shard for which a slot was requested here. Target estimates of
-other dispatchers are stored too, so that a new dispatcher does not start without any.
+Each shard for which a slot was requested here has its own dispatcher. Target estimates
+of other VMs' dispatchers are stored too, so that a new dispatcher starts with them.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 Deliver = collections.abc.Callable[[str, messages.Decision], None]
 
 ALONE_AFTER_S = 10.0
-"""Seconds after the last slot request of another VM from which a dispatcher counts as
-one that decides for its own VM alone."""
+"""Seconds without slot requests of other VMs after which a dispatcher counts as one
+that decides for its own VM alone."""
 
 IDLE_RETENTION_S = 30.0
 """Seconds after which an idle dispatcher is removed: longer than the window of the
@@ -58,7 +58,7 @@
     rng : random.Random
         Source of randomness for spreading the retries of refused callers.
     deliver : callable
-        Called with the requesting VM and the decision.
+        Called with each decision and the VM that requested the slot.
     is_new_fleet : bool, optional
         Whether this VM starts together with the whole fleet.
     """
@@ -94,7 +94,11 @@
 
     def list_busy(self) -> list[shards.Shard]:
         """Return the shards whose dispatcher here has slots in use."""
-        return [shard for shard, one in self._dispatchers.items() if one.in_flight]
+        return [
+            shard
+            for shard, candidate in self._dispatchers.items()
+            if candidate.in_flight
+        ]
 
     def list_shards(self, service: str) -> tuple[shards.Shard, ...]:
         """Return the shards into which a service is currently divided."""
@@ -117,13 +121,13 @@
         """Handle a slot request of a VM; decisions are passed to `deliver`."""
         self._requesters[slot_request.ticket] = (vm, now + TICKET_RETENTION_S)
         self._last_used_at[slot_request.shard] = now
-        known = self._open_dispatcher(slot_request.shard, now)
+        shard_dispatcher = self._open_dispatcher(slot_request.shard, now)
         self.retries.record_activity(slot_request.shard.service, now)
         if vm != self._fleet.own.vm:
             if self._find_share(slot_request.shard) < 1.0:
-                _use_full_limits(known, now)
+                _use_full_limits(shard_dispatcher, now)
             self._alone_from[slot_request.shard] = now + ALONE_AFTER_S
-        self._deliver_decisions(known.request_slot(slot_request, now))
+        self._deliver_decisions(shard_dispatcher.request_slot(slot_request, now))
         self.retries.announce_unsent(slot_request.shard.service)
 
     def report(self, report: messages.Report, now: float) -> None:
@@ -152,9 +156,9 @@
         self.retries.remove_gone_services(
             {*self._divisions, *self.list_services()}, now
         )
-        for shard, known in self._dispatchers.items():
+        for shard, shard_dispatcher in self._dispatchers.items():
             self._deliver_decisions(
-                known.update_targets(self._list_targets(shard, now), now)
+                shard_dispatcher.update_targets(self._list_targets(shard, now), now)
             )
 
     def reset(self) -> None:
@@ -169,12 +173,16 @@
 
     def wake(self, now: float) -> None:
         """Run the timers of all dispatchers and remove expired state."""
-        for known in self._dispatchers.values():
-            self._deliver_decisions(known.wake(now))
-        for ticket in [one for one, (_, at) in self._requesters.items() if at <= now]:
+        for shard_dispatcher in self._dispatchers.values():
+            self._deliver_decisions(shard_dispatcher.wake(now))
+        for ticket in [
+            expired for expired, (_, at) in self._requesters.items() if at <= now
+        ]:
             del self._requesters[ticket]
-        for shard, known in list(self._dispatchers.items()):
-            is_idle = not known.in_flight and not known.queue_length
+        for shard, shard_dispatcher in list(self._dispatchers.items()):
+            is_idle = (
+                not shard_dispatcher.in_flight and not shard_dispatcher.queue_length
+            )
             if is_idle and self._last_used_at.get(shard, now) < now - IDLE_RETENTION_S:
                 del self._dispatchers[shard]
 
@@ -182,8 +190,10 @@
         self, shard: shards.Shard, now: float
     ) -> datagrams.TargetEstimates:
         """Return the target estimates of a shard's dispatcher."""
-        known = self._dispatchers.get(shard)
-        states = known.pool.list_states() if known is not None else []
+        shard_dispatcher = self._dispatchers.get(shard)
+        states = (
+            shard_dispatcher.pool.list_states() if shard_dispatcher is not None else []
+        )
         items = tuple(_make_estimate(state, now) for state in states)
         times = self._times.get(shard.service)
         means = tuple(times.means.items()) if times is not None else ()
@@ -195,17 +205,17 @@
         A local dispatcher with slots in use keeps its own, which are more accurate.
         """
         shard = estimates.shard
-        for one in estimates.items:
-            self._received_estimates[one.target_id] = (one, now)
-            self._record_received_limit(one, estimates.vm, now)
-        known = self._dispatchers.get(shard)
-        if known is not None and known.in_flight:
+        for item in estimates.items:
+            self._received_estimates[item.target_id] = (item, now)
+            self._record_received_limit(item, estimates.vm, now)
+        shard_dispatcher = self._dispatchers.get(shard)
+        if shard_dispatcher is not None and shard_dispatcher.in_flight:
             return
         times = self._times.setdefault(shard.service, work_times.KindTimes())
         for kind, seconds in estimates.durations:
             times.set(kind, seconds)
-        if known is not None:
-            self._apply_received_estimates(known, shard, now)
+        if shard_dispatcher is not None:
+            self._apply_received_estimates(shard_dispatcher, shard, now)
 
     def apply_retry_counts(self, counts: datagrams.RetryUsage, now: float) -> None:
         """Merge the retry counts of another VM, if the service is known here."""
@@ -232,19 +242,19 @@
         self._announced_limits.record(
             estimate.target_id, estimate.rate_limit, due_at, last_announced_at
         )
-        for shard, known in self._dispatchers.items():
-            state = known.pool.find(estimate.target_id)
+        for shard, shard_dispatcher in self._dispatchers.items():
+            state = shard_dispatcher.pool.find(estimate.target_id)
             if state is not None:
                 self._apply_limit(state, shard, now)
-                if state.limit is not None and known.in_flight:
+                if state.limit is not None and shard_dispatcher.in_flight:
                     state.limit.record_other_dispatcher(vm, now)
 
     def _apply_limit(
         self, state: pool.TargetState, shard: shards.Shard, now: float
     ) -> None:
-        """Give a dispatcher a rate limit that it has not learned by itself.
+        """Pass a stored rate limit to a dispatcher that has none for the target.
 
-        A limit is skipped if a later answer to the dispatcher announced none.
+        The limit is skipped if a later answer to the dispatcher announced none.
         """
         limit = self._announced_limits.find(state.entry, now)
         if limit is None or not state.may_have_limit(limit.last_announced_at):
@@ -262,45 +272,45 @@
     def _open_dispatcher(
         self, shard: shards.Shard, now: float
     ) -> dispatcher.Dispatcher:
-        known = self._dispatchers.get(shard)
-        if known is None:
+        shard_dispatcher = self._dispatchers.get(shard)
+        if shard_dispatcher is None:
             times = self._times.setdefault(shard.service, work_times.KindTimes())
             window = self.retries.open(shard.service, now)
-            known = dispatcher.Dispatcher(
+            shard_dispatcher = dispatcher.Dispatcher(
                 times,
                 window,
                 self._rng,
                 read_share=lambda: self._find_share(shard),
             )
-            self._dispatchers[shard] = known
+            self._dispatchers[shard] = shard_dispatcher
             self._last_used_at[shard] = now
-            known.update_targets(self._list_targets(shard, now), now)
-            self._apply_received_estimates(known, shard, now)
-        return known
+            shard_dispatcher.update_targets(self._list_targets(shard, now), now)
+            self._apply_received_estimates(shard_dispatcher, shard, now)
+        return shard_dispatcher
 
     def _list_targets(self, shard: shards.Shard, now: float) -> list[targets.Entry]:
         usable = self._registry.list_usable(shard.service, now)
         return [entry for entry in usable if shard.covers(entry)]
 
     def _apply_received_estimates(
-        self, known: dispatcher.Dispatcher, shard: shards.Shard, now: float
+        self, shard_dispatcher: dispatcher.Dispatcher, shard: shards.Shard, now: float
     ) -> None:
-        """Initialize a dispatcher with the recent target estimates of others."""
+        """Initialize a dispatcher with recent target estimates of other dispatchers."""
         self._received_estimates = {
-            name: (one, at)
-            for name, (one, at) in self._received_estimates.items()
+            name: (item, at)
+            for name, (item, at) in self._received_estimates.items()
             if at > now - ESTIMATE_RETENTION_S
         }
-        for state in known.pool.list_states():
+        for state in shard_dispatcher.pool.list_states():
             self._apply_limit(state, shard, now)
-            heard = self._received_estimates.get(state.entry.target_id)
-            if heard is not None:
+            received = self._received_estimates.get(state.entry.target_id)
+            if received is not None:
                 state.set_estimates(
-                    heard[0].failure_probability, heard[0].slowness, heard[1]
+                    received[0].failure_probability, received[0].slowness, received[1]
                 )
 
     def _is_alone(self, service: str) -> bool:
-        """Return whether no other VM requests slots of a service here."""
+        """Return whether no other VM has lately requested slots of a service here."""
         now = anyio.current_time()
         return all(
             at <= now
@@ -325,9 +335,9 @@
                 self._deliver(requester[0], decision)
 
 
-def _use_full_limits(known: dispatcher.Dispatcher, now: float) -> None:
+def _use_full_limits(shard_dispatcher: dispatcher.Dispatcher, now: float) -> None:
     """Let a dispatcher that serves other VMs use its targets' full rate limits."""
-    for state in known.pool.list_states():
+    for state in shard_dispatcher.pool.list_states():
         if state.limit is not None:
             state.limit.claim_full_rate(now)
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
@@ -27,7 +27,7 @@
 dispatcher is alive."""
 
 DISPATCHER_CANDIDATES = 2
-"""Number of VMs asked before a VM decides with its own dispatcher."""
+"""Number of VMs that a VM asks before it decides with its own dispatcher."""
 
 MAX_SHARDS = 2
 """Maximum number of shards of a service in which a request asks for a slot. The second
@@ -45,6 +45,7 @@
 and its own share of the service's retries."""
 
 FinalDecision = messages.Grant | messages.Refuse
+"""A decision after which a slot request is not resent."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -85,7 +86,7 @@
     link : peer_link.PeerLink
         Sends datagrams to them.
     log : log_lines.LogLines
-        Gets a line for each lost dispatcher.
+        Log of lost dispatchers.
     rng : random.Random
         Source of randomness for choosing shards.
     """
@@ -110,14 +111,14 @@
     def use_local_dispatchers(
         self, dispatchers: local_dispatchers.LocalDispatchers
     ) -> None:
-        """Use these dispatchers where this VM ranks first or no other VM answers."""
+        """Use these dispatchers where this VM ranks first or no candidate answers."""
         self._local_dispatchers = dispatchers
 
     async def acquire(self, slot_request: messages.SlotRequest) -> FinalDecision:
         """Return a granted slot, or the refusal.
 
-        The slot request names the service as a whole; it is sent to one of its shards,
-        and after some refusals to a second one.
+        `slot_request` names the service as a whole. It is sent to one of the service's
+        shards, and after some refusals to a second one.
         """
         service = slot_request.shard.service
         if self._local_dispatchers is not None:
@@ -181,7 +182,7 @@
         return self._choose_dispatcher(slot_request.shard, silent)
 
     def _choose_dispatcher(self, shard: shards.Shard, silent: set[str]) -> str:
-        """Return the highest-ranking VM that is not silent, or this VM."""
+        """Return the highest-ranking candidate that is not silent, or else this VM."""
         now = anyio.current_time()
         own = self._fleet.own.vm
         if len(silent) >= DISPATCHER_CANDIDATES:
@@ -189,8 +190,8 @@
         ranked = self._fleet.rank(
             shard.task, now, DISPATCHER_CANDIDATES, shard.data_centre
         )
-        left = [vm for vm in ranked if vm not in silent]
-        return left[0] if left else own
+        remaining = [vm for vm in ranked if vm not in silent]
+        return remaining[0] if remaining else own
 
     def report(self, report: messages.Report) -> None:
         """Report the result to every dispatcher that counts the slot as in use.
@@ -206,8 +207,8 @@
             )
         default = [_Granter(self._fleet.own.vm, report.shard)]
         for granter in self._granters.pop(report.ticket, default):
-            told = dataclasses.replace(report, shard=granter.shard)
-            self._send(granter.vm, told)
+            shard_report = dataclasses.replace(report, shard=granter.shard)
+            self._send(granter.vm, shard_report)
 
     def handle_decision(self, decision: messages.Decision) -> None:
         """Pass a dispatcher's decision to the slot request that waits for it."""
@@ -245,7 +246,7 @@
                 if pending.has_reply
                 else ANSWER_TIMEOUTS_S[misses]
             )
-            # Reset before sending, since a local dispatcher answers synchronously.
+            # Reset before sending, since a local dispatcher answers within the call.
             pending.has_reply = False
             self._send_request(vm, slot_request, now)
             slot_request = dataclasses.replace(slot_request, is_first=False)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_parser.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_parser.py
@@ -18,11 +18,11 @@
 from . import calls, http_exchange
 
 FIELD_OVERHEAD_BYTES = 4
-"""Bytes of a header field besides its name and value: colon, space, CR and LF."""
+"""Bytes of a header field beyond its name and value: colon, space, CR and LF."""
 
 
 class BadRequestError(Exception):
-    """The request is malformed, exceeds a limit, timed out or found no buffer space.
+    """The request is malformed, too large, incomplete in time, or has no buffer space.
 
     Parameters
     ----------
@@ -161,16 +161,16 @@
             b"".join(self._body_parts),
             has_body,
         )
-        began = self._first_byte_at or 0.0
+        began_at = self._first_byte_at or 0.0
         incoming = calls.Incoming(
-            request, host.decode("latin-1"), began, calls.Caller()
+            request, host.decode("latin-1"), began_at, calls.Caller()
         )
         parsed = ParsedRequest(incoming, self._engine, self._body_bytes)
         self._start_engine(self._engine.trailing_data[0])
         return parsed
 
     def _start_engine(self, data: bytes) -> None:
-        """Start on the next request; `data` is what has already arrived of it."""
+        """Prepare for the next request, of which `data` has already arrived."""
         self._limits = self._read_limits()
         self._engine = h11.Connection(
             h11.SERVER, max_incomplete_event_size=self._limits.max_head_bytes
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_recorder.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_recorder.py
@@ -12,7 +12,7 @@
 from .. import metrics
 from . import log_lines
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
 MAX_TRACE_CHARS = 2_000
 """Maximum length of a logged traceback. Its last characters are kept, since they show
@@ -46,7 +46,7 @@
     """Reason for the outcome."""
 
     duration: float
-    """Duration in seconds."""
+    """Seconds from the start of the attempt to its end."""
 
     number: int = 1
     """Number of the attempt, from 1; targets that could not be reached do not count."""
@@ -56,7 +56,7 @@
 
     rate_limit: float | None = None
     """Rate limit announced in the target's answer, in requests per second; infinite if
-    the answer names none, None if there is no answer."""
+    the answer announces none, None if there is no answer or its limit is malformed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -70,7 +70,7 @@
     """HTTP status code."""
 
     why: str
-    """Status of the target, or the reason why no target answered."""
+    """Status of the target's answer, or the reason why none is relayed."""
 
     duration: float = 0.0
     """Seconds since the first byte of the request was received."""
@@ -121,11 +121,11 @@
             service=attempt.service,
             target=grant.target_id,
             doubt=round(grant.failure_probability, 3),
-            expected_ms=round(grant.expected_duration * MILLISECONDS),
-            waited_ms=round(attempt.wait_time * MILLISECONDS, 1),
+            expected_ms=round(grant.expected_duration * MS_PER_S),
+            waited_ms=round(attempt.wait_time * MS_PER_S, 1),
             outcome=attempt.outcome.value,
             why=attempt.why,
-            ms=round(attempt.duration * MILLISECONDS),
+            ms=round(attempt.duration * MS_PER_S),
             number=attempt.number,
             dispatcher=grant.dispatcher,
             **_make_target_fields(attempt),
@@ -140,13 +140,13 @@
         if answer.objective is not None:
             fields["service"] = answer.service
             fields["route"] = answer.route
-            fields["objective_ms"] = round(answer.objective * MILLISECONDS)
+            fields["objective_ms"] = round(answer.objective * MS_PER_S)
         self._log.write(
             "answer",
             request=answer.request_id,
             status=answer.status,
             why=answer.why,
-            ms=round(answer.duration * MILLISECONDS),
+            ms=round(answer.duration * MS_PER_S),
             attempts=answer.attempts,
             version=self._configuration_state.version,
             **fields,
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
@@ -45,11 +45,12 @@
 """Retry-After delay in seconds if the dispatcher gives no time."""
 
 STOPPING_RETRY_AFTER_S = 0.05
-"""Retry-After delay in seconds for callers refused by a stopping VM: by then the load
-balancer routes them to another VM."""
+"""Retry-After delay in seconds for callers refused by a stopping VM, after which the
+load balancer routes them to another VM."""
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
+# Reasons that stand in the log, in metric labels and in replies.
 CALLER_LEFT = "caller left"
 DEADLINE = "deadline"
 OTHER_ANSWERED = "another target answered"
@@ -125,7 +126,10 @@
             self._scope.deadline = at
 
     def compensate_suspension(self, seconds: float) -> None:
-        """Shorten the remaining time by `seconds` that the clock did not count."""
+        """Bring the deadline forward by the duration of a suspension of this VM.
+
+        The clock stands still during a suspension, while the caller waits on.
+        """
         self._plan.compensate_suspension(seconds)
         self._scope.deadline = self._plan.deadlines.deadline_at
 
@@ -138,7 +142,7 @@
         return self._plan.is_idempotent or not self._plan.may_have_run
 
     async def _try_targets(self) -> plan.Step:
-        """Try targets one after the other; return the step that ends the attempts."""
+        """Try targets one after the other; return the step after the last one."""
         step = plan.Step.TRY_AGAIN
         while step is plan.Step.TRY_AGAIN:
             step = await self._try_once()
@@ -172,18 +176,18 @@
         return await self._attempt(slot, target, overdue_at)
 
     def _check_quarantine(self) -> bool:
-        """Return whether the request is quarantined; if so, store reason and end."""
-        hold = self._dependencies.suspects.find_hold_end(
+        """Return whether the request is quarantined; if so, store why and how long."""
+        hold_ends_at = self._dependencies.suspects.find_hold_end(
             self._fingerprint, anyio.current_time()
         )
-        if hold is None:
+        if hold_ends_at is None:
             return False
         self._why = QUARANTINED
-        self._retry_at = hold
+        self._retry_at = hold_ends_at
         return True
 
     async def _acquire_slot(self) -> attempt_ends.GrantedSlot | None:
-        """Return a slot, or None if it is refused or asking for it fails."""
+        """Return a slot, or None if it is refused or the slot request fails."""
         requested_at = anyio.current_time()
         slot_request = run_messages.make_slot_request(
             self._dependencies, self._plan, self._route, self._service, requested_at
@@ -191,7 +195,7 @@
         try:
             answer = await self._dependencies.slots.acquire(slot_request)
         except Exception as error:
-            # Handled like a refusal, so that another attempt in progress continues.
+            # Treated like a refusal, so that another attempt in progress continues.
             self._dependencies.recorder.log_error(self._request_id, error)
             self._why = UNEXPECTED_ERROR
             return None
@@ -205,17 +209,17 @@
 
     def _find_overdue_at(self, grant: messages.Grant, now: float) -> float:
         """Return the time from which a backup attempt may start; infinite for never."""
-        left = self._plan.deadlines.deadline_at - now
+        remaining = self._plan.deadlines.deadline_at - now
         factor = (
             OVERDUE_FACTOR
             + (OVERDUE_FACTOR_WHEN_FAILING - OVERDUE_FACTOR) * grant.failure_probability
         )
-        overdue = max(MIN_OVERDUE_S, factor * grant.expected_duration)
+        overdue_after = max(MIN_OVERDUE_S, factor * grant.expected_duration)
         if not self._plan.may_send_backup:
             return math.inf
-        if left - overdue <= MIN_TIME_LEFT_FACTOR * grant.expected_duration:
+        if remaining - overdue_after <= MIN_TIME_LEFT_FACTOR * grant.expected_duration:
             return math.inf
-        return now + overdue
+        return now + overdue_after
 
     async def _attempt_with_backup(
         self, slot: attempt_ends.GrantedSlot, target: targets.Entry, overdue_at: float
@@ -253,13 +257,13 @@
     async def _attempt(
         self, slot: attempt_ends.GrantedSlot, target: targets.Entry, overdue_at: float
     ) -> plan.Step:
-        """Send to one target; report, record and handle the result."""
-        started = anyio.current_time()
+        """Send to one target, report and record the end, and return the next step."""
+        started_at = anyio.current_time()
         outcome, why = messages.Outcome.ABANDONED, CALLER_LEFT
         has_crashed, is_resent, rate_limit = False, False, None
-        self._dependencies.suspects.begin_attempt(self._fingerprint, started)
+        self._dependencies.suspects.begin_attempt(self._fingerprint, started_at)
         try:
-            attempt = await self._send(target, started)
+            attempt = await self._send(target, started_at)
             outcome, why = attempt_ends.OUTCOMES[attempt.result], attempt.detail
             is_resent, rate_limit = attempt.is_resent, attempt.rate_limit
             cut_at = anyio.current_time()
@@ -268,7 +272,7 @@
             )
             if has_crashed:
                 self._dependencies.suspects.record_crash(
-                    self._fingerprint, target, started
+                    self._fingerprint, target, started_at
                 )
             elif attempt.is_success:
                 self._dependencies.suspects.record_answer(self._fingerprint)
@@ -278,7 +282,7 @@
                 self._plan.abandon_attempt()
                 outcome, why = self._classify_cancellation(now, overdue_at)
             end = attempt_ends.AttemptEnd(
-                outcome, why, now - started, has_crashed, rate_limit, is_resent
+                outcome, why, now - started_at, has_crashed, rate_limit, is_resent
             )
             attempt_ends.report(self._dependencies, slot, end)
             attempt_ends.record(self._dependencies, self._logged_request, slot, end)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/retry_counts.py
@@ -19,8 +19,8 @@
 arrive."""
 
 INITIAL_SLACK_SHARE = 0.25
-"""The same share for a dispatcher that does not know what others have granted: its
-predecessor may just have granted its own share."""
+"""Share of the retry slack that a dispatcher grants while it does not know what others
+have granted: its predecessor may just have granted `SLACK_SHARE`."""
 
 MAX_GAP_S = 2.5
 """Seconds without slot requests or updates for a service after which a VM starts
@@ -28,8 +28,9 @@
 second."""
 
 MAX_UNSENT_SHARE = 0.1
-"""Share of the retry slack whose grants may be unsent before an update is sent at once.
-It limits the grants that the next dispatcher does not know about."""
+"""Share of the retry slack that may be granted before an update is sent at once instead
+of at its regular time. It limits the grants that the next dispatcher does not know
+about."""
 
 NEW_FLEET_DURATION_S = 1.0
 """Seconds after the first request of a service during which a VM of a new fleet assumes
@@ -37,11 +38,12 @@
 time."""
 
 KEPT_WINDOWS = 3
-"""Number of budget windows for which the counts of a service without targets are
-kept."""
+"""Number of budget windows for which the counts of a service without targets are kept:
+its targets may be missing for a moment only."""
 
-MAX_PARTS_PER_DATAGRAM = 1_500
-"""Number of parts from which a datagram is sent. The last count added may exceed it."""
+MAX_BUCKETS_PER_DATAGRAM = 1_500
+"""Number of buckets from which no further counter is added to a datagram. The last
+counter may exceed it."""
 
 Announce = collections.abc.Callable[[str], None]
 IsAlone = collections.abc.Callable[[str], bool]
@@ -72,7 +74,7 @@
     """Retries granted, without those that were returned."""
 
     resent: int
-    """Of these, requests resent on a second connection without a slot request."""
+    """Of `spent`, requests resent on a second connection without a slot request."""
 
     returned: int
     """Retries returned because they reached no target."""
@@ -122,7 +124,7 @@
         self._announce = announce
 
     def use_budget(self, budget: RetryBudget, now: float) -> None:
-        """Apply this budget from now on."""
+        """Replace the budget, also for the windows that are open."""
         self._budget = budget
         for window in self._windows.values():
             window.set_bounds(budget.ratio, budget.window, now)
@@ -171,9 +173,9 @@
         is_complete = is_whole and self._is_fully_informed(service, now)
         updates: list[datagrams.RetryUsage] = []
         counts: list[retry_window.CounterHistory] = []
-        for count in self.open(service, now).export_counts(now, is_whole):
-            counts.append(count)
-            if sum(len(parts) for _, parts in counts) >= MAX_PARTS_PER_DATAGRAM:
+        for history in self.open(service, now).export_counts(now, is_whole):
+            counts.append(history)
+            if sum(len(buckets) for _, buckets in counts) >= MAX_BUCKETS_PER_DATAGRAM:
                 updates.append(datagrams.RetryUsage(service, tuple(counts)))
                 counts = []
         if counts or (is_complete and updates):
@@ -183,8 +185,8 @@
     def apply_update(self, update: datagrams.RetryUsage, now: float) -> None:
         """Merge counts received from another VM."""
         window = self.open(update.service, now)
-        for count in update.counts:
-            window.merge_counts(count, now)
+        for history in update.counts:
+            window.merge_counts(history, now)
         self.record_activity(update.service, now)
         if update.is_complete:
             self._fully_informed.add(update.service)
@@ -220,7 +222,8 @@
     ) -> None:
         """Remove services other than `services` once their counts have expired.
 
-        A service whose targets are all gone may have targets again a moment later.
+        They are kept that long because a service whose targets are all gone may have
+        targets again a moment later.
         """
         oldest = now - KEPT_WINDOWS * self._budget.window
         for service in list(self._windows):
@@ -262,7 +265,7 @@
         return now - since >= self._budget.window
 
     def _make_counter_name(self) -> str:
-        """Return a new unique name for the counts of this VM."""
+        """Return a new name for this VM's counter, unique in the fleet."""
         own = self._fleet.own
         return f"{own.vm}:{own.incarnation}:{next(self._numbers)}"
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_dependencies.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_dependencies.py
@@ -47,8 +47,9 @@
     is_down: collections.abc.Callable[
         [targets.Entry, float], collections.abc.Awaitable[bool]
     ]
-    """Returns whether a target refuses connections after a response was cut off; takes
-    the target and the time of the cut."""
+    """Returns whether a target refuses connections after it broke off an answer; takes
+    the target and the time at which the answer broke off."""
 
     check_suspension: collections.abc.Callable[[], None]
-    """Detects a suspension of this VM and deducts its duration from all runs."""
+    """Detects a suspension of this VM, and then shortens all deadlines by its
+    duration."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_messages.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/run_messages.py
@@ -15,11 +15,11 @@
     run_dependencies,
 )
 
-MAX_OPEN_TARGETS = 16
+MAX_CONNECTED_TARGETS = 16
 """Maximum number of connected targets listed in a slot request; each name takes about
 a dozen bytes."""
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
 
 def make_slot_request(
@@ -42,25 +42,27 @@
         attempt=request_plan.committed + 1,
         data_centre=dependencies.data_centre,
         excluded=tuple(sorted({*request_plan.excluded, *unreachable})),
-        connected_targets=tuple(_list_open_targets(dependencies, route, service, now)),
+        connected_targets=tuple(
+            _list_connected_targets(dependencies, route, service, now)
+        ),
         is_first=request_plan.attempts == 0,
     )
 
 
-def _list_open_targets(
+def _list_connected_targets(
     dependencies: run_dependencies.RunDependencies,
     route: configuration.Route,
     service: str,
     now: float,
 ) -> list[str]:
     """Return the targets of the service to which this VM has an idle connection."""
-    found = [
+    connected = [
         target_id
         for target_id in dependencies.client.list_connected_targets(route.work, now)
         if (entry := dependencies.registry.find(target_id)) is not None
         and entry.service == service
     ]
-    return found[-MAX_OPEN_TARGETS:]
+    return connected[-MAX_CONNECTED_TARGETS:]
 
 
 def make_request(
@@ -71,9 +73,9 @@
 ) -> http_exchange.Request:
     """Return the request to send to a target, which has `remaining` seconds for it."""
     replaced = (names.time_left, names.expected_target)
-    headers = [one for one in original.headers if one[0] not in replaced]
+    headers = [header for header in original.headers if header[0] not in replaced]
     # Rounded down: the target must not get more time than remains.
-    headers.append((names.time_left, b"%d" % max(1, int(remaining * MILLISECONDS))))
+    headers.append((names.time_left, b"%d" % max(1, int(remaining * MS_PER_S))))
     headers.append((names.expected_target, target.target_id.encode("latin-1")))
     return dataclasses.replace(original, headers=headers)
 
@@ -85,7 +87,7 @@
     value = http_exchange.find_header(incoming.request.headers, names.time_left)
     if value is None or not value.isdigit():
         return default
-    return int(value) / MILLISECONDS
+    return int(value) / MS_PER_S
 
 
 def read_request_id(incoming: calls.Incoming, names: header_names.HeaderNames) -> str:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_codec.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_codec.py
@@ -8,10 +8,10 @@
 from zinniastand_core.quarantine import suspect
 
 FINGERPRINT_LENGTH = 16
-"""Hexadecimal digits of a fingerprint."""
+"""Number of hexadecimal digits of a fingerprint."""
 
 MAX_TARGET_NAME_LENGTH = 128
-"""Upper limit of characters in a target's name."""
+"""Limit on the characters of a target's name."""
 
 Item = tuple[str, suspect.Suspect]
 
@@ -19,19 +19,19 @@
 def pack(items: collections.abc.Iterable[Item], now: float) -> list[object]:
     """Return records as plain values, with times as ages in seconds.
 
-    Ages are sent since the steady clocks of VMs differ.
+    Ages are sent because the monotonic clocks of VMs differ.
     """
     return [
         [
             fingerprint,
-            _pack_time(one.answered_at, now),
-            _pack_time(one.tried_at, now),
+            _pack_time(suspected.answered_at, now),
+            _pack_time(suspected.tried_at, now),
             [
                 [crash.target, _find_age(crash.ended_at, now), crash.duration]
-                for crash in one.crashes
+                for crash in suspected.crashes
             ],
         ]
-        for fingerprint, one in items
+        for fingerprint, suspected in items
     ]
 
 
@@ -41,7 +41,7 @@
     Raises
     ------
     ValueError
-        If a value isn't a record, or an age is negative or infinite.
+        If a value is not a record, or an age is negative or infinite.
     """
     return tuple(_unpack(row, now) for row in rows)
 
@@ -51,19 +51,21 @@
     if not isinstance(fingerprint, str) or len(fingerprint) != FINGERPRINT_LENGTH:
         raise ValueError("suspect record: expected a fingerprint of 16 characters")
     int(fingerprint, 16)
-    found = [_unpack_crash(one, now) for one in crashes[: suspect.MAX_CRASHES]]
+    found = [_unpack_crash(packed, now) for packed in crashes[: suspect.MAX_CRASHES]]
     answered_at, tried_at = _unpack_time(answered, now), _unpack_time(tried, now)
     record = suspect.Suspect((), answered_at, tried_at)
     return fingerprint, record.merge(suspect.Suspect(tuple(sorted(found))))
 
 
 def _unpack_crash(row: list, now: float) -> suspect.Crash:
-    target, age, took = row
+    target, age, duration_s = row
     if not isinstance(target, str) or len(target) > MAX_TARGET_NAME_LENGTH:
         raise ValueError("suspect record: expected a target name of <= 128 characters")
-    if not (0.0 <= age < math.inf and 0.0 <= took < math.inf):
-        raise ValueError(f"crash: expected age and duration >= 0, got {age} and {took}")
-    return suspect.Crash(now - age, took, target)
+    if not (0.0 <= age < math.inf and 0.0 <= duration_s < math.inf):
+        raise ValueError(
+            f"crash: expected age and duration >= 0, got {age} and {duration_s}"
+        )
+    return suspect.Crash(now - age, duration_s, target)
 
 
 def _pack_time(at: float, now: float) -> float | None:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_exchange.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspect_exchange.py
@@ -1,10 +1,10 @@
 """Exchanges records of requests that are suspected of crashing their targets.
 
 A request that crashes its targets may be repeated at any VM, so that each VM sees only
-a crash or two. A VM that sees a crash sends it to a few others, which count. From the
-second crash on the record is sent to all by gossip: a VM that learns something new
-forwards it at once to a few others, and each VM sends its records to a few others at
-regular intervals, so that VMs that start, resume or were cut off receive them.
+a crash or two. A VM that sees a crash reports it to a few VMs that count. From the
+second crash on, the record spreads to all VMs by gossip: a VM that receives something
+new forwards it at once to a few others. Each VM also sends its records to a few others
+at regular intervals, so that VMs that start, resume or were cut off receive them.
 """
 
 from __future__ import annotations
@@ -19,28 +19,29 @@
 from . import datagrams, log_lines, members, peer_link, ports
 
 ANNOUNCE_INTERVAL_S = 0.6
-"""Seconds between regular announcements. In this time, a VM that has received nothing
-gets an announcement from four others on average."""
+"""Seconds between the regular announcements of a VM. Within one interval, each VM gets
+an announcement from four others on average."""
 
 FANOUT = 4
-"""VMs that an update is sent to at a time. Forwarded once by each receiver, it reaches
+"""Number of VMs that an update is sent to. Forwarded once by each receiver, it reaches
 nearly all of a fleet; regular announcements reach the rest."""
 
 COUNTING_VMS = 3
-"""VMs that count the crashes of a request while only one crash is known."""
+"""Number of VMs that count the crashes of a request while only one crash is known."""
 
 COUNTING_TASKS = 64
-"""Tasks among which requests are divided for counting."""
+"""Number of tasks among which requests are divided for counting. The VMs that rank
+highest for a task count the crashes of its requests."""
 
 OWN_CRASH_REPEAT_DURATION_S = 2.5
 """Seconds for which a VM repeats a crash that it has seen to the counting VMs, since
 these may change and datagrams may be lost."""
 
 MAX_RECORDS_PER_DATAGRAM = 48
-"""Upper limit of records in a datagram, which keeps it well below the maximum size."""
+"""Limit on the records in a datagram, which keeps it well below the maximum size."""
 
 MAX_OWN_CRASHES = 256
-"""Upper limit of requests whose own crashes are repeated."""
+"""Limit on the requests whose crashes, seen by this VM, are repeated at a time."""
 
 
 class SuspectExchange:
@@ -48,7 +49,7 @@
 
     Parameters
     ----------
-    known : quarantine.Quarantine
+    records : quarantine.Quarantine
         Records of this VM.
     fleet : members.Members
         VMs of the fleet.
@@ -57,18 +58,18 @@
     log : log_lines.LogLines
         Log of quarantines, trials and clearings.
     rng : random.Random
-        Source of the random choice of receivers.
+        Source of randomness for choosing receivers.
     """
 
     def __init__(
         self,
-        known: quarantine.Quarantine,
+        records: quarantine.Quarantine,
         fleet: members.Members,
         link: peer_link.PeerLink,
         log: log_lines.LogLines,
         rng: random.Random,
     ) -> None:
-        self._quarantine = known
+        self._quarantine = records
         self._fleet = fleet
         self._link = link
         self._log = log
@@ -106,7 +107,7 @@
         target : targets.Entry
             Target that crashed.
         started_at : float
-            Time at which the attempt was sent, by the event loop's clock in seconds.
+            When the attempt was sent, in seconds of the event loop's clock.
         """
         now = anyio.current_time()
         name = f"{target.target_id}:{target.born}"
@@ -120,7 +121,7 @@
         self._send_to_counting_vms(fingerprint, now)
 
     def record_answer(self, fingerprint: str) -> None:
-        """Record that a target answered a request, and announce it if it clears one."""
+        """Record that a target answered a request, which may end its quarantine."""
         if self._quarantine.record_answer(fingerprint, anyio.current_time()):
             self._log.write("quarantine_cleared", fingerprint=fingerprint)
             self._gossip([fingerprint])
@@ -136,7 +137,7 @@
         self._send(self._quarantine.list_shared(), [member])
 
     def compensate_suspension(self, seconds: float) -> None:
-        """Move all times back by the seconds of a suspension."""
+        """Move all times back by the duration of a suspension, in seconds."""
         self._quarantine.compensate_suspension(seconds)
 
     def count_quarantined(self) -> int:
@@ -178,7 +179,11 @@
         ranked = self._fleet.rank_reachable(f"count crashes {number}", now)
         counting = [self._fleet.find(vm) for vm in ranked[:COUNTING_VMS]]
         own = self._fleet.own.vm
-        others = [one for one in counting if one is not None and one.vm != own]
+        others = [
+            candidate
+            for candidate in counting
+            if candidate is not None and candidate.vm != own
+        ]
         self._send([fingerprint], others)
 
     def _gossip(self, fingerprints: list[str]) -> None:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_client.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_client.py
@@ -47,7 +47,7 @@
 used."""
 
 MAX_IDLE_CONNECTIONS = 3
-"""Limit on the idle connections per target: the number of its slots in a typical
+"""Limit on the idle connections per target: as many as a target has slots in a typical
 deployment."""
 
 STALE_CONNECTION_TIMEOUT_S = 0.1
@@ -70,13 +70,15 @@
 MIN_SERVER_ERROR_STATUS = 500
 SUCCESS_STATUSES = range(200, 300)
 MISPLACED_STATUS = 421
+"""Status of a target that received a request for another target ("Misdirected
+Request")."""
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that tell a caller that its request has not run."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attempt:
-    """Outcome of one attempt."""
+    """The outcome of one attempt at a target."""
 
     result: plan.Result
     """What it means for the request."""
@@ -128,7 +130,7 @@
         return self.answered_at is None
 
     def is_usable(self, now: float) -> bool:
-        """Return whether the idle timeout has not ended."""
+        """Return whether the idle timeout is still running."""
         return now < self.idle_until
 
     def may_carry(self, work: services.Work, now: float) -> bool:
@@ -206,9 +208,9 @@
             and not attempt.may_have_begun
             and work is services.Work.IDEMPOTENT
         ):
-            # The target may have closed the connection while it was idle, which is no
-            # failure. A request that it may have begun is not resent here: the plan
-            # decides, by the retry limits and the time left.
+            # The target may have closed the connection while it was idle, which does
+            # not count as a failure. A request that it may have begun is not resent
+            # here: the plan decides, by the retry limits and the time left.
             return await self._resend(target, request, attempt)
         return attempt
 
@@ -301,7 +303,7 @@
                 await _close(connection)
 
     def _classify(self, answer: http_exchange.Answer) -> Attempt:
-        """Return what an answer means, given that it carries no other request's id."""
+        """Return the outcome for an answer that carries no other request's id."""
         answer_id = answer.find(self._header_names.request_id)
         status = answer.status
         if (
