--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/placement.py
@@ -27,7 +27,7 @@
 dispatcher is alive."""
 
 DISPATCHER_CANDIDATES = 2
-"""Number of VMs asked before a VM decides with its own dispatcher."""
+"""Number of VMs that a VM asks before it decides with its own dispatcher."""
 
 MAX_SHARDS = 2
 """Maximum number of shards of a service in which a request asks for a slot. The second
@@ -44,7 +44,8 @@
 """Refusals after which another shard may grant a slot: each shard counts its own slots
 and its own share of the service's retries."""
 
-Answer = messages.Grant | messages.Refuse
+FinalDecision = messages.Grant | messages.Refuse
+"""A decision after which a slot request is not resent."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -62,7 +63,7 @@
     """A slot request without a final answer."""
 
     def __init__(self) -> None:
-        self.answer: Answer | None = None
+        self.answer: FinalDecision | None = None
         self.has_reply = False
         self.changed = anyio.Event()
 
@@ -85,7 +86,7 @@
     link : peer_link.PeerLink
         Sends datagrams to them.
     log : log_lines.LogLines
-        Gets a line for each lost dispatcher.
+        Log of lost dispatchers.
     rng : random.Random
         Source of randomness for choosing shards.
     """
@@ -110,14 +111,14 @@
     def use_local_dispatchers(
         self, dispatchers: local_dispatchers.LocalDispatchers
     ) -> None:
-        """Use these dispatchers where this VM ranks first or no other VM answers."""
+        """Use these dispatchers where this VM ranks first or no candidate answers."""
         self._local_dispatchers = dispatchers
 
-    async def acquire(self, slot_request: messages.SlotRequest) -> Answer:
+    async def acquire(self, slot_request: messages.SlotRequest) -> FinalDecision:
         """Return a granted slot, or the refusal.
 
-        The slot request names the service as a whole; it is sent to one of its shards,
-        and after some refusals to a second one.
+        `slot_request` names the service as a whole. It is sent to one of the service's
+        shards, and after some refusals to a second one.
         """
         service = slot_request.shard.service
         if self._local_dispatchers is not None:
@@ -125,7 +126,7 @@
                 service, anyio.current_time()
             )
         refused: list[shards.Shard] = []
-        answer: Answer = _make_late_refusal(slot_request)
+        answer: FinalDecision = _make_late_refusal(slot_request)
         while len(refused) < MAX_SHARDS:
             now = anyio.current_time()
             shard = self._chooser.choose(self._list_shards(service), now, refused)
@@ -144,11 +145,13 @@
             refused.append(shard)
         return answer
 
-    async def _acquire_in_shard(self, slot_request: messages.SlotRequest) -> Answer:
+    async def _acquire_in_shard(
+        self, slot_request: messages.SlotRequest
+    ) -> FinalDecision:
         pending = self._pending[slot_request.ticket] = _PendingRequest()
         silent: set[str] = set()
         vm = self._choose_dispatcher(slot_request.shard, silent)
-        answer: Answer | None = None
+        answer: FinalDecision | None = None
         try:
             while anyio.current_time() < slot_request.deadline_at:
                 answer = await self._request_from(vm, slot_request, pending, silent)
@@ -179,7 +182,7 @@
         return self._choose_dispatcher(slot_request.shard, silent)
 
     def _choose_dispatcher(self, shard: shards.Shard, silent: set[str]) -> str:
-        """Return the highest-ranking VM that is not silent, or this VM."""
+        """Return the highest-ranking candidate that is not silent, or else this VM."""
         now = anyio.current_time()
         own = self._fleet.own.vm
         if len(silent) >= DISPATCHER_CANDIDATES:
@@ -187,8 +190,8 @@
         ranked = self._fleet.rank(
             shard.task, now, DISPATCHER_CANDIDATES, shard.data_centre
         )
-        left = [vm for vm in ranked if vm not in silent]
-        return left[0] if left else own
+        remaining = [vm for vm in ranked if vm not in silent]
+        return remaining[0] if remaining else own
 
     def report(self, report: messages.Report) -> None:
         """Report the result to every dispatcher that counts the slot as in use.
@@ -204,8 +207,8 @@
             )
         default = [_Granter(self._fleet.own.vm, report.shard)]
         for granter in self._granters.pop(report.ticket, default):
-            told = dataclasses.replace(report, shard=granter.shard)
-            self._send(granter.vm, told)
+            shard_report = dataclasses.replace(report, shard=granter.shard)
+            self._send(granter.vm, shard_report)
 
     def handle_decision(self, decision: messages.Decision) -> None:
         """Pass a dispatcher's decision to the slot request that waits for it."""
@@ -224,7 +227,7 @@
         slot_request: messages.SlotRequest,
         pending: _PendingRequest,
         silent: set[str],
-    ) -> Answer | None:
+    ) -> FinalDecision | None:
         """Return a VM's answer, or None if it is silent or no longer the dispatcher."""
         self._send_held_slots(slot_request.shard, vm)
         pending.has_reply = False
@@ -243,7 +246,7 @@
                 if pending.has_reply
                 else ANSWER_TIMEOUTS_S[misses]
             )
-            # Reset before sending, since a local dispatcher answers synchronously.
+            # Reset before sending, since a local dispatcher answers within the call.
             pending.has_reply = False
             self._send_request(vm, slot_request, now)
             slot_request = dataclasses.replace(slot_request, is_first=False)
@@ -257,7 +260,7 @@
 
     def _check_answer(
         self, pending: _PendingRequest, vm: str, slot_request: messages.SlotRequest
-    ) -> Answer | None:
+    ) -> FinalDecision | None:
         """Return a VM's answer, or None if it knows fewer targets than this VM.
 
         When many VMs start at once, the VM that ranks first for a shard may be asked
@@ -316,8 +319,8 @@
                 self._send(vm, datagrams.SlotHeld(self._fleet.own.vm, moved))
 
     def _register_grant(
-        self, slot_request: messages.SlotRequest, vm: str, answer: Answer
-    ) -> Answer:
+        self, slot_request: messages.SlotRequest, vm: str, answer: FinalDecision
+    ) -> FinalDecision:
         if isinstance(answer, messages.Grant):
             self._granters[slot_request.ticket] = [_Granter(vm, slot_request.shard)]
             self._held[slot_request.ticket] = messages.HeldSlot(
