--- a/bench/retry_fleet.py
+++ b/bench/retry_fleet.py
@@ -52,7 +52,7 @@
         "kills": (retry_loads.Kill(9.5, 0.2), retry_loads.Kill(12.0, 0.2))
     },
     "loads swing by 30%": {"wave": 0.3},
-    "a burst of 1.7 until 8 s": {"surge": retry_loads.Spell(0.0, 8.0, 0.7)},
+    "a burst of 1.7 until 8 s": {"surge": retry_loads.TimedShare(0.0, 8.0, 0.7)},
 }
 
 
--- a/bench/retry_loads.py
+++ b/bench/retry_loads.py
@@ -11,24 +11,24 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Spell:
-    """A share of something that is wrong for some time."""
+class TimedShare:
+    """A share that applies from one time to another, and is 0 otherwise."""
 
     begin: float
-    """When it begins."""
+    """First second at which it applies."""
 
     end: float
-    """When it ends."""
+    """Second from which it no longer applies."""
 
     share: float
-    """How much of it is wrong."""
+    """Its value in between, from 0 to 1."""
 
     def find_share(self, now: float) -> float:
-        """Return the share at a time."""
+        """Return the share that applies at `now`."""
         return self.share if self.begin <= now < self.end else 0.0
 
 
-NEVER = Spell(0.0, 0.0, 0.0)
+NEVER = TimedShare(0.0, 0.0, 0.0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
     seconds: float = 30.0
     """Seconds for which callers send."""
 
-    surge: Spell = NEVER
+    surge: TimedShare = NEVER
     """Share by which the rate is higher for a while."""
 
     wave: float = 0.0
@@ -79,19 +79,19 @@
     idempotent: float = 0.25
     """Share of requests that may run more than once."""
 
-    shed: Spell = NEVER
+    shed: TimedShare = NEVER
     """Share of arrivals that targets turn away."""
 
-    failing: Spell = NEVER
+    failing: TimedShare = NEVER
     """Share of arrivals that targets fail at once."""
 
-    unreachable: Spell = NEVER
+    unreachable: TimedShare = NEVER
     """Share of the targets that refuse connections."""
 
     kills: tuple[Kill, ...] = ()
     """Kills of VMs."""
 
-    lag: Spell = NEVER
+    lag: TimedShare = NEVER
     """Share of datagrams that take `slow` seconds, as to a VM without processor."""
 
     slow: float = 0.12
@@ -137,7 +137,7 @@
         slots=3,
         rate=4.0 * vms,
         seconds=15.0,
-        shed=Spell(8.0, 14.0, 0.55),
+        shed=TimedShare(8.0, 14.0, 0.55),
         bound=retry_audit.Bound(BOUND.ratio, 1.6 * vms, BOUND.span),
     )
     return dataclasses.replace(load, **changes)  # type: ignore[arg-type]
--- a/tests/edge/test_retry_bound.py
+++ b/tests/edge/test_retry_bound.py
@@ -9,7 +9,7 @@
 from bench import retry_fleet, retry_loads
 from zinniastand_standins import retry_audit
 
-SHED = retry_loads.Spell(8.0, 15.0, 0.55)
+SHED = retry_loads.TimedShare(8.0, 15.0, 0.55)
 SMALL = retry_loads.Load(seconds=16.0, shed=SHED)
 LARGE = retry_loads.Load(
     vms=45,
@@ -55,14 +55,14 @@
 
 def test_dispatchers_wrongly_taken_for_lost_grant_no_retries_twice() -> None:
     # Guards against two dispatchers that both count a request and both use the slack.
-    lag = retry_loads.Spell(0.0, 20.0, 0.3)
+    lag = retry_loads.TimedShare(0.0, 20.0, 0.3)
     result = play(dataclasses.replace(SMALL, lag=lag, slow=0.15))
     assert result.worst.excess <= 0, result
 
 
 def test_retries_of_a_burst_are_not_all_granted_after_it() -> None:
     # Guards against a window of retries that begins when the burst is half over.
-    surge = retry_loads.Spell(0.0, 8.0, 0.7)
+    surge = retry_loads.TimedShare(0.0, 8.0, 0.7)
     result = play(dataclasses.replace(SMALL, surge=surge))
     assert result.worst.excess <= 0, result
 
@@ -76,7 +76,7 @@
 
 def test_fleet_within_the_limit_gets_all_retries() -> None:
     # Guards against keeping the limit by refusing retries that it allows.
-    failing = retry_loads.Spell(0.0, 20.0, 0.1)
+    failing = retry_loads.TimedShare(0.0, 20.0, 0.1)
     load = dataclasses.replace(SMALL, shed=retry_loads.NEVER, failing=failing)
     result = play(dataclasses.replace(load, idempotent=1.0))
     assert result.refused["retry-budget"] == 0
