--- a/bench/retry_loads.py
+++ b/bench/retry_loads.py
@@ -91,11 +91,11 @@
     kills: tuple[Kill, ...] = ()
     """Kills of VMs."""
 
-    lag: TimedShare = NEVER
-    """Share of datagrams that take `slow` seconds, as to a VM without processor."""
+    late_datagrams: TimedShare = NEVER
+    """Share of datagrams that arrive late, as at a VM that gets no processor time."""
 
-    slow: float = 0.12
-    """Seconds that a slow datagram takes."""
+    mean_late_delay_s: float = 0.12
+    """Mean of the seconds by which they are late; up to twice as many are drawn."""
 
     lost: float = 0.001
     """Share of datagrams that are lost."""
--- a/bench/retry_vms.py
+++ b/bench/retry_vms.py
@@ -78,8 +78,8 @@
             return
         now = anyio.current_time()
         delay = self._rng.uniform(0.0008, 0.003)
-        if self._rng.random() < self._load.lag.find_share(now - self.begin):
-            delay += self._load.slow * self._rng.random() * 2
+        if self._rng.random() < self._load.late_datagrams.find_share(now - self.begin):
+            delay += self._load.mean_late_delay_s * self._rng.random() * 2
         entry = (now + delay, next(self._numbers), deliver)
         if not self._queue or entry < self._queue[0]:
             self._changed.set()
--- a/tests/edge/test_earned_retries.py
+++ b/tests/edge/test_earned_retries.py
@@ -49,7 +49,10 @@
 @pytest.mark.parametrize(
     "changes",
     [
-        {"lag": retry_loads.TimedShare(0.0, 20.0, 0.3), "slow": 0.15},
+        {
+            "late_datagrams": retry_loads.TimedShare(0.0, 20.0, 0.3),
+            "mean_late_delay_s": 0.15,
+        },
         {"unreachable": retry_loads.TimedShare(2.0, 9.0, 0.5)},
         {"kills": (retry_loads.Kill(3.0, 0.2), retry_loads.Kill(6.0, 0.2))},
         {"vms": 45, "count": 60, "rate": 300.0},
--- a/tests/edge/test_retry_bound.py
+++ b/tests/edge/test_retry_bound.py
@@ -55,8 +55,10 @@
 
 def test_dispatchers_wrongly_taken_for_lost_grant_no_retries_twice() -> None:
     # Guards against two dispatchers that both count a request and both use the slack.
-    lag = retry_loads.TimedShare(0.0, 20.0, 0.3)
-    result = play(dataclasses.replace(SMALL, lag=lag, slow=0.15))
+    late = retry_loads.TimedShare(0.0, 20.0, 0.3)
+    result = play(
+        dataclasses.replace(SMALL, late_datagrams=late, mean_late_delay_s=0.15)
+    )
     assert result.worst.excess <= 0, result
 
 
