--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -31,7 +31,7 @@
     return loads.Load(
         rate=rate,
         seconds=20.0,
-        count=count,
+        target_count=count,
         onset=1 / 21,
         recovery=1 / 9,
         fails=fails,
--- a/bench/load_model.py
+++ b/bench/load_model.py
@@ -88,7 +88,7 @@
     def __init__(self, load: loads.Load, seed: int) -> None:
         self._load = load
         self._rng = random.Random(seed)
-        count = round(load.count * (1 - load.lost_share))
+        count = round(load.target_count * (1 - load.lost_share))
         self.names = [f"t{n}" for n in range(count)]
         slow = round(load.slow_share * count)
         self._slow = set(self.names[:slow])
--- a/bench/loads.py
+++ b/bench/loads.py
@@ -48,7 +48,7 @@
     seconds: float = 60.0
     """How long."""
 
-    count: int = 22
+    target_count: int = 22
     """Targets."""
 
     slots: int = 3
@@ -115,7 +115,7 @@
     def capacity(self) -> float:
         """Requests a second that all targets together could serve if none failed."""
         mean = sum(kind.share * kind.mean for kind in self.kinds)
-        return self.count * self.slots / mean
+        return self.target_count * self.slots / mean
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/bench/retry_fleet.py
+++ b/bench/retry_fleet.py
@@ -133,7 +133,7 @@
         await anyio.sleep(FAIL_TIME)
         now = anyio.current_time()
         share = self.load.unreachable.find_share(now - self._begin)
-        if self.registry.list_entries().index(target) < share * self.load.count:
+        if self.registry.list_entries().index(target) < share * self.load.target_count:
             return target_client.Attempt(plan.Result.UNREACHABLE, None, "refused")
         mark_sent()
         headers = dict(request.headers)
@@ -175,7 +175,7 @@
                 0.0,
                 n + 1,
             )
-            for n in range(self.load.count)
+            for n in range(self.load.target_count)
         ]
 
     def _name_place(self, number: int) -> str:
--- a/bench/retry_loads.py
+++ b/bench/retry_loads.py
@@ -55,7 +55,7 @@
     data_centres: int = 3
     """Data centres that they and the targets are spread over."""
 
-    count: int = 22
+    target_count: int = 22
     """Targets."""
 
     slots: int = 4
@@ -133,7 +133,7 @@
     """Return a load that grows with the fleet, and turns half away from 8 s on."""
     load = Load(
         vms=vms,
-        count=round(vms * 0.65),
+        target_count=round(vms * 0.65),
         slots=3,
         rate=4.0 * vms,
         seconds=15.0,
--- a/bench/shard_model.py
+++ b/bench/shard_model.py
@@ -88,7 +88,7 @@
 
 def make_load(share: float, seconds: float = 6.0) -> loads.Load:
     """Return a share of what all targets could serve if none failed."""
-    load = loads.Load(rate=1.0, seconds=seconds, count=TARGETS)
+    load = loads.Load(rate=1.0, seconds=seconds, target_count=TARGETS)
     return dataclasses.replace(load, rate=share * load.capacity)
 
 
--- a/tests/dispatch/test_load_replay.py
+++ b/tests/dispatch/test_load_replay.py
@@ -73,7 +73,7 @@
     return loads.Load(
         rate=rate,
         seconds=40.0,
-        count=count,
+        target_count=count,
         onset=1 / 21,
         recovery=1 / 9,
         fails=0.9,
--- a/tests/edge/test_earned_retries.py
+++ b/tests/edge/test_earned_retries.py
@@ -55,7 +55,7 @@
         },
         {"unreachable": retry_loads.TimedShare(2.0, 9.0, 0.5)},
         {"kills": (retry_loads.Kill(3.0, 0.2), retry_loads.Kill(6.0, 0.2))},
-        {"vms": 45, "count": 60, "rate": 300.0},
+        {"vms": 45, "target_count": 60, "rate": 300.0},
     ],
     ids=["late answers", "unreachable targets", "kills", "shards"],
 )
--- a/tests/edge/test_retry_bound.py
+++ b/tests/edge/test_retry_bound.py
@@ -13,7 +13,7 @@
 SMALL = retry_loads.Load(seconds=16.0, shed=SHED)
 LARGE = retry_loads.Load(
     vms=45,
-    count=60,
+    target_count=60,
     rate=300.0,
     slots=3,
     seconds=13.0,
