--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -89,7 +89,7 @@
     return Worth(
         statistics.fmean(served),
         statistics.fmean(one.in_time_share for one in results),
-        statistics.fmean(one.opened / max(1, one.asked) for one in results),
+        statistics.fmean(one.opened / max(1, one.request_count) for one in results),
         statistics.stdev(served),
     )
 
--- a/bench/load_model.py
+++ b/bench/load_model.py
@@ -147,7 +147,7 @@
             act(at)
         counts = self._counts
         return loads.Result(
-            asked=sum(self._asked.values()),
+            request_count=sum(self._asked.values()),
             in_time=counts["in_time"],
             late=counts["late"],
             failed=counts["failed"],
@@ -397,11 +397,11 @@
 
 def show_result(name: str, result: loads.Result) -> str:
     """Return one row of a table."""
-    refused = result.refused / result.asked
-    failed = result.failed / result.asked
+    refused = result.refused / result.request_count
+    failed = result.failed / result.request_count
     return (
         f"{name:28} {result.served_share:7.3f} {result.in_time_share:7.3f}"
-        f" {failed:7.3f} {refused:7.3f} {result.wasted / result.asked:7.3f}"
+        f" {failed:7.3f} {refused:7.3f} {result.wasted / result.request_count:7.3f}"
     )
 
 
--- a/bench/loads.py
+++ b/bench/loads.py
@@ -122,7 +122,7 @@
 class Result:
     """What became of all requests."""
 
-    asked: int
+    request_count: int
     """Requests."""
 
     in_time: int
@@ -166,9 +166,9 @@
     @property
     def served_share(self) -> float:
         """Share of requests that were answered."""
-        return (self.in_time + self.late) / max(1, self.asked)
+        return (self.in_time + self.late) / max(1, self.request_count)
 
     @property
     def in_time_share(self) -> float:
         """Share of requests that were answered in time."""
-        return self.in_time / max(1, self.asked)
+        return self.in_time / max(1, self.request_count)
--- a/bench/retry_loads.py
+++ b/bench/retry_loads.py
@@ -111,7 +111,7 @@
     worst: retry_audit.Span
     """The span with the most retries beyond the bound."""
 
-    asked: int
+    request_count: int
     """Requests that callers sent."""
 
     served: int
@@ -126,7 +126,7 @@
     @property
     def served_share(self) -> float:
         """Share of the requests that were served."""
-        return self.served / max(1, self.asked)
+        return self.served / max(1, self.request_count)
 
 
 def make_load(vms: int, **changes: object) -> Load:
--- a/tests/dispatch/test_load_replay.py
+++ b/tests/dispatch/test_load_replay.py
@@ -48,8 +48,10 @@
     with_strikes = play(play_with_strikes, load)
     assert mean(each.served_share for each in results) > 0.965
     assert mean(each.served_share for each in least_busy) < 0.8
-    failed_share = mean(each.failed / each.asked for each in results)
-    assert failed_share < 0.5 * mean(each.failed / each.asked for each in with_strikes)
+    failed_share = mean(each.failed / each.request_count for each in results)
+    assert failed_share < 0.5 * mean(
+        each.failed / each.request_count for each in with_strikes
+    )
 
 
 def test_almost_all_idempotent_requests_are_served() -> None:
@@ -98,7 +100,7 @@
     load = make_sticky_load(write, 45.0, 11)
     load = dataclasses.replace(load, vms=48)
     results = play(load_model.play_dispatcher, load)
-    assert mean(each.opened / each.asked for each in results) < 0.35
+    assert mean(each.opened / each.request_count for each in results) < 0.35
     unaware = play(load_model.play_dispatcher, dataclasses.replace(load, vms=0))
     assert mean(each.served_share for each in results) > 0.99 * mean(
         each.served_share for each in unaware
@@ -124,7 +126,7 @@
     # refused at once, not after a wait.
     load = make_load(3.0, onset=0.0)
     for result in play(load_model.play_dispatcher, load):
-        assert result.refused > 0.5 * result.asked
+        assert result.refused > 0.5 * result.request_count
         assert result.in_time + result.late > 0.85 * load.capacity * load.seconds
         assert result.in_time > 0.4 * (result.in_time + result.late)
         assert result.refused_late < 0.02
--- a/tests/edge/test_earned_retries.py
+++ b/tests/edge/test_earned_retries.py
@@ -66,7 +66,7 @@
     load = dataclasses.replace(retry_loads.Load(seconds=10.0), **changes)  # type: ignore[arg-type]
     fleet = retry_fleet.Fleet(load, 1)
     result = fleet.play()
-    assert 0.9 * result.asked < fleet.count_requests() <= result.asked
+    assert 0.9 * result.request_count < fleet.count_requests() <= result.request_count
 
 
 def test_refused_requests_add_to_the_retry_budget() -> None:
@@ -74,5 +74,5 @@
     load = retry_loads.Load(seconds=8.0, rate=700.0)
     fleet = retry_fleet.Fleet(load, 1)
     result = fleet.play()
-    assert result.refused["overloaded"] > 0.3 * result.asked
-    assert fleet.count_requests() > 0.9 * result.asked
+    assert result.refused["overloaded"] > 0.3 * result.request_count
+    assert fleet.count_requests() > 0.9 * result.request_count
