--- a/bench/arrivals.py
+++ b/bench/arrivals.py
@@ -112,8 +112,8 @@
         self.generator = random.Random(seed)
         self.service = arrival_service.make_service(shape)
         self.now = 0.0
-        self.done: list[shapes.Done] = []
-        self.sent: list[tuple[float, int]] = []
+        self.ended_requests: list[shapes.EndedRequest] = []
+        self.sent_attempts: list[tuple[float, int]] = []
         self.refusals = 0
         self.control_messages = 0
         self.control_bytes = 0
@@ -214,8 +214,8 @@
         if request.is_over:
             return
         request.is_over = True
-        self.done.append(
-            shapes.Done(
+        self.ended_requests.append(
+            shapes.EndedRequest(
                 request.arrived_at,
                 self.now - request.arrived_at,
                 request.kind.weight,
@@ -230,7 +230,7 @@
         vm, name = request.vm, send.target.name
         index = int(name)
         vm.router.record_start(name, is_first=send.attempt == 1)
-        self.sent.append((self.now, index))
+        self.sent_attempts.append((self.now, index))
         subject = baselines.Subject(name, request.kind.name)
         overdue = vm.router.health.find_overdue_after(subject)
         state = _Attempt(request, send, self.now)
--- a/bench/choice.py
+++ b/bench/choice.py
@@ -69,7 +69,7 @@
     """Run one case."""
     model = arrivals.Model(case.shape, (), case.mode, seed=1)
     model.run(SECONDS)
-    done = [d for d in model.done if d.arrived_at >= WARM_UP]
+    done = [d for d in model.ended_requests if d.arrived_at >= WARM_UP]
     good = [d for d in done if d.is_answered]
     weight = sum(d.weight for d in done)
     took = sorted(d.took for d in good)
@@ -78,7 +78,7 @@
         answered,
         case.shape.load * len(good) / len(done),
         took[int(0.99 * (len(took) - 1))],
-        model.refusals / max(1, len(model.done)),
+        model.refusals / max(1, len(model.ended_requests)),
         model.control_bytes / SECONDS / case.shape.vms,
     )
 
--- a/bench/detection.py
+++ b/bench/detection.py
@@ -126,17 +126,19 @@
     model.run(case.seconds)
     false = [name for _, name in model.ejected if int(name) not in scenario.guilty]
     false_alone = [n for n in model.ejected_alone if int(n) not in scenario.guilty]
-    answered = sum(d.is_answered for d in model.done) / len(model.done)
+    answered = sum(d.is_answered for d in model.ended_requests) / len(
+        model.ended_requests
+    )
     return Score(
         _find_detection(model, scenario.guilty),
-        sum(d.was_harmed for d in model.done),
+        sum(d.was_harmed for d in model.ended_requests),
         len(false) + len(false_alone) / case.shape.vms,
         answered,
     )
 
 
 def _find_detection(model: arrivals.Model, guilty: tuple[int, ...]) -> float | None:
-    times = [at for at, index in model.sent if index in guilty]
+    times = [at for at, index in model.sent_attempts if index in guilty]
     before = [at for at in times if STARTS_AT - 5 <= at < STARTS_AT]
     during = [at for at in times if STARTS_AT <= at < ENDS_AT]
     usual = len(before) / 5.0 * WINDOW
--- a/bench/shapes.py
+++ b/bench/shapes.py
@@ -94,7 +94,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Done:
+class EndedRequest:
     """What became of one request."""
 
     arrived_at: float
--- a/tests/scenarios/test_targets.py
+++ b/tests/scenarios/test_targets.py
@@ -107,7 +107,7 @@
 def _gets_few_requests(run: Run, number: int, limit: int) -> None:
     model = run.finished()
     since = run.fault_starts_at + limit
-    after = [index for at, index in model.sent if at >= since]
+    after = [index for at, index in model.sent_attempts if at >= since]
     share = after.count(number - 1) / len(after)
     assert share < REMAINING_SHARE / SHAPE.targets
 
@@ -122,7 +122,11 @@
     parsers.parse("at least {share:d}% of the requests after that are answered in time")
 )
 def _answered(run: Run, share: int) -> None:
-    done = [d for d in run.finished().done if d.arrived_at > run.fault_starts_at + 5]
+    done = [
+        d
+        for d in run.finished().ended_requests
+        if d.arrived_at > run.fault_starts_at + 5
+    ]
     assert sum(d.is_answered for d in done) >= share / 100 * len(done)
 
 
