--- a/bench/loads.py
+++ b/bench/loads.py
@@ -48,7 +48,7 @@
     seconds: float = 60.0
     """How long."""
 
-    count: int = 22
+    target_count: int = 22
     """Targets."""
 
     slots: int = 3
@@ -115,14 +115,14 @@
     def capacity(self) -> float:
         """Requests a second that all targets together could serve if none failed."""
         mean = sum(kind.share * kind.mean for kind in self.kinds)
-        return self.count * self.slots / mean
+        return self.target_count * self.slots / mean
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
     """What became of all requests."""
 
-    asked: int
+    request_count: int
     """Requests."""
 
     in_time: int
@@ -166,9 +166,9 @@
     @property
     def served_share(self) -> float:
         """Share of requests that were answered."""
-        return (self.in_time + self.late) / max(1, self.asked)
+        return (self.in_time + self.late) / max(1, self.request_count)
 
     @property
     def in_time_share(self) -> float:
         """Share of requests that were answered in time."""
-        return self.in_time / max(1, self.asked)
+        return self.in_time / max(1, self.request_count)
--- a/bench/retry_fleet.py
+++ b/bench/retry_fleet.py
@@ -52,7 +52,7 @@
         "kills": (retry_loads.Kill(9.5, 0.2), retry_loads.Kill(12.0, 0.2))
     },
     "loads swing by 30%": {"wave": 0.3},
-    "a burst of 1.7 until 8 s": {"surge": retry_loads.Spell(0.0, 8.0, 0.7)},
+    "a burst of 1.7 until 8 s": {"surge": retry_loads.TimedShare(0.0, 8.0, 0.7)},
 }
 
 
@@ -133,7 +133,7 @@
         await anyio.sleep(FAIL_TIME)
         now = anyio.current_time()
         share = self.load.unreachable.find_share(now - self._begin)
-        if self.registry.list_entries().index(target) < share * self.load.count:
+        if self.registry.list_entries().index(target) < share * self.load.target_count:
             return target_client.Attempt(
                 plan.AttemptResult.UNREACHABLE, None, "refused"
             )
@@ -177,7 +177,7 @@
                 0.0,
                 n + 1,
             )
-            for n in range(self.load.count)
+            for n in range(self.load.target_count)
         ]
 
     def _name_place(self, number: int) -> str:
