--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/retry_window.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/retry_window.py
@@ -38,7 +38,7 @@
 once dispatched for itself."""
 
 
-class Basis(enum.Enum):
+class CountScope(enum.Enum):
     """Which counts allow retries."""
 
     ALL = enum.auto()
@@ -93,7 +93,7 @@
         Length of the window in seconds.
     counter : str, optional
         Name of this counter among all counters of the service.
-    read_basis : callable, optional
+    read_count_scope : callable, optional
         Returns which counts currently allow retries.
     """
 
@@ -103,11 +103,13 @@
         read_slack: collections.abc.Callable[[], float],
         span: float,
         counter: str = "",
-        read_basis: collections.abc.Callable[[], Basis] = lambda: Basis.ALL,
+        read_count_scope: collections.abc.Callable[[], CountScope] = lambda: (
+            CountScope.ALL
+        ),
     ) -> None:
         self._ratio = ratio
         self._read_slack = read_slack
-        self._read_basis = read_basis
+        self._read_count_scope = read_count_scope
         self._span = span
         self._counter = counter
         self._newest = 0
@@ -117,8 +119,8 @@
         self._reserved = 0
         self._others: dict[str, dict[int, tuple[float, Bucket]]] = {}
         self._received = ([0] * KEPT_BUCKETS, [0] * KEPT_BUCKETS)
-        self._room: float | None = None
-        self._basis = Basis.ALL
+        self._headroom: float | None = None
+        self._count_scope = CountScope.ALL
         self._spent = 0
         self.unsent_retries = 0
         """Retries granted since counts were last sent to the others."""
@@ -128,7 +130,7 @@
         """Retries granted here, without those that were refunded."""
         self.resent = 0
         """Of these, retries that were sent without a reservation."""
-        self.returned = 0
+        self.refunded = 0
         """Retries that were refunded."""
 
     def set_bounds(self, ratio: float, span: float, now: float) -> None:
@@ -145,7 +147,7 @@
             # Other VMs have these counts under the bucket numbers of the former window.
             self._first_sent_number = self._newest + 1
         self._ratio = ratio
-        self._room = None
+        self._headroom = None
 
     def add_request(self, now: float) -> None:
         """Count a request."""
@@ -178,8 +180,8 @@
         self._advance_to(now)
         self._retries[-1] += 1
         self._spent += 1
-        if self._room is not None:
-            self._room -= 1.0
+        if self._headroom is not None:
+            self._headroom -= 1.0
         self.unsent_retries += 1
         self.retries += 1
 
@@ -190,8 +192,8 @@
         if index >= -KEPT_BUCKETS and self._retries[index] > 0:
             self._retries[index] -= 1
             self.retries -= 1
-            self.returned += 1
-            self._room = None
+            self.refunded += 1
+            self._headroom = None
 
     def export_counts(self, now: float, is_whole: bool) -> list[CounterHistory]:
         """Return the recent counts made here, or all known counts of every counter."""
@@ -228,7 +230,7 @@
             retries = max(before.retries, part.retries)
             known[part.number] = (at, Bucket(part.number, 0.0, requests, retries))
             self._add(at, requests - before.requests, retries - before.retries)
-        self._room = None
+        self._headroom = None
 
     def find_ease(self, now: float) -> float:
         """Return how freely retries may be spent: 1 for freely, 0 for none left."""
@@ -244,20 +246,20 @@
         Requests of the newest bucket count from the next one on.
         """
         self._advance_to(now)
-        basis = self._read_basis()
-        if self._room is None or self._basis is not basis:
-            self._basis = basis
+        scope = self._read_count_scope()
+        if self._headroom is None or self._count_scope is not scope:
+            self._count_scope = scope
             requests, retries = self._requests, self._retries
-            if basis is not Basis.OWN:
+            if scope is not CountScope.OWN:
                 requests = _add_up(requests, self._received[0])
                 retries = _add_up(retries, self._received[1])
-            if basis is Basis.NONE:
+            if scope is CountScope.NONE:
                 requests = [0] * KEPT_BUCKETS
             self._spent = sum(retries[-BUCKETS_PER_WINDOW:])
-            self._room = self._find_room(requests, retries)
-        return self._room + self._read_slack() - self._reserved
+            self._headroom = self._find_headroom(requests, retries)
+        return self._headroom + self._read_slack() - self._reserved
 
-    def _find_room(self, requests: list[int], retries: list[int]) -> float:
+    def _find_headroom(self, requests: list[int], retries: list[int]) -> float:
         """Return how many more retries the requests allow.
 
         Each window that began within the last one may contain them, and must keep to
@@ -343,7 +345,7 @@
         if passed <= 0:
             return
         self._newest += passed
-        self._room = None
+        self._headroom = None
         self._requests = _shift(self._requests, passed)
         self._retries = _shift(self._retries, passed)
         requests, retries = self._received
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/request_run.py
@@ -45,11 +45,12 @@
 """Retry-After delay in seconds if the dispatcher gives no time."""
 
 STOPPING_RETRY_AFTER_S = 0.05
-"""Retry-After delay in seconds for callers refused by a stopping VM: by then the load
-balancer routes them to another VM."""
+"""Retry-After delay in seconds for callers refused by a stopping VM, after which the
+load balancer routes them to another VM."""
 
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
+# Reasons that stand in the log, in metric labels and in replies.
 CALLER_LEFT = "caller left"
 DEADLINE = "deadline"
 OTHER_ANSWERED = "another target answered"
@@ -125,7 +126,10 @@
             self._scope.deadline = at
 
     def compensate_suspension(self, seconds: float) -> None:
-        """Shorten the remaining time by `seconds` that the clock did not count."""
+        """Bring the deadline forward by the duration of a suspension of this VM.
+
+        The clock stands still during a suspension, while the caller waits on.
+        """
         self._plan.compensate_suspension(seconds)
         self._scope.deadline = self._plan.deadlines.deadline_at
 
@@ -137,14 +141,14 @@
         """
         return self._plan.is_idempotent or not self._plan.may_have_run
 
-    async def _try_targets(self) -> plan.Step:
-        """Try targets one after the other; return the step that ends the attempts."""
-        step = plan.Step.TRY_AGAIN
-        while step is plan.Step.TRY_AGAIN:
+    async def _try_targets(self) -> plan.NextStep:
+        """Try targets one after the other; return the step after the last one."""
+        step = plan.NextStep.TRY_AGAIN
+        while step is plan.NextStep.TRY_AGAIN:
             step = await self._try_once()
         return step
 
-    async def _try_once(self) -> plan.Step:
+    async def _try_once(self) -> plan.NextStep:
         self._dependencies.check_suspension()
         if self._incoming.caller.has_disconnected and self._may_cancel():
             return self._plan.give_up()
@@ -165,25 +169,25 @@
             # from the store would make every VM send work to leaving targets.
             attempt_ends.report(self._dependencies, slot, attempt_ends.UNUSED)
             now = anyio.current_time()
-            return self._plan.end_attempt(plan.Result.UNREACHABLE, now)
+            return self._plan.end_attempt(plan.AttemptResult.UNREACHABLE, now)
         overdue_at = self._find_overdue_at(slot.grant, anyio.current_time())
         if overdue_at < math.inf:
             return await self._attempt_with_backup(slot, target, overdue_at)
         return await self._attempt(slot, target, overdue_at)
 
     def _check_quarantine(self) -> bool:
-        """Return whether the request is quarantined; if so, store reason and end."""
-        hold = self._dependencies.suspects.find_hold_end(
+        """Return whether the request is quarantined; if so, store why and how long."""
+        hold_ends_at = self._dependencies.suspects.find_hold_end(
             self._fingerprint, anyio.current_time()
         )
-        if hold is None:
+        if hold_ends_at is None:
             return False
         self._why = QUARANTINED
-        self._retry_at = hold
+        self._retry_at = hold_ends_at
         return True
 
-    async def _acquire_slot(self) -> attempt_ends.HeldSlot | None:
-        """Return a slot, or None if it is refused or asking for it fails."""
+    async def _acquire_slot(self) -> attempt_ends.GrantedSlot | None:
+        """Return a slot, or None if it is refused or the slot request fails."""
         requested_at = anyio.current_time()
         slot_request = run_messages.make_slot_request(
             self._dependencies, self._plan, self._route, self._service, requested_at
@@ -191,12 +195,12 @@
         try:
             answer = await self._dependencies.slots.acquire(slot_request)
         except Exception as error:
-            # Handled like a refusal, so that another attempt in progress continues.
+            # Treated like a refusal, so that another attempt in progress continues.
             self._dependencies.recorder.log_error(self._request_id, error)
             self._why = UNEXPECTED_ERROR
             return None
         if isinstance(answer, messages.Grant):
-            return attempt_ends.HeldSlot(
+            return attempt_ends.GrantedSlot(
                 slot_request, answer, anyio.current_time() - requested_at
             )
         self._why = answer.reason.value
@@ -205,28 +209,28 @@
 
     def _find_overdue_at(self, grant: messages.Grant, now: float) -> float:
         """Return the time from which a backup attempt may start; infinite for never."""
-        left = self._plan.deadlines.deadline_at - now
+        remaining = self._plan.deadlines.deadline_at - now
         factor = (
             OVERDUE_FACTOR
             + (OVERDUE_FACTOR_WHEN_FAILING - OVERDUE_FACTOR) * grant.failure_probability
         )
-        overdue = max(MIN_OVERDUE_S, factor * grant.expected_duration)
+        overdue_after = max(MIN_OVERDUE_S, factor * grant.expected_duration)
         if not self._plan.may_send_backup:
             return math.inf
-        if left - overdue <= MIN_TIME_LEFT_FACTOR * grant.expected_duration:
+        if remaining - overdue_after <= MIN_TIME_LEFT_FACTOR * grant.expected_duration:
             return math.inf
-        return now + overdue
+        return now + overdue_after
 
     async def _attempt_with_backup(
-        self, slot: attempt_ends.HeldSlot, target: targets.Entry, overdue_at: float
-    ) -> plan.Step:
+        self, slot: attempt_ends.GrantedSlot, target: targets.Entry, overdue_at: float
+    ) -> plan.NextStep:
         """Send an attempt; once it is overdue, try other targets in parallel.
 
         The first answer ends all attempts. The overdue attempt is not cancelled before
         there is an answer: if the backup failed, the caller would get 502 although the
         first target was still working.
         """
-        step = plan.Step.WAIT
+        step = plan.NextStep.WAIT
         is_overdue = False
         async with anyio.create_task_group() as group:
 
@@ -240,26 +244,26 @@
             await anyio.sleep_until(overdue_at)
             is_overdue = True
             step = self._plan.decide_next(anyio.current_time())
-            if step is plan.Step.TRY_AGAIN:
+            if step is plan.NextStep.TRY_AGAIN:
                 step = await self._try_targets()
             if self._plan.is_answered:
                 group.cancel_scope.cancel()
-        if step is plan.Step.WAIT or self._plan.is_answered:
+        if step is plan.NextStep.WAIT or self._plan.is_answered:
             # Attempts that end in the same iteration of the event loop may update the
             # plan in any order, so that `step` may be outdated.
             return self._plan.decide_next(anyio.current_time())
         return step
 
     async def _attempt(
-        self, slot: attempt_ends.HeldSlot, target: targets.Entry, overdue_at: float
-    ) -> plan.Step:
-        """Send to one target; report, record and handle the result."""
-        started = anyio.current_time()
+        self, slot: attempt_ends.GrantedSlot, target: targets.Entry, overdue_at: float
+    ) -> plan.NextStep:
+        """Send to one target, report and record the end, and return the next step."""
+        started_at = anyio.current_time()
         outcome, why = messages.Outcome.ABANDONED, CALLER_LEFT
         has_crashed, is_resent, rate_limit = False, False, None
-        self._dependencies.suspects.begin_attempt(self._fingerprint, started)
+        self._dependencies.suspects.begin_attempt(self._fingerprint, started_at)
         try:
-            attempt = await self._send(target, started)
+            attempt = await self._send(target, started_at)
             outcome, why = attempt_ends.OUTCOMES[attempt.result], attempt.detail
             is_resent, rate_limit = attempt.is_resent, attempt.rate_limit
             cut_at = anyio.current_time()
@@ -268,7 +272,7 @@
             )
             if has_crashed:
                 self._dependencies.suspects.record_crash(
-                    self._fingerprint, target, started
+                    self._fingerprint, target, started_at
                 )
             elif attempt.is_success:
                 self._dependencies.suspects.record_answer(self._fingerprint)
@@ -278,7 +282,7 @@
                 self._plan.abandon_attempt()
                 outcome, why = self._classify_cancellation(now, overdue_at)
             end = attempt_ends.AttemptEnd(
-                outcome, why, now - started, has_crashed, rate_limit, is_resent
+                outcome, why, now - started_at, has_crashed, rate_limit, is_resent
             )
             attempt_ends.report(self._dependencies, slot, end)
             attempt_ends.record(self._dependencies, self._logged_request, slot, end)
@@ -297,7 +301,7 @@
                 target,
                 self._plan.deadlines.deadline_at - now,
             )
-            return await self._dependencies.exchange.attempt(
+            return await self._dependencies.client.attempt(
                 target,
                 request,
                 self._route.work,
@@ -305,12 +309,14 @@
             )
         except Exception as error:
             self._dependencies.recorder.log_error(self._request_id, error)
-            return target_client.Attempt(plan.Result.BROKEN, None, UNEXPECTED_ERROR)
+            return target_client.Attempt(
+                plan.AttemptResult.BROKEN, None, UNEXPECTED_ERROR
+            )
 
     def _handle_end(
         self, attempt: target_client.Attempt, target: targets.Entry, now: float
-    ) -> plan.Step:
-        if attempt.result is plan.Result.UNREACHABLE:
+    ) -> plan.NextStep:
+        if attempt.result is plan.AttemptResult.UNREACHABLE:
             self._dependencies.unreachable.record(target.target_id, now)
         if not self._plan.is_answered:
             self._why = attempt.detail
@@ -335,12 +341,12 @@
     def _find_deadline_reason(self) -> str:
         return STOPPING if self._is_ending else DEADLINE
 
-    def _finish(self, step: plan.Step) -> calls.Reply:
+    def _finish(self, step: plan.NextStep) -> calls.Reply:
         now = anyio.current_time()
         reply = self._make_reply(step, now)
         duration = now - self._incoming.first_byte_at
         self._dependencies.recorder.record_final_answer(
-            request_recorder.Answer(
+            request_recorder.AnswerRecord(
                 self._request_id,
                 reply.status,
                 self._why,
@@ -353,11 +359,11 @@
         )
         return reply
 
-    def _make_reply(self, step: plan.Step, now: float) -> calls.Reply:
-        if step is plan.Step.RELAY and self._answer is not None:
+    def _make_reply(self, step: plan.NextStep, now: float) -> calls.Reply:
+        if step is plan.NextStep.RELAY and self._answer is not None:
             headers = http_exchange.strip_connection_headers(self._answer.headers)
             return calls.Reply(self._answer.status, headers, self._answer.body)
-        if step is plan.Step.ANSWER_NOT_RUN:
+        if step is plan.NextStep.ANSWER_NOT_RUN:
             return replies.make_problem_reply(
                 503, self._why, self._find_retry_after(now)
             )
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_client.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_client.py
@@ -47,7 +47,7 @@
 used."""
 
 MAX_IDLE_CONNECTIONS = 3
-"""Limit on the idle connections per target: the number of its slots in a typical
+"""Limit on the idle connections per target: as many as a target has slots in a typical
 deployment."""
 
 STALE_CONNECTION_TIMEOUT_S = 0.1
@@ -70,15 +70,17 @@
 MIN_SERVER_ERROR_STATUS = 500
 SUCCESS_STATUSES = range(200, 300)
 MISPLACED_STATUS = 421
+"""Status of a target that received a request for another target ("Misdirected
+Request")."""
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that tell a caller that its request has not run."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attempt:
-    """Outcome of one attempt."""
+    """The outcome of one attempt at a target."""
 
-    result: plan.Result
+    result: plan.AttemptResult
     """What it means for the request."""
 
     answer: http_exchange.Answer | None
@@ -110,7 +112,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Connection:
+class _TargetConnection:
     """A connection to a target, and how long it may be reused."""
 
     stream: anyio.abc.ByteStream
@@ -128,7 +130,7 @@
         return self.answered_at is None
 
     def is_usable(self, now: float) -> bool:
-        """Return whether the idle timeout has not ended."""
+        """Return whether the idle timeout is still running."""
         return now < self.idle_until
 
     def may_carry(self, work: services.Work, now: float) -> bool:
@@ -164,7 +166,7 @@
 
     def __init__(self, names: header_names.HeaderNames) -> None:
         self._header_names = names
-        self._idle: dict[str, collections.deque[_Connection]] = {}
+        self._idle: dict[str, collections.deque[_TargetConnection]] = {}
         self.opened_connections = 0
         self.foreign_answers = 0
         self.unidentified_answers = 0
@@ -197,7 +199,7 @@
         """
         connection = await self._acquire(target, request, work)
         if connection is None:
-            return Attempt(plan.Result.UNREACHABLE, None, "no connection")
+            return Attempt(plan.AttemptResult.UNREACHABLE, None, "no connection")
         is_reused = not connection.is_new
         mark_sent()
         attempt = await self._exchange(target, connection, request)
@@ -206,9 +208,9 @@
             and not attempt.may_have_begun
             and work is services.Work.IDEMPOTENT
         ):
-            # The target may have closed the connection while it was idle, which is no
-            # failure. A request that it may have begun is not resent here: the plan
-            # decides, by the retry limits and the time left.
+            # The target may have closed the connection while it was idle, which does
+            # not count as a failure. A request that it may have begun is not resent
+            # here: the plan decides, by the retry limits and the time left.
             return await self._resend(target, request, attempt)
         return attempt
 
@@ -227,7 +229,7 @@
         attempt = await self._exchange(target, connection, request)
         if attempt.result in plan.PROVED_NOT_RUN:
             detail = f"{first.detail}, then {attempt.detail}"
-            return Attempt(plan.Result.BROKEN, None, detail, is_resent=True)
+            return Attempt(plan.AttemptResult.BROKEN, None, detail, is_resent=True)
         return dataclasses.replace(attempt, is_resent=True)
 
     def list_connected_targets(self, work: services.Work, now: float) -> list[str]:
@@ -259,7 +261,7 @@
     async def _exchange(
         self,
         target: targets.Entry,
-        connection: _Connection,
+        connection: _TargetConnection,
         request: http_exchange.Request,
     ) -> Attempt:
         exchange = http_exchange.Exchange(
@@ -278,7 +280,7 @@
             ):
                 self.unidentified_answers += 1
             is_pooled = (
-                attempt.result is not plan.Result.BROKEN
+                attempt.result is not plan.AttemptResult.BROKEN
                 and answer.is_reusable
                 and request.method != UNPOOLED_METHOD
             )
@@ -289,7 +291,7 @@
             is_late = anyio.current_time() > stale_until
             has_begun = exchange.has_answer_begun or is_late
             return Attempt(
-                plan.Result.BROKEN,
+                plan.AttemptResult.BROKEN,
                 None,
                 str(error),
                 may_have_begun=has_begun,
@@ -301,7 +303,7 @@
                 await _close(connection)
 
     def _classify(self, answer: http_exchange.Answer) -> Attempt:
-        """Return what an answer means, given that it carries no other request's id."""
+        """Return the outcome for an answer that carries no other request's id."""
         answer_id = answer.find(self._header_names.request_id)
         status = answer.status
         if (
@@ -309,25 +311,31 @@
             or status == MISPLACED_STATUS
         ):
             if status == MISPLACED_STATUS:
-                return Attempt(plan.Result.MISPLACED, None, "another target's address")
-            return Attempt(plan.Result.TURNED_AWAY, None, f"turned away with {status}")
+                return Attempt(
+                    plan.AttemptResult.MISPLACED, None, "another target's address"
+                )
+            return Attempt(
+                plan.AttemptResult.TURNED_AWAY, None, f"turned away with {status}"
+            )
         if answer.find(b"content-encoding") is not None:
-            return Attempt(plan.Result.BROKEN, None, "an encoded body")
+            return Attempt(plan.AttemptResult.BROKEN, None, "an encoded body")
         if status in SUCCESS_STATUSES:
             if answer_id is None:
                 return Attempt(
-                    plan.Result.BROKEN, None, "a success that names no request"
+                    plan.AttemptResult.BROKEN, None, "a success that names no request"
                 )
             if answer.find(self._header_names.signature) is None:
-                return Attempt(plan.Result.BROKEN, None, "a success without signature")
-            return Attempt(plan.Result.ANSWERED, answer, str(status))
+                return Attempt(
+                    plan.AttemptResult.BROKEN, None, "a success without signature"
+                )
+            return Attempt(plan.AttemptResult.ANSWERED, answer, str(status))
         if status in NOT_RUN_STATUSES:
             # These statuses would promise the caller that its request has not run. The
             # target's answer does not prove that.
-            return Attempt(plan.Result.BROKEN, None, f"{status} without proof")
+            return Attempt(plan.AttemptResult.BROKEN, None, f"{status} without proof")
         if status >= MIN_SERVER_ERROR_STATUS:
-            return Attempt(plan.Result.ERROR, answer, str(status))
-        return Attempt(plan.Result.ANSWERED, answer, str(status))
+            return Attempt(plan.AttemptResult.ERROR, answer, str(status))
+        return Attempt(plan.AttemptResult.ANSWERED, answer, str(status))
 
     def _read_rate_limit(self, answer: http_exchange.Answer) -> float | None:
         """Return the rate limit that an answer states, in requests per second.
@@ -345,14 +353,14 @@
     async def _return_to_pool(
         self,
         target: targets.Entry,
-        connection: _Connection,
+        connection: _TargetConnection,
         answer: http_exchange.Answer,
     ) -> None:
         """Return a connection to the pool; close the oldest beyond its limit."""
         idle = self._idle.setdefault(target.target_id, collections.deque())
         now = anyio.current_time()
         idle_until = now + _read_idle_timeout(answer)
-        idle.append(_Connection(connection.stream, now, idle_until))
+        idle.append(_TargetConnection(connection.stream, now, idle_until))
         if len(idle) > MAX_IDLE_CONNECTIONS:
             await _close(idle.popleft())
 
@@ -361,7 +369,7 @@
         target: targets.Entry,
         request: http_exchange.Request,
         work: services.Work,
-    ) -> _Connection | None:
+    ) -> _TargetConnection | None:
         if request.method == UNPOOLED_METHOD:
             return await self._connect(target)
         now = anyio.current_time()
@@ -377,7 +385,7 @@
             await _close(connection)
         return await self._connect(target)
 
-    async def _connect(self, target: targets.Entry) -> _Connection | None:
+    async def _connect(self, target: targets.Entry) -> _TargetConnection | None:
         """Return a new connection, or None if the target cannot be reached.
 
         A timeout that fires late shows that this process was suspended, and nothing
@@ -389,7 +397,7 @@
             return await self._open_connection(target)
         return connection
 
-    async def _open_connection(self, target: targets.Entry) -> _Connection | None:
+    async def _open_connection(self, target: targets.Entry) -> _TargetConnection | None:
         self.opened_connections += 1
         try:
             with anyio.fail_after(CONNECT_TIMEOUT_S):
@@ -398,7 +406,7 @@
             return None
         raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
         raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
-        return _Connection(stream)
+        return _TargetConnection(stream)
 
 
 def _read_idle_timeout(answer: http_exchange.Answer) -> float:
@@ -422,6 +430,6 @@
     return bool(poll.poll(0))
 
 
-async def _close(connection: _Connection) -> None:
+async def _close(connection: _TargetConnection) -> None:
     with anyio.CancelScope(shield=True):
         await anyio.aclose_forcefully(connection.stream)
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -9,7 +9,7 @@
 import anyio
 import anyio.abc
 
-from zinniastand_platform import words
+from zinniastand_platform import wire_names
 from zinniastand_proxy.edge import http_exchange
 
 from . import ledger, links, vms
@@ -225,7 +225,7 @@
     def _record_answer(
         self, request: ledger.SentRequest, answer: http_exchange.Answer
     ) -> None:
-        is_signed = answer.find(words.HEADERS.signature) is not None
+        is_signed = answer.find(wire_names.HEADERS.signature) is not None
         self._record_outcome(request, answer.status, is_signed, answer.body)
 
     def _record_outcome(
@@ -270,8 +270,11 @@
 def _make_http_request(request: ledger.SentRequest) -> http_exchange.Request:
     headers = [
         (b"host", SERVICE_HOST),
-        (words.HEADERS.request_id, request.request_id.encode()),
-        (words.HEADERS.time_left, b"%d" % int(ANSWER_TIMEOUT_S * words.MS_PER_S)),
+        (wire_names.HEADERS.request_id, request.request_id.encode()),
+        (
+            wire_names.HEADERS.time_left,
+            b"%d" % int(ANSWER_TIMEOUT_S * wire_names.MS_PER_S),
+        ),
     ]
     return http_exchange.Request(
         b"POST", request.path.encode(), headers, request.body, True
--- a/soak/operators.py
+++ b/soak/operators.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from zinniastand_platform import encoding, words
+from zinniastand_platform import encoding, wire_names
 
 from . import callers, ledger, links, promises, shared_store, targets
 
@@ -27,7 +27,7 @@
         _make_route("/moving/", "unsafe", moving_service),
     ]
     value = encoding.encode_configuration(version, routes)
-    store.put(words.CONFIGURATION_TOPIC, words.CONFIGURATION_KEY, value)
+    store.put(wire_names.CONFIGURATION_TOPIC, wire_names.CONFIGURATION_KEY, value)
     entries.published_versions.append(
         ledger.PublishedVersion(version, moving_service, anyio.current_time())
     )
@@ -41,12 +41,12 @@
         bound_socket.bind((links.HOST, 0))
         address = f"{links.HOST}:{bound_socket.getsockname()[1]}"
         value = encoding.encode_entry(service, address, targets.SLOTS, "ready")
-        store.put(words.TARGETS_TOPIC, name, value)
+        store.put(wire_names.TARGETS_TOPIC, name, value)
         await anyio.sleep(duration_s)
-        store.put(words.TARGETS_TOPIC, name, b"")
+        store.put(wire_names.TARGETS_TOPIC, name, b"")
 
 
 def _make_route(prefix: str, kind: str, service: str) -> list[object]:
-    time_limit_ms = int(promises.TIME_LIMIT_S * words.MS_PER_S)
+    time_limit_ms = int(promises.TIME_LIMIT_S * wire_names.MS_PER_S)
     host = callers.SERVICE_HOST.decode()
     return [prefix, host, prefix, kind, time_limit_ms, OBJECTIVE_MS, 1, service, 2]
--- a/soak/plants.py
+++ b/soak/plants.py
@@ -91,7 +91,8 @@
         (
             Replacement(
                 f"{EDGE_PATH}/stopping.py",
-                "while served.has_unfinished_work() and anyio.current_time() < end:",
+                "while caller_server.has_unfinished_work()"
+                " and anyio.current_time() < end:",
                 "while False:",
             ),
         ),
--- a/soak/run.py
+++ b/soak/run.py
@@ -12,7 +12,7 @@
 import anyio.abc
 
 from zinniastand_core.deployment import configuration
-from zinniastand_platform import encoding, words
+from zinniastand_platform import encoding, wire_names
 from zinniastand_proxy.edge import http_server
 from zinniastand_standins import topic_store, topic_store_app
 
@@ -258,8 +258,8 @@
                 await anyio.sleep(step.duration_s)
                 self._store.topics.fault = topic_store.Fault.NONE
             case plan.Action.FORGET:
-                self._store.topics.forget(words.TARGETS_TOPIC)
-                self._store.topics.forget(words.CONFIGURATION_TOPIC)
+                self._store.topics.forget(wire_names.TARGETS_TOPIC)
+                self._store.topics.forget(wire_names.CONFIGURATION_TOPIC)
             case plan.Action.PUBLISH:
                 operators.publish_configuration(self._store, self._entries)
             case plan.Action.ROLL:
@@ -403,7 +403,7 @@
 
     async def _replace_crashed_target(self, crashed_target: targets.Target) -> None:
         await anyio.sleep(CRASH_REPLACEMENT_DELAY_S)
-        self._store.put(words.TARGETS_TOPIC, crashed_target.target_id, b"")
+        self._store.put(wire_names.TARGETS_TOPIC, crashed_target.target_id, b"")
         await self._start_target(crashed_target.service)
 
     def _register(self, target: targets.Target, state: str) -> None:
@@ -411,7 +411,7 @@
         value = encoding.encode_entry(
             target.service, address, targets.SLOTS, state, next(self._sequence_numbers)
         )
-        self._store.put(words.TARGETS_TOPIC, target.target_id, value)
+        self._store.put(wire_names.TARGETS_TOPIC, target.target_id, value)
 
     async def _replace_target(self, target: targets.Target) -> None:
         if target.is_leaving:
@@ -424,7 +424,7 @@
         self._targets.remove(target)
         is_drill = self._scenario.kind is plan.Kind.DRILLS
         await anyio.sleep(LONG_DRAIN_DURATION_S if is_drill else DRAIN_DURATION_S)
-        self._store.put(words.TARGETS_TOPIC, target.target_id, b"")
+        self._store.put(wire_names.TARGETS_TOPIC, target.target_id, b"")
 
 
 DEFAULT_SCENARIO = Scenario()
--- a/soak/targets.py
+++ b/soak/targets.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from zinniastand_platform import words
+from zinniastand_platform import wire_names
 from zinniastand_proxy.edge import calls
 
 from . import ledger, links, promises
@@ -70,8 +70,8 @@
 STALE_ANSWER = b"\r\n".join(
     [
         b"HTTP/1.1 200 OK",
-        words.HEADERS.request_id + b": another",
-        words.HEADERS.signature + b": signed",
+        wire_names.HEADERS.request_id + b": another",
+        wire_names.HEADERS.signature + b": signed",
         b"content-length: 4",
         b"",
         b"late",
@@ -140,14 +140,14 @@
     async def handle(self, incoming: calls.Incoming) -> calls.Reply:
         """Run a request, or fail it according to the fault."""
         headers = dict(incoming.request.headers)
-        request_id = headers.get(words.HEADERS.request_id, b"").decode()
-        if headers.get(words.HEADERS.expected_target) != self.target_id.encode():
+        request_id = headers.get(wire_names.HEADERS.request_id, b"").decode()
+        if headers.get(wire_names.HEADERS.expected_target) != self.target_id.encode():
             return calls.Reply(421, [], b"")
         now = anyio.current_time()
         arrival = ledger.Arrival(request_id, self.target_id, self.service, now)
         self._entries.arrivals.append(arrival)
         if self._fault is TargetFault.SHED:
-            not_run_header = (words.HEADERS.not_run, b"1")
+            not_run_header = (wire_names.HEADERS.not_run, b"1")
             return calls.Reply(
                 503, [not_run_header, *self._make_rate_limit_headers()], b""
             )
@@ -160,7 +160,7 @@
             incoming.request.body,
             status,
             anyio.current_time(),
-            int(headers.get(words.HEADERS.time_left, b"0")) / words.MS_PER_S,
+            int(headers.get(wire_names.HEADERS.time_left, b"0")) / wire_names.MS_PER_S,
         )
         self._entries.runs.append(run)
         if run.path.startswith(promises.CRASHING_PREFIX):
@@ -180,7 +180,7 @@
         if self._rate_limit is None:
             return []
         self._limit_named_at = self._limit_named_at or anyio.current_time()
-        return [(words.HEADERS.rate_limit, b"%.1f" % self._rate_limit)]
+        return [(wire_names.HEADERS.rate_limit, b"%.1f" % self._rate_limit)]
 
     def _choose_work_time(self) -> float:
         self._run_count += 1
@@ -198,10 +198,10 @@
 
     def _make_reply(self, request_id: str, status: int) -> calls.Reply:
         headers = [
-            (words.HEADERS.request_id, request_id.encode()),
+            (wire_names.HEADERS.request_id, request_id.encode()),
             *self._make_rate_limit_headers(),
         ]
         if self._fault is not TargetFault.UNSIGNED:
-            headers.append((words.HEADERS.signature, b"signed"))
+            headers.append((wire_names.HEADERS.signature, b"signed"))
         body = promises.make_answer(request_id) if status == 200 else b"failed"
         return calls.Reply(status, headers, body)
--- a/soak/vms.py
+++ b/soak/vms.py
@@ -14,7 +14,7 @@
 import anyio
 import anyio.abc
 
-from zinniastand_platform import words
+from zinniastand_platform import wire_names
 from zinniastand_standins import loopback
 
 from . import links, promises
@@ -189,4 +189,4 @@
 
 def find_default_program() -> pathlib.Path:
     """Return the path of the script in this checkout that starts a daemon."""
-    return pathlib.Path(words.__file__).parent.parent / "launch.py"
+    return pathlib.Path(wire_names.__file__).parent.parent / "launch.py"
