--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""Assigns the requests of one shard to targets: who goes where, waits, or is refused.
+"""Assigns the requests of one shard to targets, queues them, or refuses them.
 
 One VM dispatches for a whole shard, since many VMs that share a few slots and each see
 a few requests a second can neither count the slots in use nor detect a failing target.
@@ -35,39 +35,39 @@
 )
 
 LOST_REPORT_GRACE_S = 0.3
-"""Seconds after a request's deadline at which its slot is freed if no report has come:
-reports travel in datagrams, and one may be lost."""
+"""Seconds after a request's deadline at which its slot is freed if no report has come.
+Reports are sent in datagrams, which may be lost."""
 
 MIN_RETURN_DELAY_S = 0.25
 """Minimum seconds that a refused caller is asked to stay away."""
 
 MIN_MEAN_S = 0.001
-"""Minimum mean duration of a kind of work, as a divisor."""
+"""Minimum in seconds of the mean duration of a kind of work, where it is a divisor."""
 
 SHORT_BACKLOG_S = 0.06
-"""Seconds of queued work up to which a second attempt goes one priority up: ten
-requests of 0.2 s before 35 proven healthy slots."""
+"""Seconds of queued work below which the queue is short, so that a retry is raised one
+priority. It corresponds to ten requests of 0.2 s for 35 proven healthy slots."""
 
 MIN_WORK_FACTOR = 0.5
-"""Multiple of the mean duration of work; a waiting request with less time before its
-deadline is refused: hardly any work ends sooner, and its caller may still come back in
+"""Multiple of the mean duration of work. A waiting request with less time before its
+deadline is refused: hardly any work ends sooner, and the caller may still try again in
 time."""
 
 SLOW_FACTOR = 2.5
-"""Multiple of the expected duration after which unfinished work shows that its target
-is slow."""
+"""Multiple of the expected duration after which unfinished work makes its target count
+as slow."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Grant:
-    """A slot in use."""
+    """A slot that was granted and is in use."""
 
     slot_request: messages.SlotRequest
     target_id: str
     started_at: float
     expected: float
     is_retry: bool
-    """Whether a retry of this dispatcher's budget was spent on it."""
+    """Whether this dispatcher counted a retry for it."""
 
 
 UNSENT_OUTCOMES = frozenset({messages.Outcome.UNUSED, messages.Outcome.UNREACHABLE})
@@ -135,9 +135,9 @@
         if slot_request.is_first:
             # Refused requests count too: they are requests for the service.
             self._retries.add_request(now)
-        granted = self._grants.get(slot_request.ticket)
-        if granted is not None:
-            return [self._make_repeated_grant(granted, now)]
+        grant = self._grants.get(slot_request.ticket)
+        if grant is not None:
+            return [self._make_repeated_grant(grant, now)]
         if self._queue.holds(slot_request.ticket):
             return [messages.Wait(slot_request.ticket)]
         if self.pool.is_empty():
@@ -165,26 +165,23 @@
     ) -> list[messages.Decision]:
         """Record the outcome of an attempt and free its slot.
 
-        A slot request that still waits is removed: its caller has left or was answered.
+        A slot request that is still queued is removed: its caller has left or was
+        answered.
         """
-        granted = self._grants.pop(report.ticket, None)
-        withdrawn = self._queue.remove(report.ticket) if granted is None else None
+        grant = self._grants.pop(report.ticket, None)
+        withdrawn = self._queue.remove(report.ticket) if grant is None else None
         if withdrawn is not None:
             self._release_retry(withdrawn)
-        if (
-            granted is not None
-            and granted.is_retry
-            and report.outcome in UNSENT_OUTCOMES
-        ):
-            self._retries.refund(granted.started_at, now)
-        if report.is_resent and granted is not None:
+        if grant is not None and grant.is_retry and report.outcome in UNSENT_OUTCOMES:
+            self._retries.refund(grant.started_at, now)
+        if report.is_resent and grant is not None:
             self._retries.charge(now)
-        target_id = granted.target_id if granted is not None else report.target_id
+        target_id = grant.target_id if grant is not None else report.target_id
         state = self.pool.find(target_id)
         if state is not None:
             state.tickets.discard(report.ticket)
-            self._update_limit(state, granted, report.rate_limit, now)
-            self._apply_outcome(state, granted, report, now)
+            self._update_limit(state, grant, report.rate_limit, now)
+            self._apply_outcome(state, grant, report, now)
         return self._serve_queue(now)
 
     def adopt_slot(self, held: messages.HeldSlot, now: float) -> None:
@@ -194,13 +191,13 @@
             self._start(held.granted_request, state, now, is_retry=False)
 
     def wake(self, now: float) -> list[messages.Decision]:
-        """Detect slow targets, free slots without a report, and end waits."""
-        for ticket, granted in list(self._grants.items()):
-            state = self.pool.find(granted.target_id)
-            elapsed = now - granted.started_at
-            if state is not None and elapsed > SLOW_FACTOR * granted.expected:
-                state.record_overdue(elapsed / granted.expected, now)
-            if now > granted.slot_request.deadline_at + LOST_REPORT_GRACE_S:
+        """Detect slow targets, free slots without a report, and serve the queue."""
+        for ticket, grant in list(self._grants.items()):
+            state = self.pool.find(grant.target_id)
+            elapsed = now - grant.started_at
+            if state is not None and elapsed > SLOW_FACTOR * grant.expected:
+                state.record_overdue(elapsed / grant.expected, now)
+            if now > grant.slot_request.deadline_at + LOST_REPORT_GRACE_S:
                 del self._grants[ticket]
                 if state is not None:
                     state.tickets.discard(ticket)
@@ -209,53 +206,57 @@
     def _serve_queue(self, now: float) -> list[messages.Decision]:
         """Assign waiting requests to targets, in their order.
 
-        Requests of a kind differ only in their age. When one of them finds no target,
-        those behind it find none either and are skipped: with a hundred that wait, each
-        event would otherwise cost a hundred searches over all targets.
+        Waiting requests of one kind differ only in their age. If one of them finds no
+        target, those behind it would find none either and are skipped. Otherwise, with
+        a hundred requests waiting, each event would cost a hundred searches over all
+        targets.
         """
         decisions: list[messages.Decision] = []
-        left: list[waiting.QueuedRequest] = []
-        without: set[tuple[str, bool]] = set()
+        still_waiting: list[waiting.QueuedRequest] = []
+        unplaceable: set[tuple[str, bool]] = set()
         has_free = len(self._queue) > 0 and self.pool.has_free(now)
         for queued in self._queue:
             slot_request = queued.slot_request
             group = (slot_request.kind, slot_request.may_retry)
             decision: messages.Decision | None = None
-            least = MIN_WORK_FACTOR * self._kinds.find_mean(slot_request.kind)
-            if now + least >= slot_request.deadline_at:
+            min_work_time = MIN_WORK_FACTOR * self._kinds.find_mean(slot_request.kind)
+            if now + min_work_time >= slot_request.deadline_at:
                 self._release_retry(queued)
                 decision = self._refuse(
                     slot_request, messages.RefusalReason.TOO_LATE, now
                 )
-            elif has_free and (group not in without or slot_request.excluded):
+            elif has_free and (group not in unplaceable or slot_request.excluded):
                 decision = self._place(queued, now)
             if decision is None:
-                without.add(group)
-                left.append(queued)
+                unplaceable.add(group)
+                still_waiting.append(queued)
             else:
                 decisions.append(decision)
-        self._queue.keep(left)
+        self._queue.keep(still_waiting)
         return decisions
 
     def _place(
         self, queued: waiting.QueuedRequest, now: float
     ) -> messages.Decision | None:
         slot_request = queued.slot_request
-        ease = self._find_ease(now)
+        retry_availability = self._find_retry_availability(now)
         offer = self.pool.find_best(
-            slot_request, ease, now, self._service_level.find_unserved(now)
+            slot_request,
+            retry_availability,
+            now,
+            self._service_level.find_unserved(now),
         )
-        if offer is None or self._queue.should_wait(queued, offer, ease, now):
+        if offer is None or self._queue.should_wait(
+            queued, offer, retry_availability, now
+        ):
             return None
         state = self.pool.find(offer.target_id)
         if state is None:
             return None
         if slot_request.may_retry and offer.failure_probability > 0:
             state.record_trial(now)
-        granted = self._start(
-            slot_request, state, now, is_retry=slot_request.attempt > 1
-        )
-        if granted.is_retry:
+        grant = self._start(slot_request, state, now, is_retry=slot_request.attempt > 1)
+        if grant.is_retry:
             self._retries.spend(now)
         if state.limit is not None:
             state.limit.record_request(self._read_share(), now)
@@ -263,16 +264,16 @@
             slot_request.ticket,
             offer.target_id,
             offer.failure_probability,
-            granted.expected,
+            grant.expected,
             self._find_pressure(now),
         )
 
-    def _find_ease(self, now: float) -> float:
-        """Return how freely retries may be spent, from 0 for none to 1."""
-        ease = self._retries.find_ease(now)
+    def _find_retry_availability(self, now: float) -> float:
+        """Return the availability of retries, from 0 for none left to 1 for plenty."""
+        retry_availability = self._retries.find_availability(now)
         if not self._policy.scarcity:
-            return 1.0 if ease > 0.0 else 0.0
-        return ease
+            return 1.0 if retry_availability > 0.0 else 0.0
+        return retry_availability
 
     def _start(
         self,
@@ -283,14 +284,14 @@
     ) -> _Grant:
         expected = self._kinds.find_mean(slot_request.kind) * state.find_slowness(now)
         state.record_grant(slot_request.ticket, now)
-        granted = _Grant(slot_request, state.entry.target_id, now, expected, is_retry)
-        self._grants[slot_request.ticket] = granted
-        return granted
+        grant = _Grant(slot_request, state.entry.target_id, now, expected, is_retry)
+        self._grants[slot_request.ticket] = grant
+        return grant
 
     def _apply_outcome(
         self,
         state: pool.TargetState,
-        granted: _Grant | None,
+        grant: _Grant | None,
         report: messages.Report,
         now: float,
     ) -> None:
@@ -298,13 +299,13 @@
             case messages.Outcome.GOOD:
                 state.update_failure_estimate(failed=False, now=now)
                 self._service_level.add(is_served=True, now=now)
-                if granted is not None:
+                if grant is not None:
                     self._update_durations(
-                        state, granted.slot_request.kind, report.duration, now
+                        state, grant.slot_request.kind, report.duration, now
                     )
             case messages.Outcome.FAILED | messages.Outcome.SILENT:
                 state.update_failure_estimate(failed=True, now=now)
-                if granted is None or not granted.slot_request.may_retry:
+                if grant is None or not grant.slot_request.may_retry:
                     self._service_level.add(is_served=False, now=now)
             case messages.Outcome.SHED:
                 state.record_shed(now)
@@ -318,16 +319,16 @@
     def _update_limit(
         self,
         state: pool.TargetState,
-        granted: _Grant | None,
+        grant: _Grant | None,
         rate: float | None,
         now: float,
     ) -> None:
-        """Update the target's rate limit if its answer tells one."""
+        """Update the target's rate limit if its answer states whether it has one."""
         if rate is None:
             return
         if math.isinf(rate):
-            if granted is not None:
-                state.lift_limit(granted.started_at)
+            if grant is not None:
+                state.lift_limit(grant.started_at)
         elif state.limit is None:
             share = self._read_share()
             state.limit = rate_limit.start_rate_limit(rate, now, share, self._rng, now)
@@ -337,12 +338,11 @@
     def _update_durations(
         self, state: pool.TargetState, kind: str, duration: float, now: float
     ) -> None:
-        """Update the duration of the kind of work separately from the target's
-        slowness.
+        """Update the mean duration of the kind of work and the slowness of the target.
 
-        Fast first answers of a new kind reveal nothing about their target: short work,
-        compared with the initial mean, makes targets look far faster than usual, and
-        other work there is then abandoned as overdue.
+        The first answers of a kind that are faster than its initial mean reveal nothing
+        about their target. They would make it look far faster than usual, and other
+        work there would be abandoned as overdue.
         """
         slowness = state.find_slowness(now)
         mean = max(self._kinds.find_mean(kind), MIN_MEAN_S)
@@ -356,7 +356,7 @@
         reason: messages.RefusalReason,
         now: float,
     ) -> messages.Refuse:
-        """Refuse, and spread the returns over the time that the queue needs."""
+        """Refuse a request; spread the returns of callers over the queue's delay."""
         self._service_level.add(is_served=False, now=now)
         pause = max(MIN_RETURN_DELAY_S, self._queue.find_backlog(now))
         return messages.Refuse(
@@ -369,8 +369,8 @@
     def _release_retry(self, queued: waiting.QueuedRequest) -> None:
         """Release the retry of a request that gets no target.
 
-        Load pattern: targets turn work away, and more second attempts are requested
-        than may be sent. Refused ones would use up the retries of others.
+        Load pattern: targets turn work away, and more retries are requested than may be
+        sent. Those that are refused would use up the retries of others.
         """
         if queued.slot_request.attempt > 1:
             self._retries.release()
@@ -380,21 +380,21 @@
     ) -> int:
         """Return the priority of a request in the queue.
 
-        Load pattern: high load, a third of the targets failing. Idempotent work tests
-        targets on behalf of all others, and its second attempt would then wait behind
-        work that has not failed. So it goes one priority up while the queue is short.
-        In a long queue it keeps its priority, or it would crowd out work that may run
-        only once.
+        Load pattern: high load, a third of the targets failing. The first attempt of
+        idempotent work may be a trial of a target, and its retry would wait behind work
+        that has not failed yet. A retry is therefore raised one priority while the
+        queue is short. In a long queue it keeps its priority, since it would displace
+        work that may run only once.
         """
-        goes_up = slot_request.attempt > 1 and self._policy.second_rank
-        if goes_up and self._queue.find_backlog(now) < SHORT_BACKLOG_S:
+        is_raised = slot_request.attempt > 1 and self._policy.second_rank
+        if is_raised and self._queue.find_backlog(now) < SHORT_BACKLOG_S:
             return slot_request.priority - 1
         return slot_request.priority
 
     def _find_pressure(self, now: float) -> float:
-        """Return the requests here for each slot that is proven healthy.
+        """Return the pressure: requests of the shard for each proven healthy slot.
 
-        One request more is counted, so that a shard without any proven slot does not
+        One request is added, so that a shard without any proven healthy slot does not
         look idle.
         """
         slots = self.pool.count_proven_slots(now)
@@ -402,12 +402,12 @@
             waiting.MIN_SLOTS, slots
         )
 
-    def _make_repeated_grant(self, granted: _Grant, now: float) -> messages.Grant:
+    def _make_repeated_grant(self, grant: _Grant, now: float) -> messages.Grant:
         """Return a grant again, since the first message may have been lost."""
         return messages.Grant(
-            granted.slot_request.ticket,
-            granted.target_id,
+            grant.slot_request.ticket,
+            grant.target_id,
             0.0,
-            granted.expected,
+            grant.expected,
             self._find_pressure(now),
         )
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/pool.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/pool.py
@@ -333,7 +333,7 @@
     def find_best(
         self,
         slot_request: messages.SlotRequest,
-        ease: float,
+        retry_availability: float,
         now: float,
         unserved: float = 0.0,
     ) -> Offer | None:
@@ -343,7 +343,7 @@
         ----------
         slot_request : messages.SlotRequest
             The request.
-        ease : float
+        retry_availability : float
             How freely retries may be spent, from 0 for none to 1.
         now : float
             Seconds of a monotonic clock.
@@ -355,7 +355,7 @@
         for state in self._states.values():
             if not state.is_free(now) or state.entry.target_id in slot_request.excluded:
                 continue
-            offer = self._make_offer(state, slot_request, ease, now)
+            offer = self._make_offer(state, slot_request, retry_availability, now)
             if (
                 is_poor
                 and offer.failure_probability <= MAX_HEALTHY_FAILURE_PROBABILITY
@@ -411,7 +411,7 @@
         self,
         state: TargetState,
         slot_request: messages.SlotRequest,
-        ease: float,
+        retry_availability: float,
         now: float,
     ) -> Offer:
         failure_probability = state.find_request_failure_probability(now)
@@ -423,18 +423,18 @@
             cost += DISTANCE_COST
         if state.entry.target_id not in slot_request.connected_targets:
             cost += CONNECTION_COST * self._policy.connection_price
-        if not slot_request.may_retry or ease <= 0.0:
+        if not slot_request.may_retry or retry_availability <= 0.0:
             return Offer(
                 state.entry.target_id, cost + failure_probability, failure_probability
             )
-        cost += (1.0 - (1.0 - RETRY_COST) * ease) * failure_probability
+        cost += (1.0 - (1.0 - RETRY_COST) * retry_availability) * failure_probability
         if (
             slot_request.attempt == 1
             and state.may_be_tried(now)
             and self._policy.trials
         ):
             failing = state.find_failing_probability(now)
-            cost -= TRIAL_GAIN * ease * 4 * failing * (1 - failing)
+            cost -= TRIAL_GAIN * retry_availability * 4 * failing * (1 - failing)
             return Offer(
                 state.entry.target_id, cost, failure_probability, is_trial=True
             )
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/retry_window.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/retry_window.py
@@ -1,11 +1,12 @@
 """Limits the retries of a service to a share of its requests in a sliding window.
 
-The bound holds for the service as a whole and for every window of time: a share of the
-requests of the busiest of three windows (that one, the one before it, and the one
-halfway between them), plus a fixed number. A service may have several dispatchers, one
-after the other or side by side. Each counts the requests it receives and the retries it
-grants, and receives the counts of the others, so that counts outlive the VM that made
-them.
+The bound holds for the service as a whole and for every window of time. The retries in
+a window are at most a share of the requests of the busiest of three windows (that one,
+the one before it, and the one halfway between them), plus a fixed number, the slack.
+
+A service may have several dispatchers, one after the other or side by side. Each counts
+the requests it receives and the retries it grants, and receives the counts of the
+others, so that counts outlive the VM that made them.
 """
 
 from __future__ import annotations
@@ -17,40 +18,40 @@
 import math
 
 RESERVE_SHARE = 0.5
-"""Share of all retries from which on retries become more expensive: those left are for
-requests that fail unexpectedly, not for trials of targets."""
+"""Share of all retries. While fewer are left, trials of targets become more expensive,
+so that the rest remains for requests that fail unexpectedly."""
 
 BUCKETS_PER_WINDOW = 100
 """Buckets of a window in which requests and retries are counted together."""
 
 HALF_WINDOW_BUCKETS = BUCKETS_PER_WINDOW // 2
+
 KEPT_BUCKETS = 2 * BUCKETS_PER_WINDOW
 """Buckets that are kept: retries of a window are allowed by requests of the one
 before."""
 
 RECENT_BUCKETS = 16
-"""Newest buckets that a short update contains; other VMs have received the rest
-before."""
+"""Newest buckets in an update of recent counts; earlier updates contained the rest."""
 
 MIN_SENT_REQUESTS = 10
-"""Requests without any retry from which on a counter's buckets are sent. Omitting fewer
-forgoes the retries that they allow, and avoids sending the counts of every VM that
-once dispatched for itself."""
+"""Requests from which the counts of a counter without any retry are sent. Fewer are not
+worth a datagram: the retries that they allow are forgone, and the counts of every VM
+that once dispatched for itself are not sent."""
 
 
 class CountScope(enum.Enum):
-    """Which counts allow retries."""
+    """Whose counts a retry window uses to allow retries."""
 
     ALL = enum.auto()
     """Counts made here and counts received from others."""
 
     OWN = enum.auto()
-    """Counts made here: this counter decides for its own VM only, and others may grant
-    what the counts of all allow."""
+    """Only counts made here: this counter decides for its own VM alone, and others may
+    grant what the counts of all VMs allow."""
 
     NONE = enum.auto()
-    """No counts: retries may have been granted here that no other VM knows of. Only the
-    slack is left."""
+    """No counts of requests, so that only the slack is left: retries may have been
+    granted that are not known here."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -58,10 +59,10 @@
     """Requests and retries counted in one time slice of a window."""
 
     number: int
-    """Sequence number, meaningful only to its counter."""
+    """Number of the time slice, as its counter numbers them."""
 
     ago: float
-    """Seconds since its start."""
+    """Seconds since the time slice began."""
 
     requests: int
     """Requests received."""
@@ -113,7 +114,7 @@
         self._span = span
         self._counter = counter
         self._newest = 0
-        self._first_sent_number = 0
+        self._first_renumbered = 0
         self._requests = [0] * KEPT_BUCKETS
         self._retries = [0] * KEPT_BUCKETS
         self._reserved = 0
@@ -129,23 +130,27 @@
         self.retries = 0
         """Retries granted here, without those that were refunded."""
         self.resent = 0
-        """Of these, retries that were sent without a reservation."""
+        """Retries granted here that were sent without a reservation."""
         self.refunded = 0
         """Retries that were refunded."""
 
     def set_bounds(self, ratio: float, span: float, now: float) -> None:
-        """Use other bounds from now on; counts are kept."""
+        """Change the bounds; counts are kept."""
         if span != self._span:
             own = self._list_buckets(now, KEPT_BUCKETS)
-            told = [one for parts in self._others.values() for one in parts.values()]
+            counted = [
+                timed_bucket
+                for timed_buckets in self._others.values()
+                for timed_bucket in timed_buckets.values()
+            ]
             self._span = span
             self._newest = self._find_bucket_number(now)
             self._requests, self._retries = self._sum_by_bucket(
-                [(now - part.ago, part) for part in own]
+                [(now - bucket.ago, bucket) for bucket in own]
             )
-            self._received = self._sum_by_bucket(told)
+            self._received = self._sum_by_bucket(counted)
             # Other VMs have these counts under the bucket numbers of the former window.
-            self._first_sent_number = self._newest + 1
+            self._first_renumbered = self._newest + 1
         self._ratio = ratio
         self._headroom = None
 
@@ -156,7 +161,7 @@
         self.requests += 1
 
     def reserve(self, now: float) -> bool:
-        """Reserve a retry for a request that waits; return whether one was left."""
+        """Reserve a retry for a waiting request; return whether there was one left."""
         if self.find_remaining(now) < 1.0:
             return False
         self._reserved += 1
@@ -186,7 +191,7 @@
         self.retries += 1
 
     def refund(self, spent_at: float, now: float) -> None:
-        """Uncount a retry that was counted at `spent_at` and reached no target."""
+        """Undo the count of a retry counted at `spent_at` that reached no target."""
         self._advance_to(now)
         index = self._find_bucket_number(spent_at) - self._newest - 1
         if index >= -KEPT_BUCKETS and self._retries[index] > 0:
@@ -196,7 +201,9 @@
             self._headroom = None
 
     def export_counts(self, now: float, is_whole: bool) -> list[CounterHistory]:
-        """Return the recent counts made here, or all known counts of every counter."""
+        """Return counts to send: recent ones made here or, if `is_whole`, all of every
+        counter.
+        """
         self._advance_to(now)
         self._remove_old(now)
         self.unsent_retries = 0
@@ -205,45 +212,51 @@
                 [(self._counter, self._list_sent_buckets(now, RECENT_BUCKETS))]
             )
         others = [
-            (counter, [dataclasses.replace(part, ago=now - at) for at, part in known])
-            for counter, parts in self._others.items()
-            if (known := parts.values())
+            (
+                counter,
+                [dataclasses.replace(bucket, ago=now - at) for at, bucket in kept],
+            )
+            for counter, timed_buckets in self._others.items()
+            if (kept := timed_buckets.values())
         ]
         return _select_worth_sending(
             [(self._counter, self._list_sent_buckets(now, KEPT_BUCKETS)), *others]
         )
 
     def merge_counts(self, count: CounterHistory, now: float) -> None:
-        """Merge the counts of another counter, from it or from a VM that knows them.
+        """Merge the counts of another counter, received from it or from another VM.
 
         Buckets keep the number that their counter gave them. A bucket received again,
         or from another VM, counts once, with the highest counts received.
         """
-        counter, parts = count
+        counter, buckets = count
         if counter == self._counter:
             return
         self._advance_to(now)
-        known = self._others.setdefault(counter, {})
-        for part in parts:
-            at, before = known.get(part.number, (now - part.ago, EMPTY_BUCKET))
-            requests = max(before.requests, part.requests)
-            retries = max(before.retries, part.retries)
-            known[part.number] = (at, Bucket(part.number, 0.0, requests, retries))
+        kept = self._others.setdefault(counter, {})
+        for bucket in buckets:
+            at, before = kept.get(bucket.number, (now - bucket.ago, EMPTY_BUCKET))
+            requests = max(before.requests, bucket.requests)
+            retries = max(before.retries, bucket.retries)
+            kept[bucket.number] = (at, Bucket(bucket.number, 0.0, requests, retries))
             self._add(at, requests - before.requests, retries - before.retries)
         self._headroom = None
 
-    def find_ease(self, now: float) -> float:
-        """Return how freely retries may be spent: 1 for freely, 0 for none left."""
-        left = self.find_remaining(now)
-        if left < 1.0:
+    def find_availability(self, now: float) -> float:
+        """Return the availability of retries: 1 with plenty left, 0 with none left."""
+        remaining = self.find_remaining(now)
+        if remaining < 1.0:
             return 0.0
-        return min(1.0, left / (RESERVE_SHARE * (left + self._spent + self._reserved)))
+        return min(
+            1.0,
+            remaining / (RESERVE_SHARE * (remaining + self._spent + self._reserved)),
+        )
 
     def find_remaining(self, now: float) -> float:
         """Return how many retries are left.
 
-        Called several times for each request, it sums again only once per bucket.
-        Requests of the newest bucket count from the next one on.
+        The sums are cached until the next bucket begins, since this is called several
+        times for each request. Requests of the newest bucket count from then on.
         """
         self._advance_to(now)
         scope = self._read_count_scope()
@@ -251,8 +264,8 @@
             self._count_scope = scope
             requests, retries = self._requests, self._retries
             if scope is not CountScope.OWN:
-                requests = _add_up(requests, self._received[0])
-                retries = _add_up(retries, self._received[1])
+                requests = _add_counts(requests, self._received[0])
+                retries = _add_counts(retries, self._received[1])
             if scope is CountScope.NONE:
                 requests = [0] * KEPT_BUCKETS
             self._spent = sum(retries[-BUCKETS_PER_WINDOW:])
@@ -262,56 +275,61 @@
     def _find_headroom(self, requests: list[int], retries: list[int]) -> float:
         """Return how many more retries the requests allow.
 
-        Each window that began within the last one may contain them, and must keep to
-        what its requests allow as known now: after a burst, a window that began in the
-        middle of it is allowed less than those before and after. A bucket in which a
-        window may begin or end counts with all its retries and none of its requests.
+        A retry sent now falls into every window that began within the last window's
+        length, and must not exceed the bound of any of them: after a burst, a window
+        that began in the middle of it allows less than those before and after. A bucket
+        in which a window may begin or end counts with all its retries and none of its
+        requests.
         """
-        asked = list(itertools.accumulate(requests, initial=0))
-        spent = list(itertools.accumulate(retries, initial=0))
+        request_sums = list(itertools.accumulate(requests, initial=0))
+        retry_sums = list(itertools.accumulate(retries, initial=0))
         return min(
             self._ratio
             * max(
-                asked[part] - asked[part - BUCKETS_PER_WINDOW + 1],
-                asked[min(part + HALF_WINDOW_BUCKETS, KEPT_BUCKETS)]
-                - asked[part - HALF_WINDOW_BUCKETS + 1],
-                asked[-1] - asked[part + 1],
+                request_sums[begin] - request_sums[begin - BUCKETS_PER_WINDOW + 1],
+                request_sums[min(begin + HALF_WINDOW_BUCKETS, KEPT_BUCKETS)]
+                - request_sums[begin - HALF_WINDOW_BUCKETS + 1],
+                request_sums[-1] - request_sums[begin + 1],
             )
-            - (spent[-1] - spent[part])
-            for part in range(BUCKETS_PER_WINDOW - 1, KEPT_BUCKETS)
+            - (retry_sums[-1] - retry_sums[begin])
+            for begin in range(BUCKETS_PER_WINDOW - 1, KEPT_BUCKETS)
         )
 
     def _remove_old(self, now: float) -> None:
         """Remove buckets of other counters that are too old to count."""
         oldest = now - 2 * self._span
-        for counter, parts in list(self._others.items()):
-            recent = {number: one for number, one in parts.items() if one[0] > oldest}
+        for counter, timed_buckets in list(self._others.items()):
+            recent = {
+                number: timed_bucket
+                for number, timed_bucket in timed_buckets.items()
+                if timed_bucket[0] > oldest
+            }
             if recent:
                 self._others[counter] = recent
             else:
                 del self._others[counter]
 
     def _sum_by_bucket(
-        self, told: collections.abc.Iterable[tuple[float, Bucket]]
+        self, counted: collections.abc.Iterable[tuple[float, Bucket]]
     ) -> tuple[list[int], list[int]]:
         """Return the sums of requests and retries by bucket of this window.
 
-        `told` holds buckets, each with the time of its start.
+        `counted` holds buckets, each with the time at which it began.
         """
         before, self._received = (
             self._received,
             ([0] * KEPT_BUCKETS, [0] * KEPT_BUCKETS),
         )
-        for at, part in told:
-            self._add(at, part.requests, part.retries)
-        arranged, self._received = self._received, before
-        return arranged
+        for at, bucket in counted:
+            self._add(at, bucket.requests, bucket.retries)
+        sums, self._received = self._received, before
+        return sums
 
     def _add(self, at: float, requests: int, retries: int) -> None:
         """Add the counts of a bucket of another counter that began at `at`.
 
-        It overlaps two buckets here. Its retries go to the later one, and so count for
-        each window that may contain them.
+        It overlaps two buckets of this window. Its retries count in the later one, and
+        thus for each window that may contain them.
         """
         index = self._find_bucket_number(at) - self._newest + KEPT_BUCKETS - 1
         if 0 <= index < KEPT_BUCKETS:
@@ -332,44 +350,47 @@
         ]
 
     def _list_sent_buckets(self, now: float, count: int) -> list[Bucket]:
-        """Return the newest buckets that others know by their present numbers."""
-        parts = self._list_buckets(now, count)
-        return [part for part in parts if part.number >= self._first_sent_number]
+        """Return the newest buckets that were not sent under other numbers before."""
+        buckets = self._list_buckets(now, count)
+        return [bucket for bucket in buckets if bucket.number >= self._first_renumbered]
 
     def _find_bucket_number(self, at: float) -> int:
         return math.floor(at * BUCKETS_PER_WINDOW / self._span)
 
     def _advance_to(self, now: float) -> None:
         """Start the buckets that have begun since the last call."""
-        passed = self._find_bucket_number(now) - self._newest
-        if passed <= 0:
+        elapsed_buckets = self._find_bucket_number(now) - self._newest
+        if elapsed_buckets <= 0:
             return
-        self._newest += passed
+        self._newest += elapsed_buckets
         self._headroom = None
-        self._requests = _shift(self._requests, passed)
-        self._retries = _shift(self._retries, passed)
+        self._requests = _shift(self._requests, elapsed_buckets)
+        self._retries = _shift(self._retries, elapsed_buckets)
         requests, retries = self._received
-        self._received = _shift(requests, passed), _shift(retries, passed)
+        self._received = (
+            _shift(requests, elapsed_buckets),
+            _shift(retries, elapsed_buckets),
+        )
 
 
-def _add_up(counts: list[int], others: list[int]) -> list[int]:
+def _add_counts(counts: list[int], others: list[int]) -> list[int]:
     """Return the sums of two counts by bucket."""
-    return [one + other for one, other in zip(counts, others, strict=True)]
+    return [first + second for first, second in zip(counts, others, strict=True)]
 
 
-def _shift(counts: list[int], passed: int) -> list[int]:
-    """Return bucket counts as they stand `passed` buckets later."""
-    passed = min(passed, KEPT_BUCKETS)
-    return [*counts[passed:], *[0] * passed]
+def _shift(counts: list[int], elapsed_buckets: int) -> list[int]:
+    """Return bucket counts as they stand `elapsed_buckets` buckets later."""
+    elapsed_buckets = min(elapsed_buckets, KEPT_BUCKETS)
+    return [*counts[elapsed_buckets:], *[0] * elapsed_buckets]
 
 
 def _select_worth_sending(
     counts: list[tuple[str, list[Bucket]]],
 ) -> list[CounterHistory]:
-    """Return the counts that are worth sending."""
+    """Return the counters with retries or at least `MIN_SENT_REQUESTS` requests."""
     return [
-        (counter, tuple(parts))
-        for counter, parts in counts
-        if any(part.retries for part in parts)
-        or sum(part.requests for part in parts) >= MIN_SENT_REQUESTS
+        (counter, tuple(buckets))
+        for counter, buckets in counts
+        if any(bucket.retries for bucket in buckets)
+        or sum(bucket.requests for bucket in buckets) >= MIN_SENT_REQUESTS
     ]
