--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/dispatcher.py
@@ -244,7 +244,7 @@
             slot_request,
             retry_availability,
             now,
-            self._service_level.find_unserved(now),
+            self._service_level.find_unserved_share(now),
         )
         if offer is None or self._queue.should_wait(
             queued, offer, retry_availability, now
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/failure_estimates.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/failure_estimates.py
@@ -5,7 +5,7 @@
 change between the two states (a two-state hidden Markov model; Rabiner, 1989, "A
 tutorial on hidden Markov models"). Each outcome updates the probability by Bayes' rule;
 without outcomes it decays towards the usual share of time spent failing. The rates are
-learned at run time, since deployments differ.
+learned at run time, since deployments differ in them.
 """
 
 from __future__ import annotations
@@ -13,37 +13,37 @@
 import math
 
 FAILING_THRESHOLD = 0.7
-"""Probability above which a target counts as failing when rates are learned."""
+"""Failing probability above which a target counts as failing when rates are learned."""
 
 HEALTHY_THRESHOLD = 0.25
-"""Probability below which a target counts as healthy when rates are learned."""
+"""Failing probability below which a target counts as healthy when rates are learned."""
 
 NEW_TARGET_FAILING_PROBABILITY = 0.1
-"""Initial probability that a target which joins a running service is failing. Low,
-since a new process is more often healthy than a target picked at random, and a target
-that gets no requests contributes nothing."""
+"""Initial probability that a target which joins a running service is failing. It is
+low, since a new process is more often healthy than a target picked at random, and a
+target that gets no requests contributes nothing."""
 
 
 class FailureRates:
     """How targets of a service fail and recover, learned from outcomes.
 
-    Each rate starts from a prior that weighs as much as a few events, so that the prior
-    governs the first minute of a new deployment and observations govern the rest.
+    Each rate starts from a prior that weighs as much as a few events: it dominates in
+    the first minute of a new deployment, and observations dominate from then on.
     """
 
     def __init__(self) -> None:
         # Priors: one onset in 12 s of healthy time, one recovery in 3 s of failing
         # time.
-        self._onsets, self._good_time = 3.0, 36.0
+        self._onsets, self._healthy_time = 3.0, 36.0
         self._recoveries, self._failing_time = 3.0, 9.0
         # Priors: a failing target fails three of four requests, a healthy one 1 in 100.
         self._failed_failing, self._all_failing = 3.0, 4.0
-        self._failed_good, self._all_good = 0.5, 50.0
+        self._failed_healthy, self._all_healthy = 0.5, 50.0
 
     @property
     def onset_per_s(self) -> float:
         """Changes from healthy to failing, per second."""
-        return self._onsets / self._good_time
+        return self._onsets / self._healthy_time
 
     @property
     def recovery_per_s(self) -> float:
@@ -61,16 +61,16 @@
         return min(0.98, self._failed_failing / self._all_failing)
 
     @property
-    def fails_when_good(self) -> float:
+    def fails_when_healthy(self) -> float:
         """Share of requests that a healthy target fails."""
-        return min(0.2, self._failed_good / self._all_good)
+        return min(0.2, self._failed_healthy / self._all_healthy)
 
     def add_time(self, seconds: float, is_failing: bool) -> None:
         """Add time in seconds that a target spent in a state."""
         if is_failing:
             self._failing_time += seconds
         else:
-            self._good_time += seconds
+            self._healthy_time += seconds
 
     def add_change(self, is_failing: bool) -> None:
         """Count a change to the given state."""
@@ -80,13 +80,13 @@
             self._recoveries += 1
 
     def add_outcome(self, failing_probability: float, failed: bool) -> None:
-        """Count an outcome if it is clear whether the target is failing."""
+        """Count an outcome if the target is clearly failing or clearly healthy."""
         if failing_probability > FAILING_THRESHOLD:
             self._all_failing += 1
             self._failed_failing += failed
         elif failing_probability < HEALTHY_THRESHOLD:
-            self._all_good += 1
-            self._failed_good += failed
+            self._all_healthy += 1
+            self._failed_healthy += failed
 
 
 class FailureEstimate:
@@ -114,7 +114,7 @@
         self._was_failing = False
 
     @property
-    def failing_time(self) -> float:
+    def mean_failure_duration(self) -> float:
         """Mean duration of a failure of this service's targets, in seconds."""
         return 1.0 / self._rates.recovery_per_s
 
@@ -133,7 +133,8 @@
         failing = self.find_failing_probability(now)
         rates = self._rates
         return (
-            failing * rates.fails_when_failing + (1 - failing) * rates.fails_when_good
+            failing * rates.fails_when_failing
+            + (1 - failing) * rates.fails_when_healthy
         )
 
     def record_outcome(self, failed: bool, now: float) -> None:
@@ -142,16 +143,16 @@
         rates = self._rates
         rates.add_outcome(prior, failed)
         if failed:
-            bad, good = rates.fails_when_failing, rates.fails_when_good
+            bad, good = rates.fails_when_failing, rates.fails_when_healthy
         else:
-            bad, good = 1 - rates.fails_when_failing, 1 - rates.fails_when_good
+            bad, good = 1 - rates.fails_when_failing, 1 - rates.fails_when_healthy
         posterior = prior * bad / (prior * bad + (1 - prior) * good)
         self._learn(posterior, now)
         self._failing = posterior
         self._at = max(self._at, now)
 
     def set_failing_probability(self, failing: float, now: float) -> None:
-        """Set the probability to the estimate of another VM."""
+        """Replace the probability by the estimate of another VM."""
         self._failing = failing
         self._at = now
 
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/pool.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/pool.py
@@ -1,15 +1,15 @@
 """The targets of one shard as their dispatcher sees them, and the cost of each.
 
 The cost of a target for a request is the expected loss from choosing it, in units of
-one failed request: the probability that it fails, the probability that it answers late,
-and a little for its load. Failures, slowness and load are thus weighed against each
-other in a single figure.
+one failed request. It sums the probability that the target fails the request, the
+weighted probability that the answer is late, and smaller terms for load, distance and a
+new connection. A single figure thus compares failures, slowness and load.
 
 Load pattern: some targets fail most requests for seconds and answer them faster than
-any other, so they look idle. Choosing the least busy target feeds them. Choosing the
-target least likely to fail keeps work that may run only once on a few proven healthy
-targets, and only as much of it as they have slots for; idempotent work, which can be
-retried, goes to the targets that may be failing and tests them.
+any other, so they look idle. A policy that chooses the least busy target sends most
+requests to them. Choosing the cheapest target keeps work that may run only once on
+targets that are proven healthy. Idempotent work, which can be retried, also goes to
+targets that may be failing, and so tests them.
 """
 
 from __future__ import annotations
@@ -22,28 +22,30 @@
 from . import failure_estimates, mechanisms, messages, rate_limit, work_times
 
 LATE_COST = 0.2
-"""Cost of a late answer against a failed one. A late answer still serves its caller;
-operators grant it a tenth to a third of the credit, a failed one none."""
+"""Cost of a late answer relative to a failed one. A late answer still serves its
+caller: operators grant it a tenth to a third of the credit, and none for a failed
+one."""
 
 RETRY_COST = 0.12
-"""Cost of a failed attempt at idempotent work, which is retried: the duration of the
-attempt, and one retry of the service's budget while there are plenty. It rises to that
-of a failed request as the budget runs out."""
+"""Cost of a failed attempt at idempotent work while plenty of retries are left: the
+duration of the attempt and one retry of the service's budget. It rises to the cost of a
+failed request as the budget runs out."""
 
 LOAD_COST = 0.04
-"""Cost of a full target against an idle one: targets slow down when nearly full."""
+"""Cost of a full target relative to an idle one: targets slow down when nearly full."""
 
 CONNECTION_COST = 0.03
-"""Cost of a new connection against an idle one. Opening it takes a round trip and part
-of a slot, and targets accept a bounded number from all VMs."""
+"""Cost of a new connection relative to reusing an idle one. Opening it takes a round
+trip and part of a slot, and targets accept a limited number from all VMs."""
 
 DISTANCE_COST = 0.02
-"""Cost of another data centre: a few kilobytes between them and half a millisecond."""
+"""Cost of a target in another data centre: a few kilobytes of traffic between data
+centres and half a millisecond."""
 
 TRIAL_GAIN = 0.08
-"""Value of learning, by idempotent work, about a target that is equally likely to be
-failing or healthy. Against the cost of a retry it lets a failing target be tried again
-once its failing probability has decayed to about two thirds."""
+"""Value of a trial, by idempotent work, of a target that is equally likely to be
+failing or healthy. Weighed against the cost of a retry, it lets a failing target be
+tried again once its failing probability has decayed to about two thirds."""
 
 TRIAL_INTERVAL_SHARE = 0.06
 """Interval between two trials of one target, as a share of the mean duration of a
@@ -55,19 +57,20 @@
 MAX_TRIAL_INTERVAL_S = 1.0
 """Maximum seconds between two trials of a target."""
 
-MIN_POOR_UNSERVED_SHARE = 0.04
-"""Share of requests not served from which idle targets that are probably healthy are
-given some work. Kept on the few targets proven last, work leaves healthy targets idle
-while callers get failures."""
+MIN_UNSERVED_SHARE = 0.04
+"""Share of requests not served from which idle targets that are probably healthy get
+some work. Otherwise all work would stay on the few targets that were proven healthy
+last, and other healthy targets would be idle while callers get failures."""
 
 IDLE_AFTER_S = 1.0
 """Seconds without a new grant after which a target counts as idle."""
 
 IDLE_GAIN = 0.25
-"""Value of learning about an idle target while too many requests are not served."""
+"""Value of learning about an idle target while too many requests are not served, in
+the unit of costs."""
 
 COLD_SLOWNESS = 2.0
-"""Slowness factor assumed for a target until it reports that it has warmed up."""
+"""Factor by which the slowness of a target is multiplied until it has warmed up."""
 
 MAX_HEALTHY_FAILURE_PROBABILITY = 0.3
 """Failure probability of a request above which a target does not count as proven
@@ -82,8 +85,8 @@
 """Seconds for which a target that several VMs cannot reach gets no work."""
 
 MISPLACED_PAUSE_S = 3.0
-"""Seconds for which a target whose address another target has gets no work; by then its
-own entry has been removed, or it has registered its new address."""
+"""Seconds for which a target gets no work after another target answered at its address.
+By then its entry has been removed, or it has registered its new address."""
 
 MIN_UNREACHABLE_VMS = 2
 """VMs that must fail to connect before a target counts as unreachable for all. A single
@@ -91,16 +94,16 @@
 
 SUMMARY_CACHE_S = 0.05
 """Seconds for which sums over all targets are cached. They change slowly, and computing
-them for each slot request would take much of a busy dispatcher's processor."""
+them for each slot request would take much of a busy dispatcher's processor time."""
 
 ESTIMATE_CACHE_S = 0.05
 """Seconds for which the estimates of a target are cached while there is no new
 observation; they decay by less than a hundredth in that time."""
 
 ON_TIME_SHARE = 0.6
-"""Share of the time left to the objective below which the mean duration of work makes
-an answer surely on time; beyond twice that share it is surely late. Durations spread by
-a factor of about two around their mean."""
+"""Mean duration of work, as a share of the time left to the objective, up to which an
+answer counts as certainly on time; from twice that share on, it counts as certainly
+late. Durations spread by a factor of about two around their mean."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -117,11 +120,11 @@
     """Probability that it fails the request."""
 
     is_trial: bool = False
-    """Whether the request tests the target on behalf of others."""
+    """Whether the request would be a trial of the target."""
 
 
 class TargetState:
-    """What the dispatcher knows of one target.
+    """State and estimates of one target.
 
     Parameters
     ----------
@@ -158,7 +161,7 @@
         self._slowness = 1.0
 
     def is_free(self, now: float) -> bool:
-        """Return whether it has a slot for one more request."""
+        """Return whether it can take one more request now."""
         if self.limit is not None and not self.limit.allows_request(now):
             return False
         return len(self.tickets) < self.entry.slots and now >= self._paused_until
@@ -166,25 +169,25 @@
     def lift_limit(self, sent_at: float) -> None:
         """Lift the limit, as the answer to a request sent at `sent_at` announces none.
 
-        Answers come from many VMs and may arrive in another order. So a limit is lifted
-        only by a request that was sent after it was last announced.
+        Reports come from many VMs and may arrive out of order. A limit is therefore
+        lifted only by a request that was sent after it was last announced.
         """
         if self.limit is None or sent_at >= self.limit.announced_at:
             self.limit = None
             self._unlimited_at = max(self._unlimited_at, sent_at)
 
     def may_have_limit(self, announced_at: float) -> bool:
-        """Return whether a limit that was announced then may still hold."""
+        """Return whether a limit announced at that time may still be in force."""
         return self.limit is None and announced_at > self._unlimited_at
 
     def count_working_slots(self, mean: float) -> float:
-        """Return the slots it can use for work of this mean duration in seconds."""
+        """Return its slots that work of this mean duration in seconds can use."""
         if self.limit is None:
             return self.entry.slots
         return min(self.entry.slots, self.limit.rate * mean)
 
     def is_usable(self, now: float) -> bool:
-        """Return whether it can be expected to accept work soon."""
+        """Return whether it accepts work now or after a short pause."""
         return now >= self._paused_until or self._paused_until - now <= SHED_PAUSE_S
 
     def find_request_failure_probability(self, now: float) -> float:
@@ -198,7 +201,7 @@
         return self._failing_probability
 
     def find_slowness(self, now: float) -> float:
-        """Return how many times longer than usual it takes."""
+        """Return how many times longer than usual its work takes."""
         self._update_estimates(now)
         return self._slowness
 
@@ -250,7 +253,7 @@
 
     def record_trial(self, now: float) -> None:
         """Record that a request was sent to test it."""
-        pause = TRIAL_INTERVAL_SHARE * self.failure_estimate.failing_time
+        pause = TRIAL_INTERVAL_SHARE * self.failure_estimate.mean_failure_duration
         self._trial_at = now + min(
             MAX_TRIAL_INTERVAL_S, max(MIN_TRIAL_INTERVAL_S, pause)
         )
@@ -266,8 +269,10 @@
     def record_unreachable(self, vm: str, now: float) -> None:
         """Record that a VM could not connect to it."""
         self._unreachable_until[vm] = now + UNREACHABLE_PAUSE_S
-        recent = [one for one, at in self._unreachable_until.items() if at > now]
-        if len(recent) >= MIN_UNREACHABLE_VMS:
+        recent_vms = [
+            name for name, until in self._unreachable_until.items() if until > now
+        ]
+        if len(recent_vms) >= MIN_UNREACHABLE_VMS:
             self._paused_until = now + UNREACHABLE_PAUSE_S
             self._unreachable_until.clear()
 
@@ -300,10 +305,10 @@
         self, entries: collections.abc.Iterable[targets.Entry], now: float
     ) -> None:
         """Replace the set of targets."""
-        fresh: dict[str, TargetState] = {}
-        # A dispatcher that starts knows nothing of any target. Treating them all as new
-        # processes would send its first requests to many instead of the few that
-        # answered.
+        states: dict[str, TargetState] = {}
+        # The first targets of a new dispatcher are not new processes. Their estimate
+        # for new processes would send its first requests to many targets instead of the
+        # few that have answered.
         failing = (
             failure_estimates.NEW_TARGET_FAILING_PROBABILITY
             if self._states
@@ -314,8 +319,8 @@
             if state is None or state.entry.born != entry.born:
                 state = TargetState(entry, self.rates, now, failing)
             state.entry = entry
-            fresh[entry.target_id] = state
-        self._states = fresh
+            states[entry.target_id] = state
+        self._states = states
         self._summed_until = 0.0
 
     def find(self, target_id: str) -> TargetState | None:
@@ -344,20 +349,20 @@
         slot_request : messages.SlotRequest
             The request.
         retry_availability : float
-            How freely retries may be spent, from 0 for none to 1.
+            Availability of retries, from 0 for none left to 1 for plenty.
         now : float
             Seconds of a monotonic clock.
         unserved : float
             Share of recent requests that were not served.
         """
-        is_poor = unserved >= MIN_POOR_UNSERVED_SHARE and self._policy.idle_work
+        has_many_unserved = unserved >= MIN_UNSERVED_SHARE and self._policy.idle_work
         best: Offer | None = None
         for state in self._states.values():
             if not state.is_free(now) or state.entry.target_id in slot_request.excluded:
                 continue
             offer = self._make_offer(state, slot_request, retry_availability, now)
             if (
-                is_poor
+                has_many_unserved
                 and offer.failure_probability <= MAX_HEALTHY_FAILURE_PROBABILITY
                 and state.is_idle(now)
             ):
@@ -379,8 +384,8 @@
     def find_capacity(self, now: float) -> float:
         """Return the working slots, each weighted by its target's speed and success.
 
-        Targets that may be failing count only if there are no others: work waits for
-        targets that are proven healthy, so only they empty the queue.
+        Targets that are not proven healthy count only if no others have capacity: work
+        waits for proven healthy targets, so only these shorten the queue.
         """
         self._update_sums(now)
         return self._capacity
@@ -441,11 +446,12 @@
         return Offer(state.entry.target_id, cost, failure_probability)
 
 
-def _find_lateness(expected: float, left: float) -> float:
+def _find_lateness(expected: float, time_left: float) -> float:
     """Return the probability that work is late.
 
-    `expected` is its mean duration and `left` the time to its objective, in seconds.
+    `expected` is its mean duration and `time_left` the time to its objective, both in
+    seconds.
     """
-    if left <= 0:
+    if time_left <= 0:
         return 1.0
-    return min(1.0, max(0.0, expected / (ON_TIME_SHARE * left) - 1.0))
+    return min(1.0, max(0.0, expected / (ON_TIME_SHARE * time_left) - 1.0))
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/rate_limit.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/rate_limit.py
@@ -1,9 +1,8 @@
 """Paces the requests to a target that announces a rate limit.
 
-Such a target is overloaded, and the requests of all VMs count together against its
-limit. The dispatcher of its shard sees all of them. Where several dispatchers are
-active for a time, because VMs do not hear each other or a task moves, each takes a
-share.
+The requests of all VMs together count against the limit, and the dispatcher of the
+shard sees all of them. While several dispatchers are active, because VMs cannot reach
+each other or a shard passes to another VM, each uses a share of the limit.
 """
 
 from __future__ import annotations
@@ -11,16 +10,16 @@
 import random
 
 BURST_S = 0.5
-"""Seconds by which requests may come before they are due: the requests of a service
+"""Seconds by which requests may be sent before they are due. The requests of a service
 arrive in bursts, and strict pacing would give a target less than it accepts."""
 
 MIN_RATE_PER_S = 0.1
-"""Minimum rate to a target: without any requests, nobody would learn that its limit has
-been lifted."""
+"""Minimum rate to a target. Without any request, no answer could announce that its
+limit is lifted."""
 
 OTHER_DISPATCHER_TIMEOUT_S = 1.5
-"""Seconds for which another dispatcher counts after its last message. Each dispatcher
-sends one to all others every second."""
+"""Seconds after its last message for which another dispatcher gets a share of the
+limit. Each dispatcher sends a message to all others every second."""
 
 
 class RateLimit:
@@ -60,7 +59,7 @@
         self.announced_at = now
 
     def allows_request(self, now: float) -> bool:
-        """Return whether a request may go to the target."""
+        """Return whether a request may be sent to the target."""
         return now >= self._due_at - BURST_S
 
     def record_request(self, share: float, now: float) -> None:
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/service_level.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/service_level.py
@@ -8,7 +8,7 @@
 """Seconds in which the weight of a request decays by a factor of e."""
 
 MIN_REQUESTS = 5.0
-"""Weighted requests below which no share is reported."""
+"""Sum of weights of requests below which the share counts as 0."""
 
 
 class ServiceLevel:
@@ -27,14 +27,14 @@
         else:
             self._unserved += 1.0
 
-    def find_unserved(self, now: float) -> float:
+    def find_unserved_share(self, now: float) -> float:
         """Return the share not served; 0 while there are too few requests."""
         self._decay(now)
-        seen = self._served + self._unserved
-        return self._unserved / seen if seen >= MIN_REQUESTS else 0.0
+        total = self._served + self._unserved
+        return self._unserved / total if total >= MIN_REQUESTS else 0.0
 
     def _decay(self, now: float) -> None:
-        kept = math.exp(-max(0.0, now - self._updated_at) / DECAY_TIME_S)
-        self._served *= kept
-        self._unserved *= kept
+        decay = math.exp(-max(0.0, now - self._updated_at) / DECAY_TIME_S)
+        self._served *= decay
+        self._unserved *= decay
         self._updated_at = max(self._updated_at, now)
--- a/tests/dispatch/test_beliefs.py
+++ b/tests/dispatch/test_failure_estimates.py
@@ -49,7 +49,7 @@
             is_failing = (now + start) % 10.0 < 1.0
             estimate.record_outcome(failed=is_failing, now=now)
     assert rates.fails_when_failing > 0.9
-    assert rates.fails_when_good < 0.02
+    assert rates.fails_when_healthy < 0.02
     assert 0.7 < rates.recovery_per_s < 1.4
     assert 0.07 < rates.onset_per_s < 0.16
 
