--- a/packages/zinniastand-core/src/zinniastand_core/deployment/configuration.py
+++ b/packages/zinniastand-core/src/zinniastand_core/deployment/configuration.py
@@ -32,13 +32,13 @@
     """Prefix of the request paths; begins and ends with a slash."""
 
     work: services.Work
-    """Whether the work may run more than once."""
+    """Whether the work is idempotent and may run more than once."""
 
     time_limit: float
     """Seconds after which a caller gets a final answer, whatever the attempts did."""
 
     objective: float
-    """Seconds within which an answer counts as in time."""
+    """Seconds within which an answer counts as on time."""
 
     max_attempts: int
     """Upper limit of targets that one request may be sent to."""
@@ -101,9 +101,8 @@
 class ConfigurationState:
     """The newest configuration that this process has seen.
 
-    A peer that was cut off, or a stale page of the store, may offer an older version
-    later. Accepting it would restore removed routes, so only a higher version is ever
-    accepted.
+    A peer that was cut off, or a stale page of the store, may offer an older version.
+    Accepting it would restore removed routes, so only higher versions are accepted.
     """
 
     def __init__(self) -> None:
@@ -120,7 +119,7 @@
         return self._current.version if self._current else 0
 
     def offer(self, candidate: Configuration) -> bool:
-        """Accept a configuration if its version is higher; return whether it was."""
+        """Accept a configuration if its version is higher; return whether it is."""
         if candidate.version <= self.version:
             return False
         self._current = candidate
--- a/packages/zinniastand-core/src/zinniastand_core/deployment/routing.py
+++ b/packages/zinniastand-core/src/zinniastand_core/deployment/routing.py
@@ -21,7 +21,7 @@
         self._routes_by_host: dict[str, list[configuration.Route]] = (
             collections.defaultdict(list)
         )
-        for route in sorted(routes, key=lambda one: -len(one.path_prefix)):
+        for route in sorted(routes, key=lambda each: -len(each.path_prefix)):
             self._routes_by_host[route.host].append(route)
 
     def find(self, host: str, path: str) -> configuration.Route | None:
@@ -45,10 +45,10 @@
     """Spreads the requests of a route over its services by their weights.
 
     Random draws would deviate too far: over 300 requests, the count of a service with
-    10% would at times be off by a fifth. Instead, each VM sends every request to the
-    service that lags furthest behind its share, which keeps each VM within one request
-    of its due share. A random start keeps the VMs of a fleet from sending their first
-    requests to the same service.
+    10% would at times be off by a fifth. Instead, each VM sends the next request to the
+    service that is furthest behind its share, and so stays within one request of each
+    share. A random start keeps the VMs of a fleet from sending their first requests to
+    the same service.
 
     Parameters
     ----------
@@ -106,14 +106,14 @@
     def apply(self, current: configuration.Configuration) -> None:
         """Use the routes of a configuration from now on.
 
-        A route that is unchanged keeps its position among its services.
+        A route whose services and weights are unchanged continues its round-robin.
         """
         self._table = RouteTable(current.routes)
         current_keys = {
             (route.name, route.weighted_services) for route in current.routes
         }
         self._round_robins = {
-            key: one for key, one in self._round_robins.items() if key in current_keys
+            key: kept for key, kept in self._round_robins.items() if key in current_keys
         }
 
     def find(self, host: str, path: str) -> configuration.Route | None:
--- a/packages/zinniastand-core/src/zinniastand_core/deployment/targets.py
+++ b/packages/zinniastand-core/src/zinniastand_core/deployment/targets.py
@@ -9,22 +9,23 @@
 from . import positions
 
 LEASE_LAPSE_SHARE = 0.34
-"""Share of a service's targets above which removals at the same moment count as expired
-leases in the store and not as targets that leave; a release or a scale-in removes a few
-at a time."""
+"""Share of a service's targets above which removals at the same moment count as a lapse
+of leases in the store and not as targets that leave. A release or a scale-in removes
+only a few at a time."""
 
 LEASE_LAPSE_GRACE_S = 1.2
-"""Seconds for which targets that were removed together stay in use. Two seconds after a
-target has left it may get no requests, and the removal needs time to reach all VMs."""
+"""Seconds for which targets that were removed together stay in use. A target that has
+left may get no requests after two seconds, and the removal needs time to reach all
+VMs."""
 
 REWRITE_GRACE_S = 1.8
-"""Seconds for which targets stay in use that are missing from a store restored from an
-older copy. Running ones register again with their next heartbeat, and a target that has
-left may get no requests after two seconds."""
+"""Seconds for which targets that are missing from a store restored from an older copy
+stay in use. Running targets register again with their next heartbeat, and a target that
+has left may get no requests after two seconds."""
 
 MAX_REMOVED_ENTRIES = 4096
-"""Upper limit of removed targets whose last entry is kept, since a store restored from
-a copy may list them again."""
+"""Upper limit of removed targets whose last entry is kept. It is needed because a store
+restored from a copy may list them again."""
 
 
 class Phase(enum.StrEnum):
@@ -64,7 +65,7 @@
 
     born: int
     """Start time of this incarnation, in Unix milliseconds of the target's own clock;
-    0 if it isn't stated."""
+    0 if it is not stated."""
 
     cold_until: float
     """Time until which it is slow after its start, in seconds of the reader's clock."""
@@ -73,7 +74,7 @@
     """Position of the entry among all entries ever written; see `positions`."""
 
     sequence: int = 0
-    """Number of the entry among those that this incarnation has written."""
+    """Sequence number of the entry among those that this incarnation has written."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -91,11 +92,11 @@
 
 
 class Registry:
-    """Known targets, with the removals that are not final yet.
+    """Known targets, including removed ones that stay in use for a grace time.
 
     Changes come from the store and from peers, which read it at different times. A
-    change applies only if its position is higher than that of the latest one for the
-    same target, so that a stale page or a slow peer can't restore a target that has
+    change applies only if its position is higher than that of the latest change for the
+    same target, so that a stale page or a slow peer cannot restore a target that has
     left.
     """
 
@@ -116,14 +117,14 @@
     def list_registered(self) -> list[Entry]:
         """Return all entries except those that are kept only for a grace time.
 
-        Their targets have vanished and stay in use briefly in case they register
-        again. Another VM that received such an entry would not receive its removal
-        and would keep it.
+        The targets of the latter have vanished, and stay in use briefly in case they
+        register again. Another VM that received such an entry would not receive its
+        removal and would keep it.
         """
         return [
-            one
-            for one in self._entries.values()
-            if one.target_id not in self._grace_ends
+            each
+            for each in self._entries.values()
+            if each.target_id not in self._grace_ends
         ]
 
     def find(self, target_id: str) -> Entry | None:
@@ -147,7 +148,7 @@
     def apply(
         self, changes: collections.abc.Iterable[Change], now: float
     ) -> list[Change]:
-        """Apply changes; return those that are more than a heartbeat."""
+        """Apply changes; return those that change more than a heartbeat does."""
         removals: list[Removal] = []
         effective: list[Change] = []
         for change in changes:
@@ -170,7 +171,7 @@
         Returns
         -------
         list of Change
-            Changes that are more than a heartbeat.
+            Changes that change more than a heartbeat does.
         """
         listed = list(entries)
         listed_ids = {entry.target_id for entry in listed}
@@ -178,80 +179,86 @@
             Removal(name, position) for name in self._entries if name not in listed_ids
         ]
         if positions.find_era(position) > positions.find_era(self._listing_end):
-            # Targets that still run write the entries that the store has lost again.
+            # Running targets write again the entries that the store has lost.
             for removal in missing:
                 self._grace_ends.setdefault(removal.target_id, now + REWRITE_GRACE_S)
             missing = []
-        # Entries of the listing have positions below its end, and still apply.
+        # Entries of the listing apply although their positions are below its end.
         self._listing_end = 0
         effective = self.apply([*listed, *missing], now)
         self._listing_end = position
         return effective
 
     def remove_misplaced(self, target_id: str) -> None:
-        """Drop a target at whose address another target answered."""
+        """Remove a target at whose address another target answered."""
         self._entries.pop(target_id, None)
 
     def _store_entry(self, entry: Entry) -> bool:
         if self._is_outdated(entry):
             return False
-        known = self._entries.get(entry.target_id)
+        stored = self._entries.get(entry.target_id)
         # A delayed heartbeat may arrive after its target has restarted.
-        if known is not None and entry.born < known.born:
+        if stored is not None and entry.born < stored.born:
             return False
         self._grace_ends.pop(entry.target_id, None)
         self._removed.pop(entry.target_id, None)
         self._entries[entry.target_id] = entry
-        return known is None or _changes_state(known, entry)
+        return stored is None or _changes_state(stored, entry)
 
     def _is_outdated(self, entry: Entry) -> bool:
-        """Return whether an entry of a later era is older than the known one.
+        """Return whether an entry of a later era is older than the last one applied.
 
         A store that is restored from a copy lists what its targets wrote before the
-        copy was made, so that a target that has left since would become ready again.
-        Within an era, the position of entries decides.
+        copy was made. A target that has left since would become ready again. Within an
+        era, the position of entries decides.
         """
         current = self._entries.get(entry.target_id)
-        known = current or self._removed.get(entry.target_id)
-        if known is None or entry.born != known.born:
+        latest = current or self._removed.get(entry.target_id)
+        if latest is None or entry.born != latest.born:
             return False
-        if positions.find_era(entry.position) <= positions.find_era(known.position):
+        if positions.find_era(entry.position) <= positions.find_era(latest.position):
             return False
-        # A target in use may write the same entry again; a removed one has left.
-        is_repeat = current is not None and entry.sequence == known.sequence
-        return entry.sequence <= known.sequence and not is_repeat
+        # A target in use may write the same entry again; a removed target has left.
+        is_repeat = current is not None and entry.sequence == latest.sequence
+        return entry.sequence <= latest.sequence and not is_repeat
 
     def _remove(self, removals: list[Removal], now: float) -> list[Change]:
         """Remove targets, after a grace time if many vanish at the same moment.
 
         While the store is unavailable, the leases of running targets expire, and all
         targets of a service may vanish at once although they still serve. Refusing all
-        requests until they have registered again would cost seconds of service. A
-        target that has really left is still dropped before it may get no more requests.
+        requests until they have registered again would cost seconds of service. The
+        grace time ends before a target that has really left may get no more requests.
         """
         removed: list[Change] = []
-        known = [one for one in removals if one.target_id in self._entries]
-        for one in known:
-            entry = self._entries[one.target_id]
+        applicable = [
+            vanishing for vanishing in removals if vanishing.target_id in self._entries
+        ]
+        for vanishing in applicable:
+            entry = self._entries[vanishing.target_id]
             self._keep_removed(entry)
-            removed.append(one)
+            removed.append(vanishing)
             if entry.phase is Phase.READY and self._is_lease_lapse(
-                entry.service, known
+                entry.service, applicable
             ):
-                self._grace_ends.setdefault(one.target_id, now + LEASE_LAPSE_GRACE_S)
+                self._grace_ends.setdefault(
+                    vanishing.target_id, now + LEASE_LAPSE_GRACE_S
+                )
             else:
-                del self._entries[one.target_id]
+                del self._entries[vanishing.target_id]
         return removed
 
     def _keep_removed(self, entry: Entry) -> None:
-        """Keep the last entry of a target, of the MAX_REMOVED_ENTRIES latest only."""
+        """Keep the last entry of a removed target, up to `MAX_REMOVED_ENTRIES`."""
         self._removed[entry.target_id] = entry
         if len(self._removed) > MAX_REMOVED_ENTRIES:
             del self._removed[next(iter(self._removed))]
 
     def _is_lease_lapse(self, service: str, removals: list[Removal]) -> bool:
-        total = sum(1 for one in self._entries.values() if one.service == service)
-        vanished = {one.target_id for one in removals} | self._grace_ends.keys()
+        total = sum(1 for each in self._entries.values() if each.service == service)
+        vanished = {
+            vanishing.target_id for vanishing in removals
+        } | self._grace_ends.keys()
         lost_count = sum(
             1
             for name in vanished
@@ -261,17 +268,17 @@
 
     def drop_vanished(self, now: float) -> bool:
         """Drop vanished targets whose grace time is over; return whether any were."""
-        expired = [name for name, at in self._grace_ends.items() if at <= now]
+        expired = [name for name, end in self._grace_ends.items() if end <= now]
         for name in expired:
             del self._grace_ends[name]
             self._entries.pop(name, None)
         return bool(expired)
 
 
-def _changes_state(known: Entry, entry: Entry) -> bool:
+def _changes_state(stored: Entry, entry: Entry) -> bool:
     """Return whether an entry changes more than a heartbeat does."""
     refreshed = dataclasses.replace(
-        known,
+        stored,
         cold_until=entry.cold_until,
         position=entry.position,
         sequence=entry.sequence,
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/failure_estimates.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/failure_estimates.py
@@ -122,10 +122,10 @@
         """Return the probability that the target is failing."""
         rates = self._rates
         elapsed = max(0.0, now - self._at)
-        fade = math.exp(-(rates.onset_per_s + rates.recovery_per_s) * elapsed)
+        decay = math.exp(-(rates.onset_per_s + rates.recovery_per_s) * elapsed)
         return (
             rates.usual_failing_share
-            + (self._failing - rates.usual_failing_share) * fade
+            + (self._failing - rates.usual_failing_share) * decay
         )
 
     def find_request_failure_probability(self, now: float) -> float:
@@ -143,10 +143,13 @@
         rates = self._rates
         rates.add_outcome(prior, failed)
         if failed:
-            bad, good = rates.fails_when_failing, rates.fails_when_healthy
+            if_failing, if_healthy = rates.fails_when_failing, rates.fails_when_healthy
         else:
-            bad, good = 1 - rates.fails_when_failing, 1 - rates.fails_when_healthy
-        posterior = prior * bad / (prior * bad + (1 - prior) * good)
+            if_failing, if_healthy = (
+                1 - rates.fails_when_failing,
+                1 - rates.fails_when_healthy,
+            )
+        posterior = prior * if_failing / (prior * if_failing + (1 - prior) * if_healthy)
         self._learn(posterior, now)
         self._failing = posterior
         self._at = max(self._at, now)
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/mechanisms.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/mechanisms.py
@@ -14,16 +14,16 @@
     """Which parts of the policy are enabled."""
 
     trials: bool = True
-    """Idempotent requests test targets that may be failing."""
+    """Idempotent requests serve as trials of targets that may be failing."""
 
     patience: bool = True
-    """Work waits for a proven healthy target while its answer can still be in time."""
+    """Work waits for a proven healthy target while its answer can still be on time."""
 
     short_queue: bool = True
-    """A standing queue is kept short, so that answers are in time."""
+    """A standing queue is kept short, so that answers are on time."""
 
     second_rank: bool = True
-    """Second attempts go one priority up while the queue is short."""
+    """Retries are raised one priority while the queue is short."""
 
     scarcity: bool = True
     """Retries become more expensive as the budget runs out."""
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/messages.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/messages.py
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotRequest:
-    """Asks for a slot of a target for a request."""
+    """Request for a slot of a target, which one attempt of a caller's request needs."""
 
     ticket: str
     """Identifier of this slot request, unique in the fleet; kept when it is sent
@@ -23,7 +23,7 @@
     """Shard whose targets may do the work."""
 
     kind: str
-    """Kind of work by which durations are learned; requests of a kind are alike."""
+    """Kind of work; requests of a kind are alike, and share a mean duration."""
 
     may_retry: bool
     """Whether a failed attempt may be followed by another: the work is idempotent and
@@ -33,7 +33,7 @@
     """Priority among the requests of the service; 0 goes first."""
 
     objective_at: float
-    """Time until which an answer is on time."""
+    """Time until which an answer counts as on time."""
 
     deadline_at: float
     """Time after which nobody waits for an answer."""
@@ -51,13 +51,13 @@
     """Targets to which the VM has an idle connection that can carry the work."""
 
     is_first: bool = True
-    """Whether this is the first slot request for the request. Only then does it earn
-    retries: another dispatcher may have counted it before."""
+    """Whether this is the first slot request for the request. Later ones earn no
+    retries: another dispatcher may have counted the request before."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
-    """Gives the requester a slot of a target."""
+    """Decision that the requester gets a slot of a target."""
 
     ticket: str
     """Ticket of the slot request."""
@@ -72,7 +72,7 @@
     """Seconds that the work is expected to take at the target."""
 
     pressure: float = shards.USUAL_PRESSURE
-    """Load of the shard; 1 is one request for each proven healthy slot."""
+    """Pressure of the shard; 1 is one request for each proven healthy slot."""
 
     dispatcher: str = ""
     """VM that granted the slot, for the log; set by the requester."""
@@ -96,7 +96,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """Tells the requester that it gets no target."""
+    """Decision that the requester gets no slot."""
 
     ticket: str
     """Ticket of the slot request."""
@@ -108,12 +108,12 @@
     """Earliest time at which the caller should come back."""
 
     pressure: float = shards.USUAL_PRESSURE
-    """Load of the shard; 1 is one request for each proven healthy slot."""
+    """Pressure of the shard; 1 is one request for each proven healthy slot."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wait:
-    """Tells the requester that it is queued; a grant or refusal follows."""
+    """Decision that the slot request is queued; a grant or refusal follows."""
 
     ticket: str
     """Ticket of the slot request."""
@@ -129,22 +129,23 @@
     """A complete answer that is not an error of the target itself."""
 
     FAILED = "failed"
-    """An error of the target, an answer cut off or from another target, a reset."""
+    """An error of the target, an answer that was cut off or came from another target,
+    or a connection reset."""
 
     SILENT = "silent"
     """No answer until the request was given up or tried at another target."""
 
     SHED = "shed"
-    """Turned away before it ran, since the target was full."""
+    """Turned away by a full target before the work ran."""
 
     UNREACHABLE = "unreachable"
     """No connection could be made."""
 
     MISPLACED = "misplaced"
-    """Another target now has this address."""
+    """Another target answered at this address."""
 
     ABANDONED = "abandoned"
-    """Inconclusive: the caller left, or another target answered."""
+    """Ended without a result: the caller left, or another target answered first."""
 
     UNUSED = "unused"
     """Nothing was sent."""
@@ -152,7 +153,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """Returns the slot of a grant, with the outcome of the attempt."""
+    """Frees the slot of a grant, with the outcome of the attempt."""
 
     ticket: str
     """Ticket of the grant."""
@@ -173,8 +174,8 @@
     """VM that made the attempt."""
 
     rate_limit: float | None = None
-    """Requests per second that the target accepts, infinite where its answer announces
-    no limit; None where no answer tells."""
+    """Requests per second that the target accepts, infinite if its answer announces no
+    limit; None if no answer states it."""
 
     is_resent: bool = False
     """Whether the request was sent twice, because a reused connection broke."""
@@ -182,7 +183,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeldSlot:
-    """A granted slot that its VM still uses, sent to a dispatcher that takes over."""
+    """A granted slot in use, sent by its VM to a dispatcher that takes over."""
 
     granted_request: SlotRequest
     """The slot request that was granted."""
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/rate_limit.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/rate_limit.py
@@ -1,8 +1,9 @@
 """Paces the requests to a target that announces a rate limit.
 
-The requests of all VMs together count against the limit, and the dispatcher of the
-shard sees all of them. While several dispatchers are active, because VMs cannot reach
-each other or a shard passes to another VM, each uses a share of the limit.
+Such a target is overloaded. The requests of all VMs together count against its limit,
+and the dispatcher of its shard sees all of them. While several dispatchers are
+active, because VMs cannot reach each other or a shard passes to another VM, each uses a
+share of the limit.
 """
 
 from __future__ import annotations
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/shards.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/shards.py
@@ -1,7 +1,7 @@
 """Shards of a service: groups of its targets, each with a dispatcher of its own.
 
-Load pattern: a service of hundreds of targets and more requests a second than one
-processor can decide. A shard has few enough targets that any VM can dispatch for it,
+Load pattern: a service with hundreds of targets gets more requests a second than one
+processor can dispatch. A shard has few enough targets that any VM can dispatch for it,
 and enough of them that a third may fail at once.
 
 A large service is divided by data centre first. Requests, answers and the messages to
@@ -21,9 +21,9 @@
 from ..deployment import targets
 
 MAX_UNDIVIDED_TARGETS = 40
-"""Targets above which a service or data centre is divided. Smaller shards differ more
-in how many of their slots work while targets fail; larger ones use up the processor of
-a small VM."""
+"""Targets above which a service or data centre is divided. Smaller shards would differ
+more in how many of their slots work while targets fail; larger ones would use up the
+processor of a small VM."""
 
 MIN_MEAN_TARGETS = 16
 """Mean targets per data centre from which a service is divided by data centre. With
@@ -31,19 +31,20 @@
 healthy."""
 
 PRESSURE_DECAY_TIME_S = 2.0
-"""Seconds in which the known pressure of a shard decays towards the usual one by a
-factor of e: a VM that sees one request per second and shard would otherwise act on a
-burst that is over."""
+"""Seconds in which the last reported pressure of a shard decays towards the usual one
+by a factor of e. A VM that sends a shard one request per second would otherwise act on
+a burst that is over."""
 
 USUAL_PRESSURE = 0.5
-"""Pressure assumed for a shard of which nothing is known."""
+"""Pressure assumed for a shard that has reported none."""
 
 HIGH_PRESSURE = 0.8
-"""Pressure of the local shards above which others are considered: below it, a proven
-slot is nearly always free, and leaving the data centre gains nothing."""
+"""Pressure of a local shard above which remote shards are considered. Below it, a
+proven healthy slot is nearly always free, and leaving the data centre gains nothing."""
 
 MIN_PRESSURE_GAP = 0.2
-"""Amount by which a remote shard's pressure must be below the local shard's."""
+"""Amount by which the pressure of a remote shard must be below that of the local
+one."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -95,8 +96,8 @@
 ) -> tuple[Shard, ...]:
     """Return the shards of a service with these targets.
 
-    VMs that briefly know of different targets run more dispatchers than needed, as they
-    do while they disagree on which VM dispatches.
+    While VMs know of different targets, they may divide a service differently and run
+    more dispatchers than needed, as while they disagree on which VM dispatches.
     """
     sizes = collections.Counter(entry.data_centre for entry in entries)
     total = sizes.total()
@@ -110,8 +111,9 @@
 
 
 def _split(service: str, data_centre: str, size: int) -> tuple[Shard, ...]:
-    """Return a power of two of shards, so that a few more targets rarely change the
-    count.
+    """Return the shards of the targets of a service or of one data centre.
+
+    Their count is a power of two, so that a few more targets rarely change it.
     """
     count = 1
     if size > MAX_UNDIVIDED_TARGETS:
@@ -122,12 +124,13 @@
 class ShardChooser:
     """Chooses the shard in which a request asks for a slot.
 
-    Load pattern: targets of one shard fail together by chance, or its requests come in
-    a burst, while others have free slots. A local shard is chosen unless its pressure
-    is high and that of a remote shard clearly lower; among several shards, the better
-    of two drawn at random. Without messages of its own this keeps the pressures of
-    shards close to each other (Mitzenmacher, 2001, "The power of two choices in
-    randomized load balancing"). The pressure comes with each answer of a dispatcher.
+    Load pattern: many targets of one shard fail at once by chance, or its requests come
+    in a burst, while other shards have free slots. A local shard is chosen unless its
+    pressure is high and that of a remote shard clearly lower. Among several local or
+    remote shards, the one with the lower pressure of two drawn at random is taken. This
+    keeps the pressures of shards close to each other (Mitzenmacher, 2001, "The power of
+    two choices in randomized load balancing") and needs no messages of its own, since
+    each answer of a dispatcher contains its pressure.
 
     Parameters
     ----------
@@ -153,16 +156,20 @@
         refused: collections.abc.Collection[Shard] = (),
     ) -> Shard | None:
         """Return one of the shards, or None if all of them have refused."""
-        left = [shard for shard in shards if shard not in refused]
-        near = [shard for shard in left if shard.data_centre == self._data_centre]
-        others = [shard for shard in left if shard.data_centre != self._data_centre]
-        best = self._draw(near, now)
+        candidates = [shard for shard in shards if shard not in refused]
+        local = [
+            shard for shard in candidates if shard.data_centre == self._data_centre
+        ]
+        remote = [
+            shard for shard in candidates if shard.data_centre != self._data_centre
+        ]
+        best = self._draw(local, now)
         if best is None:
-            return self._draw(others, now)
+            return self._draw(remote, now)
         pressure = self._find_pressure(best, now)
         if pressure <= HIGH_PRESSURE:
             return best
-        other = self._draw(others, now)
+        other = self._draw(remote, now)
         if (
             other is not None
             and self._find_pressure(other, now) < pressure - MIN_PRESSURE_GAP
@@ -171,8 +178,9 @@
         return best
 
     def _draw(self, shards: list[Shard], now: float) -> Shard | None:
-        """Return the shard with lower pressure of two drawn at random, or None if
-        empty.
+        """Return the shard with the lower pressure of two drawn at random.
+
+        None if there are no shards.
         """
         if len(shards) < 2:
             return shards[0] if shards else None
@@ -181,5 +189,5 @@
 
     def _find_pressure(self, shard: Shard, now: float) -> float:
         pressure, at = self._pressures.get(shard, (USUAL_PRESSURE, now))
-        fade = math.exp(-max(0.0, now - at) / PRESSURE_DECAY_TIME_S)
-        return USUAL_PRESSURE + (pressure - USUAL_PRESSURE) * fade
+        decay = math.exp(-max(0.0, now - at) / PRESSURE_DECAY_TIME_S)
+        return USUAL_PRESSURE + (pressure - USUAL_PRESSURE) * decay
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/work_times.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/work_times.py
@@ -1,4 +1,4 @@
-"""Measures how long work takes: by kind, and by target compared with the others."""
+"""Measures how long work takes: by kind, and by target compared with all targets."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 """Mean duration assumed for a kind of work without samples."""
 
 MIN_SAMPLE_WEIGHT = 0.05
-"""Minimum weight of a new sample in the mean of its kind: about the last twenty
-count."""
+"""Minimum weight of a new sample in the mean of its kind, so that about the last twenty
+samples determine the mean."""
 
 INITIAL_MEAN_SAMPLES = 3
 """Samples that the initial mean counts for, so that one long piece of work at the start
@@ -20,14 +20,15 @@
 by it."""
 
 SLOWNESS_SAMPLE_WEIGHT = 0.2
-"""Weight of a new sample in a target's slowness: four slow answers in a row show."""
+"""Weight of a new sample in a target's slowness, so that four slow answers in a row
+raise it noticeably."""
 
 SLOWNESS_DECAY_TIME_S = 8.0
 """Seconds in which a target's slowness decays by a factor of e without new samples, so
 that a target that has recovered is tried again."""
 
 MAX_SLOWNESS = 20.0
-"""Upper bound of the slowness; its reciprocal is the lower bound of a sample."""
+"""Upper bound of the slowness and its samples; the reciprocal is their lower bound."""
 
 
 class KindTimes:
@@ -59,24 +60,24 @@
         return dict(self._means)
 
     def set(self, kind: str, seconds: float) -> None:
-        """Set a mean in seconds that another VM has learned."""
+        """Set the mean in seconds that another VM has learned."""
         self._means[kind] = seconds
         self._samples[kind] = round(1 / MIN_SAMPLE_WEIGHT)
 
     def add(self, kind: str, seconds: float) -> None:
         """Record the duration in seconds of one piece of work."""
-        known = self.find_mean(kind)
+        mean = self.find_mean(kind)
         samples = self._samples.get(kind, INITIAL_MEAN_SAMPLES) + 1
         self._samples[kind] = samples
         weight = max(MIN_SAMPLE_WEIGHT, 1 / samples)
-        self._means[kind] = known + weight * (seconds - known)
+        self._means[kind] = mean + weight * (seconds - mean)
 
 
 class Slowness:
     """How many times longer than usual a target takes.
 
-    Kept as a logarithm, since durations are skewed: one long piece of work must not
-    weigh as much as many short ones.
+    The factor is averaged as a logarithm, since durations are skewed: one long piece of
+    work must not weigh as much as many short ones.
     """
 
     def __init__(self, now: float) -> None:
@@ -95,7 +96,7 @@
         self._updated_at = now
 
     def set(self, ratio: float, now: float) -> None:
-        """Set the factor to what another VM has learned."""
+        """Set the factor that another VM has learned."""
         self._log = math.log(min(MAX_SLOWNESS, max(1 / MAX_SLOWNESS, ratio)))
         self._updated_at = now
 
--- a/packages/zinniastand-core/src/zinniastand_core/forwarding/__init__.py
+++ b/packages/zinniastand-core/src/zinniastand_core/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on the attempts of one request at the VM that received it."""
+"""Decisions about the attempts of a request, made by the VM that received it."""
--- a/packages/zinniastand-core/src/zinniastand_core/forwarding/plan.py
+++ b/packages/zinniastand-core/src/zinniastand_core/forwarding/plan.py
@@ -1,9 +1,9 @@
 """Decides after each attempt of a request: another target, or the final answer.
 
-A plan keeps three promises to callers. Work that may run only once goes to a second
-target only after proof that the first did not run it. The caller is told "not run" only
-if every attempt so far is known not to have run. Before the deadline, an attempt in
-flight is given up only for an answer of another target.
+A plan keeps three promises to callers. Work that may run only once is sent to a second
+target only after proof that the first did not run it. A caller gets the answer "not
+run" only if no attempt can have run. Before the deadline, an attempt in flight is given
+up only for an answer of another target.
 """
 
 from __future__ import annotations
@@ -19,34 +19,35 @@
     """How one attempt at a target ended."""
 
     ANSWERED = "answered"
-    """Complete success, or an error of the request itself; goes to the caller."""
+    """Complete answer: a success or an error of the request itself. It is relayed
+    to the caller."""
 
     ERROR = "error"
-    """Complete answer in which the target reports its failure; it may have run."""
+    """Complete answer in which the target reports a failure; the work may have run."""
 
     BROKEN = "broken"
-    """No complete answer to this request; it may have run."""
+    """No complete answer to this request; the work may have run."""
 
     TURNED_AWAY = "turned-away"
-    """Refused by the target, with proof that it did not run the request."""
+    """Refused by the target, with proof that it did not run the work."""
 
     MISPLACED = "misplaced"
-    """Another target answered at that address and did not run the request."""
+    """Another target answered at that address and did not run the work."""
 
     UNREACHABLE = "unreachable"
     """No connection was established, so nothing was sent."""
 
 
 PROVED_NOT_RUN = frozenset({AttemptResult.TURNED_AWAY, AttemptResult.MISPLACED})
-"""Results that prove that a request, though sent, has not run."""
+"""Results that prove that the work of a request that was sent has not run."""
 
 MAX_UNCONNECTED_ATTEMPTS = 6
-"""Attempts allowed beyond the route's limit of targets, for those that end without a
-connection. Each costs up to a connect timeout, so this limits what a cut-off VM
-spends."""
+"""Attempts allowed beyond the route's limit of targets, to replace those that end
+without a connection. Each takes up to a connect timeout, so a VM that is cut off must
+not start too many."""
 
 MIN_TIME_LEFT_S = 0.02
-"""Seconds before the deadline that another attempt needs: a round trip and the quickest
+"""Minimum seconds until the deadline for another attempt: a round trip and the quickest
 work."""
 
 
@@ -71,10 +72,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deadlines:
-    """Time limits of one request, in seconds of the VM's steady clock."""
+    """Time limits of one request, in seconds of the VM's monotonic clock."""
 
     objective_at: float
-    """Time until which an answer counts as in time."""
+    """Time until which an answer counts as on time."""
 
     deadline_at: float
     """Time at which the caller gets a final answer, whatever the attempts did."""
@@ -87,7 +88,7 @@
     ----------
     route : configuration.Route
         Route in force when the request was read.
-    times : Times
+    times : Deadlines
         Time limits of the request.
     """
 
@@ -130,7 +131,7 @@
 
     @property
     def may_retry_next(self) -> bool:
-        """Whether another attempt may follow the next one if that fails."""
+        """Whether a further attempt may follow if the next one fails."""
         return self.is_idempotent and self._committed + 1 < self._route.max_attempts
 
     @property
@@ -140,10 +141,10 @@
 
     @property
     def committed(self) -> int:
-        """Number of targets that the request was sent to, or will be by one in flight.
+        """Number of targets that the request was sent to or may still be sent to.
 
-        An attempt that is slow to connect is sent later. If it counted only then, the
-        request could go to more targets than its route allows.
+        An attempt that is slow to connect sends the request later. If it counted only
+        then, the request could go to more targets than its route allows.
         """
         return self._committed
 
@@ -158,9 +159,9 @@
         self.deadlines = dataclasses.replace(self.deadlines, deadline_at=deadline_at)
 
     def compensate_suspension(self, seconds: float) -> None:
-        """Move the deadlines back by the seconds of a suspension.
+        """Move the deadlines back by the duration of a suspension in seconds.
 
-        The steady clock stood still meanwhile, so they are that much closer.
+        The clock stood still during the suspension, so they are that much closer.
         """
         self.deadlines = Deadlines(
             self.deadlines.objective_at - seconds, self.deadlines.deadline_at - seconds
@@ -176,7 +177,8 @@
     def mark_sent(self) -> None:
         """Record that bytes of the request are written to a connection.
 
-        From then on the request counts as run until the target proves that it wasn't.
+        From then on, the work counts as run unless the target proves that it did not
+        run.
         """
         self._sent += 1
 
@@ -188,8 +190,8 @@
         if result is AttemptResult.UNREACHABLE:
             self._committed -= 1
         if result in PROVED_NOT_RUN:
-            # The proof holds for this attempt only; another attempt of idempotent
-            # work may have run.
+            # The proof holds for this attempt only: another attempt may have run
+            # idempotent work.
             self._proved_not_run += 1
         if result is AttemptResult.ERROR:
             self._has_error = True
@@ -200,7 +202,7 @@
         self._in_flight -= 1
 
     def decide_next(self, now: float) -> NextStep:
-        """Return the next step by what is known at `now`."""
+        """Return the next step at the time `now`."""
         if not self._is_answered and self._may_try_again(now):
             return NextStep.TRY_AGAIN
         return self.give_up()
--- a/packages/zinniastand-core/src/zinniastand_core/quarantine/quarantine.py
+++ b/packages/zinniastand-core/src/zinniastand_core/quarantine/quarantine.py
@@ -8,12 +8,12 @@
 from . import suspect
 
 MAX_SUSPECTS = 512
-"""Upper limit of suspected requests kept. Where targets crash for reasons of their own,
-every request they hold becomes a suspect; those with the fewest consecutive crashes are
+"""Upper limit of suspected requests kept. If targets crash for another reason, every
+request that they hold becomes a suspect; those with the fewest consecutive crashes are
 evicted first."""
 
 MAX_ANSWERED_REQUESTS = 4096
-"""Upper limit of requests whose latest answer time is kept."""
+"""Upper limit of requests whose latest answer time is kept; the oldest is evicted."""
 
 RETENTION_S = 120.0
 """Seconds for which a record is kept after its latest crash or the end of its hold."""
@@ -26,9 +26,9 @@
 class Quarantine:
     """Records crashes and answers of requests, and decides which are quarantined.
 
-    A quarantined request goes to no target until its hold ends. A request is known by
-    its fingerprint, which stays the same when a caller sends it again. All times are
-    those of one steady clock, in seconds.
+    A quarantined request is sent to no target until its hold ends. Requests are
+    identified by a fingerprint, which stays the same when a caller sends one again. All
+    times are in seconds of one monotonic clock.
     """
 
     def __init__(self) -> None:
@@ -46,57 +46,58 @@
 
     def find_hold_end(self, fingerprint: str, now: float) -> float | None:
         """Return when the quarantine of a request ends, or None if it is not in one."""
-        known = self._suspects.get(fingerprint)
-        if known is None or not known.is_quarantined(now):
+        own = self._suspects.get(fingerprint)
+        if own is None or not own.is_quarantined(now):
             return None
-        return known.find_hold_end()
+        return own.find_hold_end()
 
     def begin_trial(self, fingerprint: str, now: float) -> bool:
         """Record a trial of a request if it needs one; return whether a trial began.
 
-        While a trial is on, other attempts of the same request are held until its
-        outcome is known or its time is over.
+        During a trial, other attempts at the same request are held until the outcome of
+        the trial is known or its time is over.
         """
-        known = self._suspects.get(fingerprint)
-        if known is None or not known.needs_trial:
+        own = self._suspects.get(fingerprint)
+        if own is None or not own.needs_trial:
             return False
         return self.merge(fingerprint, suspect.Suspect(tried_at=now))
 
     def record_answer(self, fingerprint: str, now: float) -> bool:
-        """Record that a target answered a request; return whether to announce it.
+        """Record that a target answered a request.
 
-        The answer also clears crashes that other VMs have seen but not announced yet.
+        The time is kept also for a request without a record: it clears crashes that
+        other VMs announce later.
 
         Returns
         -------
         bool
-            Whether the answer changed a record that all VMs share.
+            Whether the answer changed a shared record, so that it must be announced.
         """
         self._answer_times[fingerprint] = now
         self._answer_times.move_to_end(fingerprint)
         if len(self._answer_times) > MAX_ANSWERED_REQUESTS:
             self._answer_times.popitem(last=False)
-        known = self._suspects.get(fingerprint)
-        if known is None or not known.crashes:
+        own = self._suspects.get(fingerprint)
+        if own is None or not own.crashes:
             return False
-        if not is_shared(known):
+        if not is_shared(own):
             del self._suspects[fingerprint]
             return False
         return self.merge(fingerprint, suspect.Suspect(answered_at=now))
 
     def merge(self, fingerprint: str, received: suspect.Suspect) -> bool:
-        """Merge a received record of a request into the own one.
+        """Merge a received record of a request into this VM's own.
 
         Returns
         -------
         bool
-            Whether the received record added anything and the result is kept.
+            Whether the received record added facts and the result is kept.
         """
-        known = self._suspects.get(fingerprint, suspect.Suspect())
-        merged = self._drop_cleared_crashes(fingerprint, known.merge(received))
-        if not merged.crashes and not known.crashes and len(received.crashes) < 2:
+        own = self._suspects.get(fingerprint, suspect.Suspect())
+        merged = self._drop_cleared_crashes(fingerprint, own.merge(received))
+        if not merged.crashes and not own.crashes and len(received.crashes) < 2:
             return False  # No other VM suspects it either.
-        if fingerprint in self._suspects and not merged.adds_to(known):
+        if fingerprint in self._suspects and not merged.adds_to(own):
             self._suspects[fingerprint] = merged
             return False
         self._suspects[fingerprint] = merged
@@ -105,71 +106,76 @@
         return fingerprint in self._suspects
 
     def _drop_cleared_crashes(
-        self, fingerprint: str, found: suspect.Suspect
+        self, fingerprint: str, uncleared: suspect.Suspect
     ) -> suspect.Suspect:
-        """Return a record without the crashes that an answer seen by this VM clears."""
+        """Return a record without the crashes that an answer at this VM clears."""
         answered_at = self._answer_times.get(fingerprint, -math.inf)
-        cleared = found.merge(suspect.Suspect(answered_at=answered_at))
-        return cleared if len(cleared.crashes) < len(found.crashes) else found
+        cleared = uncleared.merge(suspect.Suspect(answered_at=answered_at))
+        return cleared if len(cleared.crashes) < len(uncleared.crashes) else uncleared
 
     def list_shared(self) -> list[str]:
         """Return the fingerprints of the requests that are announced to all VMs.
 
-        Requests with a single crash are left out. There are many where targets crash
-        for other reasons, and one crash proves nothing; only a few VMs count those.
+        Requests with a single crash are left out: they are many if targets crash for
+        other reasons, and one crash proves nothing. Only a few VMs count those.
         """
-        return [name for name, one in self._suspects.items() if is_shared(one)]
+        return [
+            identifier
+            for identifier, record in self._suspects.items()
+            if is_shared(record)
+        ]
 
     def count_quarantined(self, now: float) -> int:
         """Return the number of requests that are quarantined now."""
-        return sum(one.is_quarantined(now) for one in self._suspects.values())
+        return sum(record.is_quarantined(now) for record in self._suspects.values())
 
     def drop_expired(self, now: float) -> None:
         """Drop the records whose retention time is over."""
         self._suspects = {
-            name: one
-            for name, one in self._suspects.items()
-            if now < _find_retention_end(one)
+            identifier: record
+            for identifier, record in self._suspects.items()
+            if now < _find_retention_end(record)
         }
 
     def compensate_suspension(self, seconds: float) -> None:
-        """Move all times back by the seconds of a suspension.
+        """Move all times back by the duration of a suspension in seconds.
 
-        The steady clock stood still meanwhile, so everything is that much older.
+        The clock stood still during the suspension, so all events are that much older.
         """
         self._suspects = {
-            name: one.age(seconds) for name, one in self._suspects.items()
+            identifier: record.age(seconds)
+            for identifier, record in self._suspects.items()
         }
-        for name in self._answer_times:
-            self._answer_times[name] -= seconds
+        for identifier in self._answer_times:
+            self._answer_times[identifier] -= seconds
 
     def _evict_least_suspected(self) -> None:
         least_suspected = min(
             self._suspects,
-            key=lambda name: (
-                self._suspects[name].count_consecutive(),
-                _find_latest_event(self._suspects[name]),
+            key=lambda identifier: (
+                self._suspects[identifier].count_consecutive(),
+                _find_latest_event(self._suspects[identifier]),
             ),
         )
         del self._suspects[least_suspected]
 
 
-def is_shared(one: suspect.Suspect) -> bool:
+def is_shared(record: suspect.Suspect) -> bool:
     """Return whether a record is announced to all VMs.
 
-    A request that was cleared by an answer had several crashes before, so that other
-    VMs may still suspect it and must learn of the answer.
+    A record with an answer had several crashes before, so that other VMs may still
+    suspect the request and must learn of the answer.
     """
-    return len(one.crashes) > 1 or one.answered_at > -math.inf
+    return len(record.crashes) > 1 or record.answered_at > -math.inf
 
 
-def _find_latest_event(one: suspect.Suspect) -> float:
-    last = one.crashes[-1].ended_at if one.crashes else one.answered_at
-    return max(last, one.find_hold_end())
+def _find_latest_event(record: suspect.Suspect) -> float:
+    latest = record.crashes[-1].ended_at if record.crashes else record.answered_at
+    return max(latest, record.find_hold_end())
 
 
-def _find_retention_end(one: suspect.Suspect) -> float:
+def _find_retention_end(record: suspect.Suspect) -> float:
     """Return the time until which a record is kept."""
-    return _find_latest_event(one) + (
-        RETENTION_S if one.crashes else CLEARED_RETENTION_S
+    return _find_latest_event(record) + (
+        RETENTION_S if record.crashes else CLEARED_RETENTION_S
     )
