--- a/tests/deployment/test_routing.py
+++ b/tests/deployment/test_routing.py
@@ -25,7 +25,7 @@
         max_attempts=2,
         priority=1,
         weighted_services=tuple(
-            configuration.WeightedService(*one) for one in parts or (("desk", 1.0),)
+            configuration.WeightedService(*pair) for pair in parts or (("desk", 1.0),)
         ),
     )
 
--- a/tests/deployment/test_targets.py
+++ b/tests/deployment/test_targets.py
@@ -37,7 +37,7 @@
 
 
 def list_names(registry: targets.Registry, now: float = 0.0) -> set[str]:
-    return {one.target_id for one in registry.list_usable("desk", now)}
+    return {listed.target_id for listed in registry.list_usable("desk", now)}
 
 
 def test_draining_target_gets_no_new_work() -> None:
@@ -82,9 +82,9 @@
     # at once would refuse every request until they have registered again.
     registry = targets.Registry()
     registry.apply([make_entry(name, n) for n, name in enumerate("abcdef")], 0.0)
-    gone = [targets.Removal(name, 10 + n) for n, name in enumerate("abcde")]
+    removals = [targets.Removal(name, 10 + n) for n, name in enumerate("abcde")]
     # The removals still count as changes: other VMs must receive them.
-    assert registry.apply(gone, 100.0) == gone
+    assert registry.apply(removals, 100.0) == removals
     assert list_names(registry, 100.0) == set("abcdef")
     registry.apply([make_entry("a", 30)], 100.5)
     later = 100.0 + targets.LEASE_LAPSE_GRACE_S
@@ -127,7 +127,7 @@
     registry.apply([make_entry(name, position=1) for name in names], 0.0)
     registry.apply([targets.Removal("t1", 2), targets.Removal("t2", 3)], 0.0)
     assert registry.find_usable("t1") is not None
-    assert [one.target_id for one in registry.list_registered()] == ["t3"]
+    assert [listed.target_id for listed in registry.list_registered()] == ["t3"]
 
 
 def test_restored_store_does_not_restore_leaving_targets() -> None:
@@ -192,15 +192,17 @@
             is_copied = era > 0 and rng.random() < 0.3
             sequence += not is_copied
             number = rng.randrange(sequence + 1) if is_copied else sequence
-            place = positions.make_position(era, offset)
-            written.append(make_entry("a", place, sequence=number))
+            entry_position = positions.make_position(era, offset)
+            written.append(make_entry("a", entry_position, sequence=number))
             last = max(last, number)
     registry = targets.Registry()
     received = [*written, *rng.sample(written, len(written) // 2)]
     rng.shuffle(received)
     for entry in received:
         registry.apply([entry], 0.0)
-    own_era = [one for one in written if positions.find_era(one.position) == eras - 1]
+    last_era = [
+        listed for listed in written if positions.find_era(listed.position) == eras - 1
+    ]
     newest = registry.find("a")
     assert newest is not None
-    assert newest.sequence >= max(one.sequence for one in own_era[-1:])
+    assert newest.sequence >= max(listed.sequence for listed in last_era[-1:])
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -73,7 +73,7 @@
     return assigner.handle_report(message, now)
 
 
-def grant_of(decisions: list[messages.Decision], ticket: str) -> messages.Grant:
+def find_grant(decisions: list[messages.Decision], ticket: str) -> messages.Grant:
     [found] = [candidate for candidate in decisions if candidate.ticket == ticket]
     assert isinstance(found, messages.Grant)
     return found
@@ -82,21 +82,21 @@
 def test_each_slot_is_granted_once_and_then_requests_wait() -> None:
     assigner = make_dispatcher("ab")
     granted = {
-        grant_of(assigner.request_slot(make_request(n), 0.0), n).target_id
+        find_grant(assigner.request_slot(make_request(n), 0.0), n).target_id
         for n in ("1", "2")
     }
     assert granted == {"a", "b"}
     assert assigner.request_slot(make_request("3"), 0.0) == [messages.Wait("3")]
     decisions = report(assigner, "1", "a", Outcome.GOOD, 0.1)
-    assert grant_of(decisions, "3").target_id == "a"
+    assert find_grant(decisions, "3").target_id == "a"
 
 
 def test_repeated_slot_request_gets_the_same_slot() -> None:
     # A VM repeats its slot request if the datagram with the grant is lost. A second
     # slot for the same request would stay occupied until its deadline.
     assigner = make_dispatcher("ab")
-    first = grant_of(assigner.request_slot(make_request("1"), 0.0), "1")
-    again = grant_of(assigner.request_slot(make_request("1"), 0.03), "1")
+    first = find_grant(assigner.request_slot(make_request("1"), 0.0), "1")
+    again = find_grant(assigner.request_slot(make_request("1"), 0.03), "1")
     assert again.target_id == first.target_id
     assert assigner.in_flight == 1
 
@@ -138,10 +138,10 @@
     # A failing target answers with errors sooner than others with results, and so it
     # often has the most free slots.
     assigner = make_dispatcher("ab", slots=3)
-    first = grant_of(assigner.request_slot(make_request("0"), 0.0), "0").target_id
+    first = find_grant(assigner.request_slot(make_request("0"), 0.0), "0").target_id
     report(assigner, "0", first, Outcome.FAILED, 0.01)
     for n in range(1, 4):
-        grant = grant_of(
+        grant = find_grant(
             assigner.request_slot(make_request(str(n), 0.02), 0.02), str(n)
         )
         assert grant.target_id != first
@@ -150,17 +150,19 @@
 def test_request_that_may_be_retried_tests_whether_a_target_has_recovered() -> None:
     assigner = make_dispatcher("ab", slots=3)
     for n in range(4):
-        target = grant_of(
+        target = find_grant(
             assigner.request_slot(make_request(f"g{n}"), 0.0), f"g{n}"
         ).target_id
         outcome = Outcome.FAILED if target == "a" else Outcome.GOOD
         report(assigner, f"g{n}", target, outcome, 0.1)
     now = 3.0
     request = make_request("probe", now, may_retry=True)
-    assert grant_of(assigner.request_slot(request, now), "probe").target_id == "a"
+    assert find_grant(assigner.request_slot(request, now), "probe").target_id == "a"
     # While that request is in flight, others do not go to the same target.
     request = make_request("next", now, may_retry=True)
-    assert grant_of(assigner.request_slot(request, now + 0.01), "next").target_id == "b"
+    assert (
+        find_grant(assigner.request_slot(request, now + 0.01), "next").target_id == "b"
+    )
 
 
 def test_request_avoids_uncertain_targets_when_few_retries_remain() -> None:
@@ -168,33 +170,34 @@
     # are left.
     assigner = make_dispatcher("ab", slots=3, retries=4.0)
     for n in range(4):
-        target = grant_of(
+        target = find_grant(
             assigner.request_slot(make_request(f"g{n}"), 0.0), f"g{n}"
         ).target_id
         outcome = Outcome.FAILED if target == "a" else Outcome.GOOD
         report(assigner, f"g{n}", target, outcome, 0.1)
     for n in range(4):
         request = make_request(f"again{n}", 0.2, attempt=2, excluded=("a",))
-        target = grant_of(assigner.request_slot(request, 0.2), f"again{n}").target_id
+        target = find_grant(assigner.request_slot(request, 0.2), f"again{n}").target_id
         report(assigner, f"again{n}", target, Outcome.GOOD, 0.3)
     now = 3.0
     for n in range(3):
         request = make_request(f"probe{n}", now, may_retry=True)
         assert (
-            grant_of(assigner.request_slot(request, now), f"probe{n}").target_id == "b"
+            find_grant(assigner.request_slot(request, now), f"probe{n}").target_id
+            == "b"
         )
 
 
 def test_request_waits_for_a_proven_healthy_target_when_no_retries_remain() -> None:
     assigner = make_dispatcher("ab", retries=-5.0)
     for n in range(3):
-        target = grant_of(
+        target = find_grant(
             assigner.request_slot(make_request(f"g{n}"), 0.0), f"g{n}"
         ).target_id
         outcome = Outcome.FAILED if target == "a" else Outcome.GOOD
         report(assigner, f"g{n}", target, outcome, 0.05)
     request = make_request("x", 0.1, may_retry=True)
-    assert grant_of(assigner.request_slot(request, 0.1), "x").target_id == "b"
+    assert find_grant(assigner.request_slot(request, 0.1), "x").target_id == "b"
     request = make_request("y", 0.1, may_retry=True)
     assert assigner.request_slot(request, 0.1) == [messages.Wait("y")]
 
@@ -204,19 +207,19 @@
     assigner = make_dispatcher("abcd", slots=3)
     for n, name in enumerate("dcba"):
         request = make_request(f"{n}", connected_targets=(name,))
-        assert grant_of(assigner.request_slot(request, 0.0), f"{n}").target_id == name
+        assert find_grant(assigner.request_slot(request, 0.0), f"{n}").target_id == name
 
 
 def test_failing_target_is_avoided_even_if_it_is_connected() -> None:
     assigner = make_dispatcher("ab", slots=3)
     for n in range(4):
-        target = grant_of(
+        target = find_grant(
             assigner.request_slot(make_request(f"g{n}"), 0.0), f"g{n}"
         ).target_id
         outcome = Outcome.FAILED if target == "a" else Outcome.GOOD
         report(assigner, f"g{n}", target, outcome, 0.1)
     request = make_request("x", 0.2, connected_targets=("a",))
-    assert grant_of(assigner.request_slot(request, 0.2), "x").target_id == "b"
+    assert find_grant(assigner.request_slot(request, 0.2), "x").target_id == "b"
 
 
 @pytest.mark.parametrize("requests_per_failure", [7, 17])
@@ -232,7 +235,7 @@
     now = 0.0
     for n in range(200):
         now = n * 0.1
-        target = grant_of(
+        target = find_grant(
             assigner.request_slot(make_request(f"{n}", now), now), f"{n}"
         ).target_id
         last_used[target] = now
@@ -254,23 +257,23 @@
     # about to become free.
     assigner = make_dispatcher("ab", retries=5.0)
     for n in range(6):
-        target = grant_of(
+        target = find_grant(
             assigner.request_slot(make_request(f"g{n}"), 0.0), f"g{n}"
         ).target_id
         outcome = Outcome.FAILED if target == "a" else Outcome.GOOD
         report(assigner, f"g{n}", target, outcome, 0.02)
     assert (
-        grant_of(assigner.request_slot(make_request("x", 0.1), 0.1), "x").target_id
+        find_grant(assigner.request_slot(make_request("x", 0.1), 0.1), "x").target_id
         == "b"
     )
     request = make_request("trial", 0.1, may_retry=True)
-    assert grant_of(assigner.request_slot(request, 0.1), "trial").target_id == "a"
+    assert find_grant(assigner.request_slot(request, 0.1), "trial").target_id == "a"
     report(assigner, "trial", "a", Outcome.FAILED, 0.11)
     later = {"objective_at": 2.0, "deadline_at": 3.0}
     request = make_request("y", 0.12, may_retry=True, **later)
     assert assigner.request_slot(request, 0.12) == [messages.Wait("y")]
     # The wait is limited, so that it uses only part of the time until the objective.
-    assert grant_of(assigner.wake(0.7), "y").target_id == "a"
+    assert find_grant(assigner.wake(0.7), "y").target_id == "a"
 
 
 def test_request_waits_for_a_healthy_target_rather_than_use_a_failing_one() -> None:
@@ -278,30 +281,32 @@
     # request would almost certainly fail at "a", and is in time if it waits for "b".
     assigner = make_dispatcher("ab")
     for n in range(6):
-        target = grant_of(
+        target = find_grant(
             assigner.request_slot(make_request(f"g{n}"), 0.0), f"g{n}"
         ).target_id
         outcome = Outcome.FAILED if target == "a" else Outcome.GOOD
         report(assigner, f"g{n}", target, outcome, 0.05)
     assert (
-        grant_of(assigner.request_slot(make_request("x", 0.1), 0.1), "x").target_id
+        find_grant(assigner.request_slot(make_request("x", 0.1), 0.1), "x").target_id
         == "b"
     )
     assert assigner.request_slot(make_request("y", 0.1), 0.1) == [messages.Wait("y")]
-    assert grant_of(report(assigner, "x", "b", Outcome.GOOD, 0.3), "y").target_id == "b"
+    assert (
+        find_grant(report(assigner, "x", "b", Outcome.GOOD, 0.3), "y").target_id == "b"
+    )
 
 
 def test_target_with_long_durations_is_avoided() -> None:
     assigner = make_dispatcher("ab", slots=3)
     for n in range(20):
         request = make_request(f"{n}", n * 0.3)
-        target = grant_of(assigner.request_slot(request, n * 0.3), f"{n}").target_id
+        target = find_grant(assigner.request_slot(request, n * 0.3), f"{n}").target_id
         duration = 1.5 if target == "a" else 0.2
         message = messages.Report(
             f"{n}", shards.Shard("desk"), target, Outcome.GOOD, duration, "vm-1"
         )
         assigner.handle_report(message, n * 0.3 + 0.2)
-    grant = grant_of(assigner.request_slot(make_request("x", 6.0), 6.0), "x")
+    grant = find_grant(assigner.request_slot(make_request("x", 6.0), 6.0), "x")
     assert grant.target_id == "b"
 
 
@@ -312,7 +317,9 @@
     for n in range(3):
         assigner.request_slot(make_request(str(n)), 0.0)
         report(assigner, str(n), "a", Outcome.UNREACHABLE, 0.0, vm="vm-1")
-    assert grant_of(assigner.request_slot(make_request("x"), 0.0), "x").target_id == "a"
+    assert (
+        find_grant(assigner.request_slot(make_request("x"), 0.0), "x").target_id == "a"
+    )
     report(assigner, "x", "a", Outcome.UNREACHABLE, 0.0, vm="vm-2")
     assert assigner.request_slot(make_request("y"), 0.01) == [messages.Wait("y")]
 
@@ -324,7 +331,7 @@
     assigner.request_slot(make_request("2", 1.0), 1.0)
     freed_at = 1.2 + dispatcher.LOST_REPORT_GRACE_S + 0.01
     decisions = assigner.wake(freed_at)
-    assert grant_of(decisions, "2").target_id == "a"
+    assert find_grant(decisions, "2").target_id == "a"
 
 
 def test_abandoned_slot_request_leaves_the_queue() -> None:
@@ -343,7 +350,7 @@
     report(assigner, "1", "", Outcome.ABANDONED, 0.1)
     assert assigner.in_flight == 0
     assert (
-        grant_of(assigner.request_slot(make_request("2", 0.1), 0.1), "2").target_id
+        find_grant(assigner.request_slot(make_request("2", 0.1), 0.1), "2").target_id
         == "a"
     )
 
@@ -372,7 +379,7 @@
     assigner.adopt_slot(messages.HeldSlot(make_request("old"), "a"), 0.0)
     assert assigner.request_slot(make_request("1"), 0.0) == [messages.Wait("1")]
     decisions = report(assigner, "old", "a", Outcome.GOOD, 0.2)
-    assert grant_of(decisions, "1").target_id == "a"
+    assert find_grant(decisions, "1").target_id == "a"
 
 
 @pytest.mark.parametrize("outcome", list(Outcome))
@@ -394,5 +401,5 @@
             f"{n}", shards.Shard("desk"), "a", Outcome.GOOD, 0.002, "vm-1"
         )
         assigner.handle_report(message, 0.0)
-    grant = grant_of(assigner.request_slot(make_request("x"), 0.0), "x")
+    grant = find_grant(assigner.request_slot(make_request("x"), 0.0), "x")
     assert grant.expected_duration == pytest.approx(work_times.INITIAL_MEAN_S)
--- a/tests/dispatch/test_failure_estimates.py
+++ b/tests/dispatch/test_failure_estimates.py
@@ -41,11 +41,11 @@
     # three times as long as needed.
     rng = random.Random(3)
     rates = failure_estimates.FailureRates()
-    known = [failure_estimates.FailureEstimate(rates, 0.0) for _ in range(20)]
-    starts = [rng.random() * 10 for _ in known]
+    estimates = [failure_estimates.FailureEstimate(rates, 0.0) for _ in range(20)]
+    starts = [rng.random() * 10 for _ in estimates]
     for step in range(3000):
         now = step * 0.05
-        for estimate, start in zip(known, starts, strict=True):
+        for estimate, start in zip(estimates, starts, strict=True):
             is_failing = (now + start) % 10.0 < 1.0
             estimate.record_outcome(failed=is_failing, now=now)
     assert rates.fails_when_failing > 0.9
--- a/tests/dispatch/test_rate_limit.py
+++ b/tests/dispatch/test_rate_limit.py
@@ -21,8 +21,8 @@
     work_times,
 )
 
-WINDOW = 4.0
-STEP = 0.01
+WINDOW_S = 4.0
+STEP_S = 0.01
 SHARD = shards.Shard("desk")
 
 
@@ -36,8 +36,8 @@
 ) -> list[float]:
     """Let each dispatcher send whenever its limit allows; return the times."""
     times: list[float] = []
-    for number in range(int(begin / STEP), int(end / STEP)):
-        now = number * STEP
+    for number in range(int(begin / STEP_S), int(end / STEP_S)):
+        now = number * STEP_S
         for limit in limits:
             if limit.allows_request(now):
                 limit.record_request(share, now)
@@ -46,11 +46,11 @@
 
 
 def find_busiest(times: list[float]) -> int:
-    return max(sum(begin <= at < begin + WINDOW for at in times) for begin in times)
+    return max(sum(begin <= at < begin + WINDOW_S for at in times) for begin in times)
 
 
 def find_max_requests(rate: float) -> float:
-    return 1.5 * rate * WINDOW + 5
+    return 1.5 * rate * WINDOW_S + 5
 
 
 @hypothesis.given(st.sampled_from([0.0, 0.1, 0.5, 1.0, 3.8, 20.0]))
@@ -94,32 +94,35 @@
 
 def make_dispatcher(names: str) -> dispatcher.Dispatcher:
     window = retry_window.RetryWindow(0.2, lambda: 10.0, 10.0)
-    one = dispatcher.Dispatcher(work_times.KindTimes(), window, random.Random(1))
-    one.update_targets([make_entry(name) for name in names], 0.0)
-    return one
+    assigner = dispatcher.Dispatcher(work_times.KindTimes(), window, random.Random(1))
+    assigner.update_targets([make_entry(name) for name in names], 0.0)
+    return assigner
 
 
 def serve(
-    one: dispatcher.Dispatcher, limits: dict[str, float], rate: float, seconds: float
+    assigner: dispatcher.Dispatcher,
+    limits: dict[str, float],
+    rate: float,
+    seconds: float,
 ) -> dict[str, list[float]]:
     """Request slots at a steady rate for work of 0.2 s; return the times at each
     target.
     """
     granted: dict[str, list[float]] = {}
     under_way: list[tuple[float, str, str]] = []
-    for number in range(int(seconds / STEP)):
-        now = number * STEP
-        decisions = one.wake(now)
-        if number % max(1, round(1 / (rate * STEP))) == 0:
+    for number in range(int(seconds / STEP_S)):
+        now = number * STEP_S
+        decisions = assigner.wake(now)
+        if number % max(1, round(1 / (rate * STEP_S))) == 0:
             slot_request = messages.SlotRequest(
                 f"k{number}", SHARD, "w", False, 1, now + 0.6, now + 1.2, 1, "a"
             )
-            decisions += one.request_slot(slot_request, now)
+            decisions += assigner.request_slot(slot_request, now)
         while under_way and under_way[0][0] <= now:
             _, ticket, name = under_way.pop(0)
-            good, named = messages.Outcome.GOOD, limits.get(name, math.inf)
-            report = messages.Report(ticket, SHARD, name, good, 0.2, "vm", named)
-            decisions += one.handle_report(report, now)
+            good, announced = messages.Outcome.GOOD, limits.get(name, math.inf)
+            report = messages.Report(ticket, SHARD, name, good, 0.2, "vm", announced)
+            decisions += assigner.handle_report(report, now)
         for decision in decisions:
             if isinstance(decision, messages.Grant):
                 granted.setdefault(decision.target_id, []).append(now)
@@ -128,8 +131,8 @@
 
 
 def test_work_goes_on_to_targets_without_a_limit() -> None:
-    one = make_dispatcher("abc")
-    granted = serve(one, {"a": 1.0}, rate=50.0, seconds=20.0)
+    assigner = make_dispatcher("abc")
+    granted = serve(assigner, {"a": 1.0}, rate=50.0, seconds=20.0)
     assert find_busiest([at for at in granted["a"] if at > 1.0]) <= find_max_requests(
         1.0
     )
@@ -140,23 +143,25 @@
 def test_limits_are_fully_used_where_every_target_announces_one() -> None:
     # Capacity is what the limits allow: requests beyond it are refused on arrival, and
     # the rest are served.
-    one = make_dispatcher("abc")
+    assigner = make_dispatcher("abc")
     limits = dict.fromkeys("abc", 2.0)
-    granted = serve(one, limits, rate=20.0, seconds=20.0)
+    granted = serve(assigner, limits, rate=20.0, seconds=20.0)
     for times in granted.values():
         assert find_busiest([at for at in times if at > 1.0]) <= find_max_requests(2.0)
         assert len(times) >= 1.7 * 20.0
-    assert one.queue_length <= 6
+    assert assigner.queue_length <= 6
 
 
 def test_restarted_target_has_no_limit() -> None:
-    one = make_dispatcher("a")
-    serve(one, {"a": 1.0}, rate=5.0, seconds=2.0)
-    state = one.pool.find("a")
+    assigner = make_dispatcher("a")
+    serve(assigner, {"a": 1.0}, rate=5.0, seconds=2.0)
+    state = assigner.pool.find("a")
     assert state is not None
     assert state.limit is not None
-    again = targets.Entry("a", "desk", "h", 80, "a", 4, targets.Phase.READY, 2, 0.0, 2)
-    one.update_targets([again], 3.0)
-    state = one.pool.find("a")
+    restarted = targets.Entry(
+        "a", "desk", "h", 80, "a", 4, targets.Phase.READY, 2, 0.0, 2
+    )
+    assigner.update_targets([restarted], 3.0)
+    state = assigner.pool.find("a")
     assert state is not None
     assert state.limit is None
--- a/tests/forwarding/test_plan.py
+++ b/tests/forwarding/test_plan.py
@@ -30,12 +30,12 @@
 
 
 def attempt(
-    one: plan.Plan, result: plan.AttemptResult, now: float = 0.1
+    request_plan: plan.Plan, result: plan.AttemptResult, now: float = 0.1
 ) -> plan.NextStep:
-    one.start_attempt(f"t{one.attempts}")
+    request_plan.start_attempt(f"t{request_plan.attempts}")
     if result is not Result.UNREACHABLE:
-        one.mark_sent()
-    return one.end_attempt(result, now)
+        request_plan.mark_sent()
+    return request_plan.end_attempt(result, now)
 
 
 @pytest.mark.parametrize("result", [Result.BROKEN, Result.ERROR])
@@ -44,8 +44,8 @@
 ) -> None:
     # The target accepted the request and gave no complete answer, or a failure.
     # A second target could run it again, and one order would become two.
-    one = make_plan(services.Work.AT_MOST_ONCE)
-    step = attempt(one, result)
+    request_plan = make_plan(services.Work.AT_MOST_ONCE)
+    step = attempt(request_plan, result)
     assert step in (Step.ANSWER_UNKNOWN, Step.RELAY)
 
 
@@ -55,63 +55,63 @@
 def test_work_proved_not_to_have_run_is_tried_elsewhere(
     result: plan.AttemptResult,
 ) -> None:
-    one = make_plan(services.Work.AT_MOST_ONCE)
-    assert attempt(one, result) is Step.TRY_AGAIN
-    assert one.excluded == ("t0",)
+    request_plan = make_plan(services.Work.AT_MOST_ONCE)
+    assert attempt(request_plan, result) is Step.TRY_AGAIN
+    assert request_plan.excluded == ("t0",)
 
 
 def test_not_run_is_said_when_every_target_turned_it_away() -> None:
-    one = make_plan(services.Work.AT_MOST_ONCE, attempts=2)
-    assert attempt(one, Result.TURNED_AWAY) is Step.TRY_AGAIN
-    assert attempt(one, Result.TURNED_AWAY) is Step.ANSWER_NOT_RUN
+    request_plan = make_plan(services.Work.AT_MOST_ONCE, attempts=2)
+    assert attempt(request_plan, Result.TURNED_AWAY) is Step.TRY_AGAIN
+    assert attempt(request_plan, Result.TURNED_AWAY) is Step.ANSWER_NOT_RUN
 
 
 def test_refusal_of_a_later_target_proves_nothing_of_an_earlier_one() -> None:
-    # Idempotent work breaks off at one target and is turned away by the next. The
+    # An attempt at idempotent work breaks off, and the next target turns it away. The
     # first may have run it, so "not run" would be false.
-    one = make_plan(services.Work.IDEMPOTENT, attempts=2)
-    assert attempt(one, Result.BROKEN) is Step.TRY_AGAIN
-    assert attempt(one, Result.TURNED_AWAY) is Step.ANSWER_UNKNOWN
+    request_plan = make_plan(services.Work.IDEMPOTENT, attempts=2)
+    assert attempt(request_plan, Result.BROKEN) is Step.TRY_AGAIN
+    assert attempt(request_plan, Result.TURNED_AWAY) is Step.ANSWER_UNKNOWN
 
 
 def test_error_of_idempotent_work_is_tried_again_and_kept_as_last_resort() -> None:
-    one = make_plan(services.Work.IDEMPOTENT, attempts=2)
-    assert attempt(one, Result.ERROR) is Step.TRY_AGAIN
-    assert attempt(one, Result.BROKEN) is Step.RELAY
+    request_plan = make_plan(services.Work.IDEMPOTENT, attempts=2)
+    assert attempt(request_plan, Result.ERROR) is Step.TRY_AGAIN
+    assert attempt(request_plan, Result.BROKEN) is Step.RELAY
 
 
 def test_no_attempt_starts_just_before_the_deadline() -> None:
-    one = make_plan(services.Work.IDEMPOTENT)
-    assert attempt(one, Result.BROKEN, now=0.99) is Step.ANSWER_UNKNOWN
+    request_plan = make_plan(services.Work.IDEMPOTENT)
+    assert attempt(request_plan, Result.BROKEN, now=0.99) is Step.ANSWER_UNKNOWN
 
 
 @hypothesis.given(
     work=st.sampled_from(list(services.Work)),
-    most=st.integers(1, 4),
+    target_limit=st.integers(1, 4),
     results=st.lists(st.sampled_from(list(Result)), min_size=1, max_size=12),
 )
 def test_promises_hold_for_any_results(
-    work: services.Work, most: int, results: list[plan.AttemptResult]
+    work: services.Work, target_limit: int, results: list[plan.AttemptResult]
 ) -> None:
-    one = make_plan(work, most)
+    request_plan = make_plan(work, target_limit)
     runs = 0
     step = Step.TRY_AGAIN
     for result in results:
         if step is not Step.TRY_AGAIN:
             break
-        step = attempt(one, result)
+        step = attempt(request_plan, result)
         runs += result not in NOT_RUN
-    assert one.sent <= most
+    assert request_plan.sent <= target_limit
     if work is services.Work.AT_MOST_ONCE:
         assert runs <= 1
-    final = one.give_up() if step is Step.TRY_AGAIN else step
+    final = request_plan.give_up() if step is Step.TRY_AGAIN else step
     if final is Step.ANSWER_NOT_RUN:
         assert runs == 0
 
 
-def start(one: plan.Plan) -> None:
-    one.start_attempt(f"t{one.attempts}")
-    one.mark_sent()
+def start(request_plan: plan.Plan) -> None:
+    request_plan.start_attempt(f"t{request_plan.attempts}")
+    request_plan.mark_sent()
 
 
 @pytest.mark.parametrize(
@@ -120,78 +120,78 @@
 def test_plan_waits_for_the_first_attempt_when_its_backup_fails(
     result: plan.AttemptResult,
 ) -> None:
-    # Idempotent work is overdue at one target, and the backup fails. The first target
-    # still works on it: an error now would be wrong, since its answer may come.
-    one = make_plan(services.Work.IDEMPOTENT, attempts=2)
-    start(one)
-    start(one)
-    assert one.end_attempt(result, now=0.3) is Step.WAIT
-    assert one.end_attempt(Result.ANSWERED, now=0.4) is Step.RELAY
+    # Idempotent work is overdue at one target, and the backup attempt fails. The first
+    # target still works on it and may answer, so an error now would be wrong.
+    request_plan = make_plan(services.Work.IDEMPOTENT, attempts=2)
+    start(request_plan)
+    start(request_plan)
+    assert request_plan.end_attempt(result, now=0.3) is Step.WAIT
+    assert request_plan.end_attempt(Result.ANSWERED, now=0.4) is Step.RELAY
 
 
 def test_plan_waits_for_an_attempt_when_no_backup_is_available() -> None:
-    one = make_plan(services.Work.IDEMPOTENT, attempts=2)
-    start(one)
-    assert one.give_up() is Step.WAIT
-    assert one.end_attempt(Result.BROKEN, now=0.3) is Step.TRY_AGAIN
+    request_plan = make_plan(services.Work.IDEMPOTENT, attempts=2)
+    start(request_plan)
+    assert request_plan.give_up() is Step.WAIT
+    assert request_plan.end_attempt(Result.BROKEN, now=0.3) is Step.TRY_AGAIN
 
 
 def test_answer_stays_the_answer_when_another_attempt_fails_after_it() -> None:
-    one = make_plan(services.Work.IDEMPOTENT, attempts=3)
-    start(one)
-    start(one)
-    assert one.end_attempt(Result.ANSWERED, now=0.3) is Step.RELAY
-    assert one.end_attempt(Result.BROKEN, now=0.3) is Step.RELAY
+    request_plan = make_plan(services.Work.IDEMPOTENT, attempts=3)
+    start(request_plan)
+    start(request_plan)
+    assert request_plan.end_attempt(Result.ANSWERED, now=0.3) is Step.RELAY
+    assert request_plan.end_attempt(Result.BROKEN, now=0.3) is Step.RELAY
 
 
 def test_deadline_ends_a_request_with_an_attempt_in_flight() -> None:
-    one = make_plan(services.Work.IDEMPOTENT)
-    start(one)
-    assert one.decide_final() is Step.ANSWER_UNKNOWN
+    request_plan = make_plan(services.Work.IDEMPOTENT)
+    start(request_plan)
+    assert request_plan.decide_final() is Step.ANSWER_UNKNOWN
 
 
 def test_deadline_can_only_be_brought_forward() -> None:
-    one = make_plan(services.Work.IDEMPOTENT)
-    one.bring_deadline_forward(2.0)
-    assert one.deadlines.deadline_at == 1.0
-    one.bring_deadline_forward(0.4)
-    assert one.deadlines.deadline_at == 0.4
+    request_plan = make_plan(services.Work.IDEMPOTENT)
+    request_plan.bring_deadline_forward(2.0)
+    assert request_plan.deadlines.deadline_at == 1.0
+    request_plan.bring_deadline_forward(0.4)
+    assert request_plan.deadlines.deadline_at == 0.4
 
 
 @hypothesis.given(
-    most=st.integers(1, 4),
+    target_limit=st.integers(1, 4),
     moves=st.lists(
         st.one_of(st.just(None), st.tuples(st.integers(0, 3), st.sampled_from(Result))),
         max_size=16,
     ),
 )
 def test_no_final_error_while_an_attempt_is_in_flight(
-    most: int, moves: list[tuple[int, plan.AttemptResult] | None]
+    target_limit: int, moves: list[tuple[int, plan.AttemptResult] | None]
 ) -> None:
     # A move without a result starts one more attempt; the others end one of those in
     # flight, in any order.
-    one = make_plan(services.Work.IDEMPOTENT, most)
+    request_plan = make_plan(services.Work.IDEMPOTENT, target_limit)
     in_flight = 0
     runs = 0
     for move in moves:
-        if one.is_answered:
+        if request_plan.is_answered:
             break
         if move is None:
-            if one.sent < most:
-                start(one)
+            if request_plan.sent < target_limit:
+                start(request_plan)
                 in_flight += 1
                 runs += 1
-            step = one.give_up() if in_flight else Step.TRY_AGAIN
+            step = request_plan.give_up() if in_flight else Step.TRY_AGAIN
         elif in_flight:
             in_flight -= 1
             runs -= move[1] in NOT_RUN
-            step = one.end_attempt(move[1], now=0.1)
+            step = request_plan.end_attempt(move[1], now=0.1)
         else:
             continue
-        if in_flight and not one.is_answered:
+        if in_flight and not request_plan.is_answered:
             assert step in (Step.WAIT, Step.TRY_AGAIN)
         if step is Step.ANSWER_NOT_RUN:
             assert runs == 0
-    if one.decide_final() is Step.ANSWER_NOT_RUN:
+    if request_plan.decide_final() is Step.ANSWER_NOT_RUN:
         assert runs == 0
-    assert one.sent <= most
+    assert request_plan.sent <= target_limit
--- a/tests/forwarding/test_suspended_plan.py
+++ b/tests/forwarding/test_suspended_plan.py
@@ -36,14 +36,14 @@
             (configuration.WeightedService("s", 1),),
         )
         self.work = work
-        self.limit = attempts
+        self.max_attempts = attempts
         self.now = 0.0
         self.true_now = 0.0
         self.plan = plan.Plan(route, plan.Deadlines(1.0, 2.0))
         self.sent: list[str] = []
         self.ran: list[str] = []
         self.turned_away: list[str] = []
-        self.at_work: str | None = None
+        self.in_flight_at: str | None = None
         self.step = Step.TRY_AGAIN
         self.final: Step | None = None
 
@@ -54,24 +54,24 @@
         self.plan.start_attempt(name)
         self.plan.mark_sent()
         self.sent.append(name)
-        self.at_work = name
+        self.in_flight_at = name
 
     @stateful.precondition(lambda self: self._list_idle())
     @stateful.rule(data=st.data())
     def target_runs(self, data: st.DataObject) -> None:
         self.ran.append(data.draw(st.sampled_from(self._list_idle())))
 
-    @stateful.precondition(lambda self: self.at_work and self.final is None)
+    @stateful.precondition(lambda self: self.in_flight_at and self.final is None)
     @stateful.rule(result=st.sampled_from(list(plan.AttemptResult)))
     def attempt_ends(self, result: plan.AttemptResult) -> None:
-        name = self.at_work
+        name = self.in_flight_at
         assert name is not None
         if result is plan.AttemptResult.UNREACHABLE:
-            return  # Nothing was sent, so a sent attempt can't end so.
+            return  # An attempt that was sent did connect.
         proves_not_run = result in plan.PROVED_NOT_RUN
         has_run = name in self.ran
         if proves_not_run and has_run:
-            return  # A target doesn't refuse what it has run.
+            return  # A target does not refuse work that it has run.
         if (
             result in (plan.AttemptResult.ANSWERED, plan.AttemptResult.ERROR)
             and not has_run
@@ -79,7 +79,7 @@
             self.ran.append(name)
         if proves_not_run:
             self.turned_away.append(name)
-        self.at_work = None
+        self.in_flight_at = None
         self.step = self.plan.end_attempt(result, self.now)
         if self.step is not Step.TRY_AGAIN:
             self.final = self.step
@@ -98,13 +98,13 @@
 
     def _expire(self) -> None:
         if self.final is None and self.now >= self.plan.deadlines.deadline_at:
-            if self.at_work is not None:
+            if self.in_flight_at is not None:
                 self.plan.abandon_attempt()
-                self.at_work = None
+                self.in_flight_at = None
             self.final = self.plan.decide_final()
 
     def _may_try(self) -> bool:
-        is_idle = self.at_work is None and self.final is None
+        is_idle = self.in_flight_at is None and self.final is None
         return is_idle and self.step is Step.TRY_AGAIN
 
     def _list_idle(self) -> list[str]:
@@ -118,7 +118,7 @@
     def once_only_work_runs_once(self) -> None:
         if self.work is not services.Work.IDEMPOTENT:
             assert len(self._list_idle()) + len(self.ran) <= 1
-        assert len(self.sent) <= self.limit
+        assert len(self.sent) <= self.max_attempts
 
     @stateful.invariant()
     def not_run_is_true(self) -> None:
--- a/tests/quarantine/test_suspect.py
+++ b/tests/quarantine/test_suspect.py
@@ -16,8 +16,8 @@
 def crash(
     ended_at: float, number: int, duration: float = DURATION_S
 ) -> suspect.Suspect:
-    one = suspect.Crash(ended_at, duration, f"t{number}:1")
-    return suspect.Suspect((one,))
+    found = suspect.Crash(ended_at, duration, f"t{number}:1")
+    return suspect.Suspect((found,))
 
 
 def merge_all(*partial_records: suspect.Suspect) -> suspect.Suspect:
@@ -37,7 +37,7 @@
 
 
 def test_targets_that_fail_at_the_same_moment_count_once() -> None:
-    # A rack fails while equal requests of many callers are at all of its targets.
+    # A rack fails while all of its targets hold equal requests of many callers.
     rng = random.Random(1)
     parts = [crash(100.0, n, duration=rng.uniform(0.005, 0.5)) for n in range(30)]
     assert merge_all(*parts).count_consecutive() == 1
@@ -62,7 +62,7 @@
 
 
 def test_equal_requests_at_a_rack_that_fails_wait_for_one_of_them() -> None:
-    # None was answered recently, so nothing clears them until a trial is answered.
+    # None of them was answered recently, so only an answered trial clears them.
     records = quarantine.Quarantine()
     for number in range(30):
         records.merge("a", crash(100.0, number, duration=0.3))
@@ -156,7 +156,8 @@
 
 
 def test_popular_request_that_was_cleared_is_announced_once() -> None:
-    # It is answered all the time. Announced with each answer, it would never stop.
+    # It is answered all the time. If each answer were announced, announcements would
+    # never end.
     records = quarantine.Quarantine()
     records.merge("a", crash_consecutively(2))
     assert records.record_answer("a", 102.0)
@@ -169,7 +170,7 @@
 
 
 def test_answered_request_that_begins_to_crash_targets_is_quarantined() -> None:
-    # Earlier answers count for less than the time in which all VMs must know.
+    # An answer clears later crashes for a shorter time than VMs have to learn of them.
     records = quarantine.Quarantine()
     records.record_answer("a", 100.0)
     for number in range(20):
--- a/tests/scripted_run.py
+++ b/tests/scripted_run.py
@@ -28,8 +28,8 @@
 
 TIME_LIMIT_S = 2.0
 EXPECTED_DURATION_S = 0.1
-"""Expected duration in seconds. An attempt at a target that surely works is overdue
-after four times this duration."""
+"""Expected duration in seconds. An attempt at a target that is proven healthy is
+overdue after four times this duration."""
 
 Result = plan.AttemptResult
 NOT_SENT = {Result.UNREACHABLE}
@@ -136,7 +136,7 @@
 
 
 class NoSuspects:
-    """Suspect record without suspects."""
+    """Suspect records that contain no request."""
 
     def find_hold_end(self, fingerprint: str, now: float) -> float | None:
         """Return None: the request is not quarantined."""
