--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/pool.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/pool.py
@@ -7,9 +7,9 @@
 
 Load pattern: some targets fail most requests for seconds and answer them faster than
 any other, so they look idle. A policy that chooses the least busy target sends most
-requests to them. Choosing the cheapest target keeps work that may run only once on
-targets that are proven healthy. Idempotent work, which can be retried, also goes to
-targets that may be failing, and so tests them.
+requests to them. The cheapest target for work that may run only once is one of the few
+that are proven healthy, as long as they have slots. Idempotent work, which can be
+retried, also goes to targets that may be failing, and so tests them.
 """
 
 from __future__ import annotations
@@ -66,8 +66,8 @@
 """Seconds without a new grant after which a target counts as idle."""
 
 IDLE_GAIN = 0.25
-"""Value of learning about an idle target while too many requests are not served, in
-the unit of costs."""
+"""Value of learning about an idle target while too many requests are not served; it
+lowers the cost of the target."""
 
 COLD_SLOWNESS = 2.0
 """Factor by which the slowness of a target is multiplied until it has warmed up."""
@@ -153,9 +153,9 @@
         self._unlimited_at = -math.inf
         self._granted_at = now
         self._paused_until = 0.0
-        self._trial_at = 0.0
+        self._next_trial_at = 0.0
         self._unreachable_until: dict[str, float] = {}
-        self._estimated_until = 0.0
+        self._estimates_valid_until = 0.0
         self._request_failure_probability = 0.0
         self._failing_probability = 0.0
         self._slowness = 1.0
@@ -208,28 +208,28 @@
     def update_failure_estimate(self, failed: bool, now: float) -> None:
         """Update the failing probability by one outcome."""
         self.failure_estimate.record_outcome(failed, now)
-        self._estimated_until = 0.0
+        self._estimates_valid_until = 0.0
 
     def record_slowness(self, ratio: float, now: float) -> None:
         """Record that work took `ratio` times the usual duration."""
         self.slowness.add(ratio, now)
-        self._estimated_until = 0.0
+        self._estimates_valid_until = 0.0
 
     def record_overdue(self, ratio: float, now: float) -> None:
         """Record that unfinished work takes at least `ratio` times the usual."""
         self.slowness.raise_to(ratio, now)
-        self._estimated_until = 0.0
+        self._estimates_valid_until = 0.0
 
     def set_estimates(self, failing: float, slowness: float, now: float) -> None:
         """Set the estimates to those of another dispatcher."""
         self.failure_estimate.set_failing_probability(failing, now)
         self.slowness.set(slowness, now)
-        self._estimated_until = 0.0
+        self._estimates_valid_until = 0.0
 
     def _update_estimates(self, now: float) -> None:
-        if now < self._estimated_until:
+        if now < self._estimates_valid_until:
             return
-        self._estimated_until = now + ESTIMATE_CACHE_S
+        self._estimates_valid_until = now + ESTIMATE_CACHE_S
         self._failing_probability = self.failure_estimate.find_failing_probability(now)
         self._request_failure_probability = (
             self.failure_estimate.find_request_failure_probability(now)
@@ -244,17 +244,17 @@
         self._granted_at = now
 
     def is_idle(self, now: float) -> bool:
-        """Return whether no slot was granted for `IDLE_AFTER_S`."""
+        """Return whether it has had no new grant for `IDLE_AFTER_S`."""
         return now - self._granted_at > IDLE_AFTER_S
 
     def may_be_tried(self, now: float) -> bool:
         """Return whether the interval since its last trial has passed."""
-        return now >= self._trial_at
+        return now >= self._next_trial_at
 
     def record_trial(self, now: float) -> None:
-        """Record that a request was sent to test it."""
+        """Record that a request is sent to it as a trial."""
         pause = TRIAL_INTERVAL_SHARE * self.failure_estimate.mean_failure_duration
-        self._trial_at = now + min(
+        self._next_trial_at = now + min(
             MAX_TRIAL_INTERVAL_S, max(MIN_TRIAL_INTERVAL_S, pause)
         )
 
@@ -297,7 +297,7 @@
         self.rates = failure_estimates.FailureRates()
         self._kinds = kinds
         self._states: dict[str, TargetState] = {}
-        self._summed_until = 0.0
+        self._sums_valid_until = 0.0
         self._capacity = 0.0
         self._proven_slots = 0.0
 
@@ -306,9 +306,9 @@
     ) -> None:
         """Replace the set of targets."""
         states: dict[str, TargetState] = {}
-        # The first targets of a new dispatcher are not new processes. Their estimate
-        # for new processes would send its first requests to many targets instead of the
-        # few that have answered.
+        # The first targets of a new dispatcher are not new processes. The estimate for
+        # new processes would send its first requests to many targets instead of the few
+        # that have answered.
         failing = (
             failure_estimates.NEW_TARGET_FAILING_PROBABILITY
             if self._states
@@ -321,7 +321,7 @@
             state.entry = entry
             states[entry.target_id] = state
         self._states = states
-        self._summed_until = 0.0
+        self._sums_valid_until = 0.0
 
     def find(self, target_id: str) -> TargetState | None:
         """Return the state of a target, or None if it is not in the pool."""
@@ -391,9 +391,9 @@
         return self._capacity
 
     def _update_sums(self, now: float) -> None:
-        if now < self._summed_until:
+        if now < self._sums_valid_until:
             return
-        self._summed_until = now + SUMMARY_CACHE_S
+        self._sums_valid_until = now + SUMMARY_CACHE_S
         proven, unproven = 0.0, 0.0
         mean = self._kinds.find_overall_mean()
         self._proven_slots = 0.0
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/retry_window.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/retry_window.py
@@ -81,8 +81,8 @@
     """Counts requests and retries of a service over a sliding window.
 
     Retries of many VMs together amplify an overload: each failed attempt adds another.
-    Counted where all slot requests of a service arrive, they stay a fixed share of its
-    requests whatever fails.
+    The dispatcher that receives the slot requests of a service counts them, so that
+    retries stay a fixed share of requests whatever fails.
 
     Parameters
     ----------
@@ -114,7 +114,7 @@
         self._span = span
         self._counter = counter
         self._newest = 0
-        self._first_renumbered = 0
+        self._first_number_to_send = 0
         self._requests = [0] * KEPT_BUCKETS
         self._retries = [0] * KEPT_BUCKETS
         self._reserved = 0
@@ -149,8 +149,9 @@
                 [(now - bucket.ago, bucket) for bucket in own]
             )
             self._received = self._sum_by_bucket(counted)
-            # Other VMs have these counts under the bucket numbers of the former window.
-            self._first_renumbered = self._newest + 1
+            # Other VMs have received the counts up to now under bucket numbers of the
+            # former window, so these buckets are not sent again.
+            self._first_number_to_send = self._newest + 1
         self._ratio = ratio
         self._headroom = None
 
@@ -352,7 +353,9 @@
     def _list_sent_buckets(self, now: float, count: int) -> list[Bucket]:
         """Return the newest buckets that were not sent under other numbers before."""
         buckets = self._list_buckets(now, count)
-        return [bucket for bucket in buckets if bucket.number >= self._first_renumbered]
+        return [
+            bucket for bucket in buckets if bucket.number >= self._first_number_to_send
+        ]
 
     def _find_bucket_number(self, at: float) -> int:
         return math.floor(at * BUCKETS_PER_WINDOW / self._span)
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/shards.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/shards.py
@@ -96,8 +96,9 @@
 ) -> tuple[Shard, ...]:
     """Return the shards of a service with these targets.
 
-    While VMs know of different targets, they may divide a service differently and run
-    more dispatchers than needed, as while they disagree on which VM dispatches.
+    VMs that briefly know different targets may divide a service differently. They then
+    run more dispatchers than needed, as they do while they disagree on which VM
+    dispatches.
     """
     sizes = collections.Counter(entry.data_centre for entry in entries)
     total = sizes.total()
--- a/packages/zinniastand-core/src/zinniastand_core/dispatch/waiting.py
+++ b/packages/zinniastand-core/src/zinniastand_core/dispatch/waiting.py
@@ -19,9 +19,9 @@
 
 WORK_TIME_MARGIN = 2.0
 """Multiple of the mean duration of work that must remain until the objective after the
-wait in a standing queue; five of six pieces of work end within it. Every request waits
-as long as a standing queue allows: with one mean duration left, hardly any answer would
-be on time."""
+wait in a standing queue; five of six pieces of work end within it. In a standing queue,
+every request waits as long as is allowed: with only one mean duration left, hardly any
+answer would be on time."""
 
 STANDING_QUEUE_AFTER_S = 1.0
 """Seconds after which a queue that makes answers late counts as standing. A standing
