--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -31,7 +31,7 @@
     return loads.Load(
         rate=rate,
         seconds=20.0,
-        count=count,
+        target_count=count,
         onset=1 / 21,
         recovery=1 / 9,
         fails=fails,
@@ -89,7 +89,7 @@
     return Worth(
         statistics.fmean(served),
         statistics.fmean(one.in_time_share for one in results),
-        statistics.fmean(one.opened / max(1, one.asked) for one in results),
+        statistics.fmean(one.opened / max(1, one.request_count) for one in results),
         statistics.stdev(served),
     )
 
--- a/bench/retry_fleet.py
+++ b/bench/retry_fleet.py
@@ -22,7 +22,7 @@
 from zinniastand_core import services
 from zinniastand_core.deployment import configuration, targets
 from zinniastand_core.forwarding import plan
-from zinniastand_platform import words
+from zinniastand_platform import wire_names
 from zinniastand_proxy.edge import (
     calls,
     datagrams,
@@ -52,7 +52,7 @@
         "kills": (retry_loads.Kill(9.5, 0.2), retry_loads.Kill(12.0, 0.2))
     },
     "loads swing by 30%": {"wave": 0.3},
-    "a burst of 1.7 until 8 s": {"surge": retry_loads.Spell(0.0, 8.0, 0.7)},
+    "a burst of 1.7 until 8 s": {"surge": retry_loads.TimedShare(0.0, 8.0, 0.7)},
 }
 
 
@@ -133,13 +133,13 @@
         await anyio.sleep(FAIL_TIME)
         now = anyio.current_time()
         share = self.load.unreachable.find_share(now - self._begin)
-        if self.registry.list_entries().index(target) < share * self.load.count:
+        if self.registry.list_entries().index(target) < share * self.load.target_count:
             return target_client.Attempt(
                 plan.AttemptResult.UNREACHABLE, None, "refused"
             )
         mark_sent()
         headers = dict(request.headers)
-        name = headers[words.HEADERS.request_id].decode()
+        name = headers[wire_names.HEADERS.request_id].decode()
         self._arrivals.append((now, name))
         is_full = self._busy[target.target_id] >= 2 * target.slots
         if is_full or self._rng.random() < self.load.shed.find_share(now - self._begin):
@@ -177,7 +177,7 @@
                 0.0,
                 n + 1,
             )
-            for n in range(self.load.count)
+            for n in range(self.load.target_count)
         ]
 
     def _name_place(self, number: int) -> str:
@@ -279,7 +279,7 @@
 
     async def _call(self, vm: retry_vms.Vm, name: str, work: services.Work) -> None:
         now = anyio.current_time()
-        headers = [(words.HEADERS.request_id, name.encode())]
+        headers = [(wire_names.HEADERS.request_id, name.encode())]
         request = http_exchange.Request(b"GET", b"/x", headers, b"", False)
         incoming = calls.Incoming(request, "h", now, calls.Caller())
         route = configuration.Route(
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/caller_connection.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/caller_connection.py
@@ -24,7 +24,7 @@
 
 from zinniastand_core.deployment import configuration
 
-from . import calls, exchanges, request_parser
+from . import caller_exchange, calls, request_parser
 
 LINGER_TIMEOUT_S = 0.5
 """Seconds for which unread input is drained between the last answer and the close, so
@@ -40,7 +40,7 @@
 """Limit on the total bytes of buffered request bodies. A body is kept until its request
 is answered, because it may have to be sent again. Without a limit, many long bodies at
 once would exhaust the VM's memory, and the killed process would drop all connections.
-The smallest VMs have 200 MB, of which an idle process takes 35."""
+The smallest VMs have 200 MB, of which an idle process takes 35 MB."""
 
 MAX_PIPELINED_REQUESTS = 8
 """Limit on the unanswered requests of one connection. Later ones are parsed when an
@@ -93,9 +93,9 @@
         self.in_flight = 0
         self.overlapping = 0
         self.held_bytes = 0
-        self.idle: set[Connection] = set()
-        self.answering: set[Connection] = set()
-        self.lingering: set[Connection] = set()
+        self.idle: set[CallerConnection] = set()
+        self.answering: set[CallerConnection] = set()
+        self.lingering: set[CallerConnection] = set()
 
     def reserve(self, size: int) -> None:
         """Add bytes of a request body to the total.
@@ -110,13 +110,13 @@
             headers = [(b"retry-after", RETRY_AFTER_S)]
             raise request_parser.BadRequestError(503, headers)
 
-    def remove(self, connection: Connection) -> None:
-        """Remove a connection from the groups by state."""
+    def remove(self, connection: CallerConnection) -> None:
+        """Remove a connection from the sets of idle, answering and lingering ones."""
         for group in (self.idle, self.answering, self.lingering):
             group.discard(connection)
 
 
-class Connection:
+class CallerConnection:
     """One caller's connection.
 
     Parameters
@@ -131,11 +131,13 @@
         self._stream = stream
         self._shared = shared
         self._parser = request_parser.RequestParser(shared.read_limits, shared.reserve)
-        self._exchanges: collections.deque[exchanges.Exchange] = collections.deque()
+        self._exchanges: collections.deque[caller_exchange.CallerExchange] = (
+            collections.deque()
+        )
         self._group: anyio.abc.TaskGroup | None = None
         self._read_scope = anyio.CancelScope()
         self._changed = anyio.Event()
-        self._capacity_at = -math.inf
+        self._answered_at = -math.inf
         self._received_at = -math.inf
         self._accepts_requests = True
         self._has_read_last = False
@@ -167,7 +169,10 @@
             self._read_scope.deadline = -math.inf
 
     async def _serve_exchanges(self) -> bool:
-        """Read and answer concurrently; return whether an answer closed the series."""
+        """Read and answer concurrently until the connection ends.
+
+        Returns whether an answer was sent after which the connection closes.
+        """
         is_answered = False
         async with anyio.create_task_group() as group:
             self._group = group
@@ -177,7 +182,7 @@
         return is_answered
 
     async def _read_all(self) -> bool:
-        """Read until the connection ends, and start the requests that have arrived."""
+        """Read until the connection ends, and start requests that are complete."""
         try:
             while True:
                 self._parse_requests()
@@ -202,7 +207,9 @@
                 if parsed is None:
                     break
                 may_overlap = self._shared.may_overlap(parsed.incoming)
-                self._add(exchanges.Exchange(parsed, parsed.engine, may_overlap))
+                self._add(
+                    caller_exchange.CallerExchange(parsed, parsed.engine, may_overlap)
+                )
                 self._has_read_last = parsed.engine.their_state is h11.MUST_CLOSE
                 # After an upgrade request, the answer decides what the next bytes are.
                 self._accepts_requests = parsed.engine.their_state is h11.DONE
@@ -214,11 +221,13 @@
     def _refuse(self, error: request_parser.BadRequestError) -> None:
         """Queue the answer to a malformed request and accept no further requests."""
         reply = calls.Reply(error.status, error.headers, b"")
-        self._add(exchanges.Exchange(None, self._parser.engine, False, reply))
+        self._add(
+            caller_exchange.CallerExchange(None, self._parser.engine, False, reply)
+        )
         self._accepts_requests = False
         self._has_read_last = True
 
-    def _add(self, exchange: exchanges.Exchange) -> None:
+    def _add(self, exchange: caller_exchange.CallerExchange) -> None:
         self._exchanges.append(exchange)
         self._shared.answering.add(self)
         self._notify_changed()
@@ -236,12 +245,14 @@
                 self._start(exchange, is_overlapping=not is_first)
             may_start_later = may_start_later and exchange.may_overlap
 
-    def _may_start_early(self, exchange: exchanges.Exchange) -> bool:
+    def _may_start_early(self, exchange: caller_exchange.CallerExchange) -> bool:
         return (
             exchange.may_overlap and self._shared.overlapping < MAX_OVERLAPPING_REQUESTS
         )
 
-    def _start(self, exchange: exchanges.Exchange, is_overlapping: bool) -> None:
+    def _start(
+        self, exchange: caller_exchange.CallerExchange, is_overlapping: bool
+    ) -> None:
         exchange.is_started = True
         exchange.is_overlapping = is_overlapping
         self._shared.in_flight += 1
@@ -249,7 +260,7 @@
         if self._group is not None:
             self._group.start_soon(self._run, exchange)
 
-    async def _run(self, exchange: exchanges.Exchange) -> None:
+    async def _run(self, exchange: caller_exchange.CallerExchange) -> None:
         if exchange.parsed is not None:
             exchange.reply = await self._handle(exchange.parsed.incoming)
             self._notify_changed()
@@ -264,7 +275,7 @@
             return await self._shared.handler.handle(incoming)
         except Exception as error:
             self._shared.report_error(error)
-            return exchanges.INTERNAL_ERROR_REPLY
+            return caller_exchange.INTERNAL_ERROR_REPLY
 
     async def _answer_all(self) -> bool:
         """Send answers in request order until the connection is to close.
@@ -290,12 +301,12 @@
             self._drop(self._exchanges.popleft())
             if must_close or not exchange.is_connection_reusable:
                 return True
-            self._capacity_at = anyio.current_time()
+            self._answered_at = anyio.current_time()
             self._accepts_requests = self._accepts_requests or not self._exchanges
             self._parse_requests()
 
-    def _drop(self, exchange: exchanges.Exchange) -> None:
-        """Release the resources of a request that is answered or abandoned."""
+    def _drop(self, exchange: caller_exchange.CallerExchange) -> None:
+        """Release what is counted for a request that is answered or abandoned."""
         if exchange.parsed is not None:
             self._release(exchange.parsed.body_bytes)
             self._shared.in_flight -= exchange.is_started
@@ -333,21 +344,22 @@
         Called after each change of that state, also while a read is pending.
         """
         parser = self._parser
-        is_between = parser.first_byte_at is None
-        if is_between and not self._exchanges and not self._has_ended:
+        is_between_requests = parser.first_byte_at is None
+        if is_between_requests and not self._exchanges and not self._has_ended:
             self._shared.idle.add(self)
         else:
             self._shared.idle.discard(self)
         self._read_scope.deadline = self._find_deadline()
 
     def _find_deadline(self) -> float:
+        """Return when waiting for the next bytes times out; infinite for never."""
         parser, limits = self._parser, self._parser.limits
         if not self._accepts_requests or len(self._exchanges) >= MAX_PIPELINED_REQUESTS:
             return math.inf
         if parser.is_in_body:
-            return max(self._received_at, self._capacity_at) + limits.idle_timeout
+            return max(self._received_at, self._answered_at) + limits.idle_timeout
         if parser.first_byte_at is not None:
-            return max(parser.first_byte_at, self._capacity_at) + limits.head_timeout
+            return max(parser.first_byte_at, self._answered_at) + limits.head_timeout
         if self._exchanges:
             return math.inf
         return anyio.current_time() + limits.idle_timeout
@@ -375,7 +387,9 @@
             self._parser.feed(data, self._received_at)
         return True
 
-    async def _send(self, exchange: exchanges.Exchange, must_close: bool) -> None:
+    async def _send(
+        self, exchange: caller_exchange.CallerExchange, must_close: bool
+    ) -> None:
         reply = exchange.reply
         if reply is None:
             return
@@ -385,7 +399,7 @@
             # The request has run. A final answer tells the caller more than a closed
             # connection would.
             self._shared.report_error(error)
-            data = exchanges.INTERNAL_ERROR_BYTES
+            data = caller_exchange.INTERNAL_ERROR_BYTES
         with anyio.fail_after(self._parser.limits.idle_timeout):
             await self._stream.send(data)
 
--- a/tests/edge/test_stopping.py
+++ b/tests/edge/test_stopping.py
@@ -18,7 +18,7 @@
 import pytest
 
 from zinniastand_core.deployment import configuration
-from zinniastand_platform import encoding, words
+from zinniastand_platform import encoding, wire_names
 from zinniastand_proxy.edge import (
     datagrams,
     forwarder,
@@ -34,7 +34,7 @@
 
 Break = collections.abc.Callable[[edge_site.Vm], None]
 
-LAUNCH = pathlib.Path(words.__file__).parent.parent / "launch.py"
+LAUNCH = pathlib.Path(wire_names.__file__).parent.parent / "launch.py"
 
 RUN_KEEPER = knowledge_keeper.KnowledgeKeeper.run
 
@@ -295,7 +295,7 @@
             vm.daemon.reload()
             vm.daemon.stop()
             assert (await receive_answer(stream)).startswith(b"HTTP/1.1 200 ")
-        assert {one["outcome"] for one in list_events(vm, "reload")} == {"in force"}
+        assert {entry["outcome"] for entry in list_events(vm, "reload")} == {"in force"}
 
 
 async def test_sighup_during_a_start_does_not_end_the_process(
