--- a/tests/dispatch/test_load_replay.py
+++ b/tests/dispatch/test_load_replay.py
@@ -34,7 +34,7 @@
     return dataclasses.replace(load, rate=share * base.capacity)
 
 
-def play_with_strikes(load: loads.Load, seed: int) -> loads.Result:
+def play_with_avoidance(load: loads.Load, seed: int) -> loads.Result:
     """Play the least-busy policy that avoids a target for 0.7 s after a failure."""
     return load_model.play_least_busy(load, seed, strike=0.7)
 
@@ -45,12 +45,12 @@
     load = make_load(0.4)
     results = play(load_model.play_dispatcher, load)
     least_busy = play(load_model.play_least_busy, load)
-    with_strikes = play(play_with_strikes, load)
+    with_avoidance = play(play_with_avoidance, load)
     assert mean(each.served_share for each in results) > 0.965
     assert mean(each.served_share for each in least_busy) < 0.8
     failed_share = mean(each.failed / each.request_count for each in results)
     assert failed_share < 0.5 * mean(
-        each.failed / each.request_count for each in with_strikes
+        each.failed / each.request_count for each in with_avoidance
     )
 
 
@@ -70,8 +70,8 @@
     assert mean(each.served_by_kind["lookup"] for each in results) > 0.968
 
 
-def make_sticky_load(kind: loads.Kind, rate: float, count: int) -> loads.Load:
-    """Return a load of one kind, whose targets stay good or failing for long."""
+def make_slowly_changing_load(kind: loads.Kind, rate: float, count: int) -> loads.Load:
+    """Return a load of one kind, whose targets stay healthy or failing for long."""
     return loads.Load(
         rate=rate,
         seconds=40.0,
@@ -87,9 +87,13 @@
     # Guards against requests that test failing targets until no retries of the service
     # are left.
     short = loads.Kind("short", 1.0, 0.32, 2, 2, 1.0, 2.0)
-    results = play(load_model.play_dispatcher, make_sticky_load(short, 28.0, 7))
+    results = play(
+        load_model.play_dispatcher, make_slowly_changing_load(short, 28.0, 7)
+    )
     long = loads.Kind("long", 1.0, 0.97, 2, 2, 2.5, 4.0)
-    results += play(load_model.play_dispatcher, make_sticky_load(long, 11.0, 8))
+    results += play(
+        load_model.play_dispatcher, make_slowly_changing_load(long, 11.0, 8)
+    )
     assert mean(each.served_share for each in results) > 0.977
 
 
@@ -97,7 +101,7 @@
     # Guards against a new connection for nearly each request: 48 VMs share 11 targets,
     # and each VM sends a request to each target every 12 s.
     write = loads.Kind("write", 1.0, 0.24, 1, 1, 1.0, 2.5)
-    load = make_sticky_load(write, 45.0, 11)
+    load = make_slowly_changing_load(write, 45.0, 11)
     load = dataclasses.replace(load, vms=48)
     results = play(load_model.play_dispatcher, load)
     assert mean(each.opened / each.request_count for each in results) < 0.35
@@ -113,10 +117,10 @@
     # not make all requests late.
     load = make_load(0.8, lost_share=0.25)
     results = play(load_model.play_dispatcher, load)
-    with_strikes = play(play_with_strikes, load)
+    with_avoidance = play(play_with_avoidance, load)
     assert mean(each.in_time_share for each in results) > 0.55
     assert mean(each.in_time_share for each in results) > 2 * mean(
-        each.in_time_share for each in with_strikes
+        each.in_time_share for each in with_avoidance
     )
     assert mean(each.served_by_kind["write"] for each in results) > 0.85
 
