--- a/soak/plants.py
+++ b/soak/plants.py
@@ -143,7 +143,7 @@
         (
             Replacement(
                 f"{CORE_PATH}/deployment/targets.py",
-                "return entry.sequence <= known.sequence and not is_repeat",
+                "return entry.sequence <= latest.sequence and not is_repeat",
                 "return False",
             ),
         ),
