--- a/bench/retry_loads.py
+++ b/bench/retry_loads.py
@@ -11,24 +11,24 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Spell:
-    """A share of something that is wrong for some time."""
+class TimedShare:
+    """A share that applies from one time to another, and is 0 otherwise."""
 
     begin: float
-    """When it begins."""
+    """First second at which it applies."""
 
     end: float
-    """When it ends."""
+    """Second from which it no longer applies."""
 
     share: float
-    """How much of it is wrong."""
+    """Its value in between, from 0 to 1."""
 
     def find_share(self, now: float) -> float:
-        """Return the share at a time."""
+        """Return the share that applies at `now`."""
         return self.share if self.begin <= now < self.end else 0.0
 
 
-NEVER = Spell(0.0, 0.0, 0.0)
+NEVER = TimedShare(0.0, 0.0, 0.0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
     data_centres: int = 3
     """Data centres that they and the targets are spread over."""
 
-    count: int = 22
+    target_count: int = 22
     """Targets."""
 
     slots: int = 4
@@ -67,7 +67,7 @@
     seconds: float = 30.0
     """Seconds for which callers send."""
 
-    surge: Spell = NEVER
+    surge: TimedShare = NEVER
     """Share by which the rate is higher for a while."""
 
     wave: float = 0.0
@@ -79,23 +79,23 @@
     idempotent: float = 0.25
     """Share of requests that may run more than once."""
 
-    shed: Spell = NEVER
+    shed: TimedShare = NEVER
     """Share of arrivals that targets turn away."""
 
-    failing: Spell = NEVER
+    failing: TimedShare = NEVER
     """Share of arrivals that targets fail at once."""
 
-    unreachable: Spell = NEVER
+    unreachable: TimedShare = NEVER
     """Share of the targets that refuse connections."""
 
     kills: tuple[Kill, ...] = ()
     """Kills of VMs."""
 
-    lag: Spell = NEVER
-    """Share of datagrams that take `slow` seconds, as to a VM without processor."""
+    late_datagrams: TimedShare = NEVER
+    """Share of datagrams that arrive late, as at a VM that gets no processor time."""
 
-    slow: float = 0.12
-    """Seconds that a slow datagram takes."""
+    mean_late_delay_s: float = 0.12
+    """Mean of the seconds by which they are late; up to twice as many are drawn."""
 
     lost: float = 0.001
     """Share of datagrams that are lost."""
@@ -111,7 +111,7 @@
     worst: retry_audit.Span
     """The span with the most retries beyond the bound."""
 
-    asked: int
+    request_count: int
     """Requests that callers sent."""
 
     served: int
@@ -126,18 +126,18 @@
     @property
     def served_share(self) -> float:
         """Share of the requests that were served."""
-        return self.served / max(1, self.asked)
+        return self.served / max(1, self.request_count)
 
 
 def make_load(vms: int, **changes: object) -> Load:
     """Return a load that grows with the fleet, and turns half away from 8 s on."""
     load = Load(
         vms=vms,
-        count=round(vms * 0.65),
+        target_count=round(vms * 0.65),
         slots=3,
         rate=4.0 * vms,
         seconds=15.0,
-        shed=Spell(8.0, 14.0, 0.55),
+        shed=TimedShare(8.0, 14.0, 0.55),
         bound=retry_audit.Bound(BOUND.ratio, 1.6 * vms, BOUND.span),
     )
     return dataclasses.replace(load, **changes)  # type: ignore[arg-type]
--- a/tests/edge/test_earned_retries.py
+++ b/tests/edge/test_earned_retries.py
@@ -11,7 +11,7 @@
 from zinniastand_core.dispatch import messages
 from zinniastand_core.forwarding import plan
 
-Result = plan.Result
+Result = plan.AttemptResult
 
 
 class RecordingSlots(scripted_run.ScriptedSlots):
@@ -49,10 +49,13 @@
 @pytest.mark.parametrize(
     "changes",
     [
-        {"lag": retry_loads.Spell(0.0, 20.0, 0.3), "slow": 0.15},
-        {"unreachable": retry_loads.Spell(2.0, 9.0, 0.5)},
+        {
+            "late_datagrams": retry_loads.TimedShare(0.0, 20.0, 0.3),
+            "mean_late_delay_s": 0.15,
+        },
+        {"unreachable": retry_loads.TimedShare(2.0, 9.0, 0.5)},
         {"kills": (retry_loads.Kill(3.0, 0.2), retry_loads.Kill(6.0, 0.2))},
-        {"vms": 45, "count": 60, "rate": 300.0},
+        {"vms": 45, "target_count": 60, "rate": 300.0},
     ],
     ids=["late answers", "unreachable targets", "kills", "shards"],
 )
@@ -63,7 +66,7 @@
     load = dataclasses.replace(retry_loads.Load(seconds=10.0), **changes)  # type: ignore[arg-type]
     fleet = retry_fleet.Fleet(load, 1)
     result = fleet.play()
-    assert 0.9 * result.asked < fleet.count_requests() <= result.asked
+    assert 0.9 * result.request_count < fleet.count_requests() <= result.request_count
 
 
 def test_refused_requests_add_to_the_retry_budget() -> None:
@@ -71,5 +74,5 @@
     load = retry_loads.Load(seconds=8.0, rate=700.0)
     fleet = retry_fleet.Fleet(load, 1)
     result = fleet.play()
-    assert result.refused["overloaded"] > 0.3 * result.asked
-    assert fleet.count_requests() > 0.9 * result.asked
+    assert result.refused["overloaded"] > 0.3 * result.request_count
+    assert fleet.count_requests() > 0.9 * result.request_count
--- a/tests/edge/test_placement.py
+++ b/tests/edge/test_placement.py
@@ -104,7 +104,7 @@
     def answer_with_grant(self, *vms: str) -> None:
         def answer(vm: str, message: datagrams.Message) -> None:
             if vm in vms and isinstance(message, datagrams.SlotRequested):
-                grant = messages.Grant(message.ask.ticket, "t1", 0.1, 0.2)
+                grant = messages.Grant(message.request.ticket, "t1", 0.1, 0.2)
                 self.placement.handle_decision(grant)
 
         self.link.answer = answer
@@ -197,7 +197,7 @@
     fixture.fleet.suspect(fixture.first, fixture.now)
     await fixture.placement.acquire(fixture.make_slot_request("t:2"))
     adopted = [
-        (vm, message.held.slot_request.ticket)
+        (vm, message.held.granted_request.ticket)
         for vm, message in fixture.link.sent_messages
         if isinstance(message, datagrams.SlotHeld)
     ]
@@ -209,7 +209,7 @@
 
     def answer(vm: str, message: datagrams.Message) -> None:
         if isinstance(message, datagrams.SlotRequested):
-            fixture.placement.handle_decision(messages.Wait(message.ask.ticket))
+            fixture.placement.handle_decision(messages.Wait(message.request.ticket))
 
     fixture.link.answer = answer
     with anyio.move_on_after(0.7):
@@ -227,7 +227,7 @@
 
     def answer(vm: str, message: datagrams.Message) -> None:
         if isinstance(message, datagrams.SlotRequested):
-            site.placement.handle_decision(messages.Wait(message.ask.ticket))
+            site.placement.handle_decision(messages.Wait(message.request.ticket))
 
     site.link.answer = answer
     ask = dataclasses.replace(site.make_slot_request(), deadline_at=site.now + 0.3)
@@ -263,7 +263,7 @@
 
 def list_requested_shards(fixture: Fixture) -> list[shards.Shard]:
     return [
-        message.ask.shard
+        message.request.shard
         for _, message in fixture.link.sent_messages
         if isinstance(message, datagrams.SlotRequested)
     ]
@@ -285,7 +285,7 @@
     def answer(vm: str, message: datagrams.Message) -> None:
         if not isinstance(message, datagrams.SlotRequested):
             return
-        ticket, shard = message.ask.ticket, message.ask.shard
+        ticket, shard = message.request.ticket, message.request.shard
         if not refusing:
             refusing.append(shard)
         decision: messages.Decision = messages.Grant(ticket, "t1", 0.1, 0.2)
@@ -310,7 +310,9 @@
     def answer(vm: str, message: datagrams.Message) -> None:
         if isinstance(message, datagrams.SlotRequested):
             reason = messages.RefusalReason.OVERLOADED
-            refuse = messages.Refuse(message.ask.ticket, reason, fixture.now + 1, 3.0)
+            refuse = messages.Refuse(
+                message.request.ticket, reason, fixture.now + 1, 3.0
+            )
             fixture.placement.handle_decision(refuse)
 
     fixture.link.answer = answer
@@ -333,10 +335,10 @@
     for n in range(40):
         await fixture.placement.acquire(fixture.make_slot_request(f"n:{n}"))
     moved = [
-        message.held.slot_request.shard
+        message.held.granted_request.shard
         for _, message in fixture.link.sent_messages
         if isinstance(message, datagrams.SlotHeld)
-        and message.held.slot_request.ticket == "t:1"
+        and message.held.granted_request.ticket == "t:1"
     ]
     entry = fixture.registry.find("t1")
     assert entry is not None
@@ -364,7 +366,7 @@
     def answer(vm: str, message: datagrams.Message) -> None:
         if not isinstance(message, datagrams.SlotRequested):
             return
-        ticket = message.ask.ticket
+        ticket = message.request.ticket
         decision: messages.Decision = messages.Grant(ticket, "t1", 0.1, 0.2)
         if vm == fixture.first:
             reason = messages.RefusalReason.NO_TARGET
--- a/tests/edge/test_target_client.py
+++ b/tests/edge/test_target_client.py
@@ -15,7 +15,7 @@
 from zinniastand_core import services
 from zinniastand_core.deployment import targets
 from zinniastand_core.forwarding import plan
-from zinniastand_platform import words
+from zinniastand_platform import wire_names
 from zinniastand_proxy.edge import http_exchange, target_client
 
 pytestmark = pytest.mark.anyio
@@ -80,7 +80,7 @@
     body: bytes = b"",
     method: bytes = b"POST",
 ) -> target_client.Attempt:
-    client = client or target_client.TargetClient(words.HEADERS)
+    client = client or target_client.TargetClient(wire_names.HEADERS)
     request = dataclasses.replace(make_request(body), method=method)
     with anyio.fail_after(5.0):
         return await client.attempt(target, request, work, lambda: None)
@@ -89,7 +89,7 @@
 async def test_complete_signed_answer_counts() -> None:
     async with run_target(answer_with(GOOD)) as target:
         found = await attempt(target)
-    assert found.result is plan.Result.ANSWERED
+    assert found.result is plan.AttemptResult.ANSWERED
     assert found.answer is not None
     assert found.answer.body == b"ok"
 
@@ -112,7 +112,7 @@
     # refusal without proof must not become a promise that the request has not run.
     async with run_target(answer_with(answer)) as target:
         found = await attempt(target)
-    assert found.result is plan.Result.BROKEN
+    assert found.result is plan.AttemptResult.BROKEN
     assert found.answer is None
 
 
@@ -122,7 +122,7 @@
     unnamed = GOOD.replace(b"X-Request-Id: id-1\r\n", b"")
     async with run_target(answer_with(unnamed)) as target:
         found = await attempt(target)
-    assert found.result is plan.Result.BROKEN
+    assert found.result is plan.AttemptResult.BROKEN
     assert found.detail == "a success that names no request"
 
 
@@ -131,9 +131,13 @@
     # one, it counts as this request's answer too, which nothing proves.
     unnamed = b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
     async with run_target(answer_with(unnamed, unnamed, GOOD)) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         found = [(await attempt(target, client)).result for _ in range(3)]
-    assert found == [plan.Result.ERROR, plan.Result.ERROR, plan.Result.ANSWERED]
+    assert found == [
+        plan.AttemptResult.ERROR,
+        plan.AttemptResult.ERROR,
+        plan.AttemptResult.ANSWERED,
+    ]
     assert client.unidentified_answers == 1
 
 
@@ -144,7 +148,7 @@
 
     async with run_target(script) as target:
         found = await attempt(target)
-    assert found.result is plan.Result.ANSWERED
+    assert found.result is plan.AttemptResult.ANSWERED
     assert found.answer is not None
     assert found.answer.body == b"whole"
 
@@ -162,7 +166,7 @@
 
     async with run_target(script) as target:
         found = await attempt(target)
-    assert found.result is plan.Result.BROKEN
+    assert found.result is plan.AttemptResult.BROKEN
 
 
 async def test_late_answer_to_an_earlier_request_is_skipped() -> None:
@@ -170,7 +174,7 @@
     # an earlier request where the next answer is expected.
     async with run_target(answer_with(LATE + GOOD)) as target:
         found = await attempt(target)
-    assert found.result is plan.Result.ANSWERED
+    assert found.result is plan.AttemptResult.ANSWERED
 
 
 async def test_late_answer_does_not_end_the_wait_for_the_own_answer() -> None:
@@ -190,9 +194,9 @@
         await anyio.sleep(0.3)
 
     async with run_target(script) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         found = await attempt(target, client)
-    assert found.result is plan.Result.ANSWERED
+    assert found.result is plan.AttemptResult.ANSWERED
     assert not was_aborted
     assert client.foreign_answers == 1
 
@@ -214,7 +218,7 @@
             ended.set()
 
     async with run_target(script) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         async with anyio.create_task_group() as group:
             group.start_soon(attempt, target, client)
             await late_sent.wait()
@@ -240,7 +244,7 @@
 
     async with run_target(script) as target:
         found = await attempt(target, body=body)
-    assert found.result is plan.Result.ANSWERED
+    assert found.result is plan.AttemptResult.ANSWERED
 
 
 async def test_connection_that_a_late_answer_closes_is_not_reused() -> None:
@@ -248,10 +252,10 @@
     # meet the announced close.
     late = LATE.replace(b"Content-Length", b"Connection: close\r\nContent-Length")
     async with run_target(answer_with(late + GOOD, GOOD)) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         for _ in range(2):
             found = await attempt(target, client)
-            assert found.result is plan.Result.ANSWERED
+            assert found.result is plan.AttemptResult.ANSWERED
         assert client.opened_connections == 2
 
 
@@ -275,10 +279,10 @@
             before = last = method
 
     async with run_target(script) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         for method in methods:
             found = await attempt(target, client, method=method)
-            assert found.result is plan.Result.ANSWERED
+            assert found.result is plan.AttemptResult.ANSWERED
     assert last == methods[-1]
     assert client.opened_connections == 2
 
@@ -288,19 +292,19 @@
     # its deadline, and none of those answers may reach the caller.
     max_skipped = http_exchange.MAX_FOREIGN_ANSWERS
     async with run_target(answer_with(LATE * max_skipped + GOOD)) as target:
-        assert (await attempt(target)).result is plan.Result.ANSWERED
+        assert (await attempt(target)).result is plan.AttemptResult.ANSWERED
     async with run_target(answer_with(LATE * (max_skipped + 1) + GOOD)) as target:
         found = await attempt(target)
-    assert found.result is plan.Result.BROKEN
+    assert found.result is plan.AttemptResult.BROKEN
     assert found.answer is None
 
 
 async def test_connection_with_bytes_after_an_answer_is_not_reused() -> None:
     async with run_target(answer_with(GOOD + LATE, GOOD)) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         for _ in range(2):
             found = await attempt(target, client)
-            assert found.result is plan.Result.ANSWERED
+            assert found.result is plan.AttemptResult.ANSWERED
         assert client.opened_connections == 2
 
 
@@ -313,7 +317,7 @@
         await anyio.sleep(1.0)
 
     async with run_target(script) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         await attempt(target, client)
         await anyio.sleep(0.15)
         await attempt(target, client)
@@ -322,9 +326,9 @@
 
 async def test_connection_is_reused_within_its_reuse_timeout() -> None:
     async with run_target(answer_with(GOOD, GOOD, GOOD)) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         for _ in range(3):
-            assert (await attempt(target, client)).result is plan.Result.ANSWERED
+            assert (await attempt(target, client)).result is plan.AttemptResult.ANSWERED
         assert client.opened_connections == 1
 
 
@@ -332,7 +336,7 @@
     # Guards against requests lost on an idle connection that a network device between
     # VM and target has dropped. A new connection costs a millisecond.
     async with run_target(answer_with(GOOD, GOOD)) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         await attempt(target, client)
         await anyio.sleep(target_client.AT_MOST_ONCE_REUSE_TIMEOUT_S + 0.05)
         await attempt(target, client)
@@ -348,11 +352,11 @@
         await stream.receive()
 
     async with run_target(script) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         work = services.Work.IDEMPOTENT
         first = await attempt(target, client, work)
         second = await attempt(target, client, work)
-    assert second.result is plan.Result.ANSWERED
+    assert second.result is plan.AttemptResult.ANSWERED
     assert (first.is_resent, second.is_resent) == (False, True)
 
 
@@ -374,12 +378,12 @@
         await stream.receive()
 
     async with run_target(script) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         work = services.Work.IDEMPOTENT
         await attempt(target, client, work)
         found = await attempt(target, client, work)
     assert connections == 2
-    assert found.result is plan.Result.BROKEN
+    assert found.result is plan.AttemptResult.BROKEN
     assert found.is_resent
     assert "then" in found.detail
 
@@ -395,11 +399,13 @@
     async with run_target(answer_with(GOOD)) as gone:
         pass
     async with run_target(script) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         work = services.Work.IDEMPOTENT
-        assert (await attempt(target, client, work)).result is plan.Result.ANSWERED
+        assert (
+            await attempt(target, client, work)
+        ).result is plan.AttemptResult.ANSWERED
         found = await attempt(gone, client, work)
-    assert found.result is plan.Result.BROKEN
+    assert found.result is plan.AttemptResult.BROKEN
     assert "then" in found.detail
 
 
@@ -407,20 +413,20 @@
     refused = b"HTTP/1.1 503 No\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
     other = b"HTTP/1.1 421 No\r\nX-Instance-Id: t9\r\nContent-Length: 0\r\n\r\n"
     async with run_target(answer_with(refused)) as target:
-        assert (await attempt(target)).result is plan.Result.TURNED_AWAY
+        assert (await attempt(target)).result is plan.AttemptResult.TURNED_AWAY
     async with run_target(answer_with(other)) as target:
-        assert (await attempt(target)).result is plan.Result.MISPLACED
+        assert (await attempt(target)).result is plan.AttemptResult.MISPLACED
 
 
 async def test_target_that_does_not_listen_is_unreachable_and_gets_nothing() -> None:
     async with run_target(answer_with(GOOD)) as target:
         pass
     sent: list[str] = []
-    client = target_client.TargetClient(words.HEADERS)
+    client = target_client.TargetClient(wire_names.HEADERS)
     found = await client.attempt(
         target, make_request(), services.Work.AT_MOST_ONCE, lambda: sent.append("x")
     )
-    assert found.result is plan.Result.UNREACHABLE
+    assert found.result is plan.AttemptResult.UNREACHABLE
     assert sent == []
 
 
@@ -433,11 +439,11 @@
         await anyio.sleep(1.0)
 
     async with run_target(script) as target:
-        client = target_client.TargetClient(words.HEADERS)
+        client = target_client.TargetClient(wire_names.HEADERS)
         body = b"x" * 20_000_000
         for _ in range(2):
             found = await attempt(target, client, body=body)
-            assert found.result is plan.Result.ANSWERED
+            assert found.result is plan.AttemptResult.ANSWERED
         assert client.opened_connections == 2
 
 
@@ -448,7 +454,7 @@
 
     async with run_target(script) as target:
         found = await attempt(target, body=b"x" * 100_000)
-    assert found.result is plan.Result.BROKEN
+    assert found.result is plan.AttemptResult.BROKEN
 
 
 @pytest.mark.parametrize(
@@ -477,11 +483,11 @@
         await anyio.sleep(work_time)
         await stream.send(answer)
 
-    client = target_client.TargetClient(words.HEADERS)
+    client = target_client.TargetClient(wire_names.HEADERS)
     async with run_target(script) as target:
         await attempt(target, client, services.Work.IDEMPOTENT)
         second = await attempt(target, client, services.Work.IDEMPOTENT)
-    assert second.result is plan.Result.BROKEN
+    assert second.result is plan.AttemptResult.BROKEN
     assert connections == 1
 
 
@@ -500,14 +506,14 @@
             group.start_soon(send)
             await anyio.lowlevel.checkpoint()
             time.sleep(0.5)
-        assert attempts[0].result is plan.Result.ANSWERED
+        assert attempts[0].result is plan.AttemptResult.ANSWERED
 
 
 async def test_targets_are_listed_while_a_connection_may_carry_the_work(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(target_client, "AT_MOST_ONCE_REUSE_TIMEOUT_S", 0.05)
-    client = target_client.TargetClient(words.HEADERS)
+    client = target_client.TargetClient(wire_names.HEADERS)
     async with run_target(answer_with(GOOD)) as target:
         await attempt(target, client, services.Work.AT_MOST_ONCE)
         now = anyio.current_time()
@@ -520,7 +526,7 @@
 
 
 async def test_idle_connection_is_kept_for_the_timeout_that_its_target_states() -> None:
-    client = target_client.TargetClient(words.HEADERS)
+    client = target_client.TargetClient(wire_names.HEADERS)
     stated = GOOD.replace(b"Content-Length", b"Keep-Alive: timeout=9\r\nContent-Length")
     async with run_target(answer_with(stated)) as target:
         await attempt(target, client, services.Work.IDEMPOTENT)
@@ -536,7 +542,7 @@
 ) -> None:
     # Guards against closing a connection that an idempotent request could still use.
     monkeypatch.setattr(target_client, "AT_MOST_ONCE_REUSE_TIMEOUT_S", 0.0)
-    client = target_client.TargetClient(words.HEADERS)
+    client = target_client.TargetClient(wire_names.HEADERS)
     async with run_target(answer_with(GOOD, GOOD)) as target:
         await attempt(target, client, services.Work.IDEMPOTENT)
         await attempt(target, client, services.Work.AT_MOST_ONCE)
