--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/broadcasting.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/broadcasting.py
@@ -11,11 +11,11 @@
 from . import datagrams, members, peer_link, ports
 
 RELAY_COUNT = 2
-"""Number of relay VMs in each other data centre. If one of the two is dead, regular
-updates sent through one relay in turn still arrive every second time."""
+"""Number of VMs in each other data centre that are used as relays. Regular updates go
+through one of them in turn: if one of the two is dead, every second update arrives."""
 
 RELAY_TASK = "relay news"
-"""Task name by which relays are ranked."""
+"""Name of the task by which VMs are ranked as relays."""
 
 BroadcastMessage = datagrams.TargetUpdate | datagrams.ConfigurationUpdate
 """Messages that are broadcast."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
@@ -1,8 +1,8 @@
 """Keeps the configuration in force up to date, from the store and from peers.
 
 One VM, the reader, waits at the store for new versions and pushes them to the others.
-Those call the store only if the reader sends nothing, or if they learn of a version
-that was not pushed to them.
+The others call the store only if the reader sends nothing, or if they learn of a
+version that was not pushed to them.
 """
 
 from __future__ import annotations
@@ -32,8 +32,9 @@
 )
 
 VERSION_NOTICE_COUNT = 4
-"""Number of VMs, drawn at random, that each VM notifies of a new version, for VMs that
-receive neither a push nor an update about targets. Nearly all of them get a notice."""
+"""Number of VMs, drawn at random, that each VM notifies of a new version. The notices
+are for VMs that receive neither a push nor an update about targets; nearly all of these
+VMs get a notice."""
 
 MIN_READ_INTERVAL_S = 0.3
 """Minimum seconds between two waits for a configuration: of versions published in quick
@@ -77,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeeperDependencies:
-    """Where configurations are read, and what decides when the store is read."""
+    """Where the configuration is read, and what decides when the store is read."""
 
     store: ports.ConfigurationSource
     """Store to which operators publish the configuration."""
@@ -98,7 +99,7 @@
     Parameters
     ----------
     dependencies : KeeperDependencies
-        Where configurations are read, and when.
+        Where the configuration is read, and what decides when the store is read.
     routing_state : forwarder.RoutingState
         Holds the configuration in force.
     fleet : members.Members
@@ -135,6 +136,7 @@
         self._rng = rng
         self._contact = store_contact.StoreContact("configuration", log, rng)
         self._wait_scope: anyio.CancelScope | None = None
+        # The version that each peer has named, and when it was named.
         self._peer_versions: dict[str, tuple[int, float]] = {}
         self._read_at = -READ_VALIDITY_S
 
@@ -290,7 +292,7 @@
             self.apply_configuration(page.newest, target_record.STORE)
 
     def _choose_peer(self, now: float) -> str | None:
-        """Return a VM with a newer version that is overdue here, or None."""
+        """Return a VM whose newer version should have been pushed by now, or None."""
         version = self._routing_state.configuration_state.version
         self._peer_versions = {
             vm: (peer_version, learnt_at)
@@ -307,7 +309,7 @@
     def _push(self, current: configuration.Configuration) -> None:
         now = anyio.current_time()
         if not self._turn.is_first(now):
-            return  # Read in place of the reader, as many other VMs may have done.
+            return  # It read in place of the reader, as many other VMs may have done.
         data = configuration_codec.pack(configuration_codec.encode(current))
         if len(data) <= MAX_PUSHED_BYTES:
             vm = self._fleet.own.vm
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
@@ -27,7 +27,7 @@
     """The entry of the sender."""
 
     wants_answer: bool
-    """Whether the receiver should reply with a greeting of its own."""
+    """Whether the receiver should reply with a `Hello` of its own."""
 
     position: int = -1
     """Position on the log of targets up to which the sender has read; negative if it
@@ -153,8 +153,8 @@
     """Kinds of work, each with its mean duration in seconds."""
 
     vm: str = ""
-    """Name of the dispatching VM; empty from an earlier version, which does not send
-    it."""
+    """Name of the dispatching VM; empty if it runs an earlier version of the software,
+    which does not send its name."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -204,7 +204,7 @@
 
 
 MAX_LISTED_TARGETS = 256
-"""Names of targets in one list of a slot request; a VM excludes fewer."""
+"""Maximum number of target ids in one list of a slot request; a VM excludes fewer."""
 
 REPORT_FIELDS = (
     "ticket",
@@ -264,7 +264,7 @@
         fields = cbor2.loads(data)
         if not isinstance(fields, list):
             # A string can be indexed too: two characters would decode as a `Leaving`.
-            raise UnreadableError("no array")
+            raise UnreadableError("expected an array")
         return _unpack(fields, now)
     except (
         cbor2.CBORDecodeError,
@@ -433,15 +433,17 @@
 
 
 def _unpack_target_ids(value: object) -> tuple[str, ...]:
-    """Return names of targets.
+    """Return a list of target ids.
 
     A malformed or overlong list is rejected, because a dispatcher searches the list for
     each of its targets.
     """
     if not isinstance(value, list) or len(value) > MAX_LISTED_TARGETS:
-        raise UnreadableError("no list of names")
+        raise UnreadableError(
+            "expected a list of target ids, not longer than the maximum"
+        )
     if not all(isinstance(listed_id, str) for listed_id in value):
-        raise UnreadableError("a name that is no text")
+        raise UnreadableError("expected each target id to be a string")
     return tuple(value)
 
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -42,15 +42,15 @@
 )
 
 DISPATCH_INTERVAL_S = 0.05
-"""Seconds between two time checks of the dispatchers. Lost slots, slow targets and
-waits that end are noticed up to this much late."""
+"""Seconds between two checks of the dispatchers for lost slots, slow targets and waits
+that have ended. Each is noticed at most this much late."""
 
 IDLE_CHECK_INTERVAL_S = 1.0
 """Seconds between two rounds of closing idle connections."""
 
 MAX_TRACE_CHARACTERS = 2_000
-"""Characters of a traceback or of findings that are logged. The end of a traceback is
-kept, since it names the place of the error."""
+"""Maximum number of characters of a traceback, or of findings in the settings, in a log
+line. The end of a traceback is kept, since it names the place of the error."""
 
 SETTINGS_CHECK_INTERVAL_S = 1.0
 """Seconds between two checks whether the settings file has changed without a signal."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_messenger.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/fleet_messenger.py
@@ -22,29 +22,33 @@
 )
 
 ESTIMATES_INTERVAL_S = 0.25
-"""Seconds between two broadcasts of a dispatcher's estimates of its targets. The VM
-that succeeds it starts with estimates of at most that age."""
+"""Seconds between two sendings of a dispatcher's estimates of its targets. The VM that
+succeeds it starts with estimates of at most that age."""
 
 SENDINGS_PER_BROADCAST = 4
-"""One in this many sendings of estimates goes to all VMs. A VM that is cut off from the
-others places its requests by itself, and then knows which targets were failing a second
-before. Targets fail for some ten seconds."""
+"""One in this many sendings of estimates goes to the first `MAX_BROADCAST_VMS` VMs in
+rank, and not to the successors alone. A VM that is cut off from the others places its
+requests by itself, and then knows which targets were failing a second before. Targets
+fail for some ten seconds."""
 
 MAX_BROADCAST_VMS = 40
-"""Upper bound on the VMs that receive estimates, so that the traffic grows with the
-size of the fleet and not with its square. The other VMs start with default
-estimates."""
+"""Maximum number of VMs that receive the estimates of a dispatcher, so that the traffic
+grows with the size of the fleet and not with its square. The other VMs start with
+default estimates."""
 
 SUCCESSOR_COUNT = 2
-"""VMs next in rank that receive every sending of a dispatcher's estimates."""
+"""Number of VMs next in rank that receive every sending of a dispatcher's estimates."""
 
 SUSPECTS_FOR_NEW_VMS_TASK = "tell VMs that start"
+"""Name of the task by which VMs are ranked as senders of suspected requests."""
+
 SUSPECTS_SENDER_COUNT = 3
-"""VMs that send a starting VM the requests that are suspected to crash targets."""
+"""Number of VMs that each send a starting VM the requests that are suspected to crash
+targets."""
 
 RETRY_COUNTS_RECEIVER_COUNT = 3
-"""VMs by rank for each shard that receive the retry counts of its service: its
-dispatcher and those that would succeed it."""
+"""Number of VMs, by rank for each shard, that receive the retry counts of its service:
+its dispatcher and the VMs that would succeed it."""
 
 GREETING_INTERVAL_S = 1.0
 """Seconds between greetings of VMs that did not answer."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
@@ -34,9 +34,9 @@
 )
 
 START_WAIT_S = 1.0
-"""Seconds after its start for which a VM lets requests wait until it is complete, which
-it nearly always is by then. Later it refuses them at once, since other VMs may serve
-them."""
+"""Seconds after its start for which a VM that lacks configuration or targets lets
+requests wait for them; by then it nearly always has both. Later it refuses requests at
+once, since other VMs may serve them."""
 
 START_CHECK_INTERVAL_S = 0.01
 """Seconds between two checks by a request that waits for the start to complete."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/members.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/members.py
@@ -29,9 +29,9 @@
 arrives. It is greeted every second meanwhile, so a live VM returns at once."""
 
 MAX_RESIGNED = 4
-"""VMs that may have resigned from one task at the same time. If more want to, no VM is
-able to perform the task and resigning does not help. A quarter of a large fleet may
-resign from all tasks, as slow VMs do."""
+"""Maximum number of VMs that may have resigned from one task at the same time. If more
+want to, no VM is able to perform the task and resigning does not help. Slow VMs resign
+from all tasks; up to a quarter of a large fleet may do so."""
 
 MAX_RESIGNATION_S = 10.0
 """Upper bound in seconds on one resignation, whatever end its sender states."""
@@ -82,10 +82,10 @@
         return True
 
     def _is_later(self, member: ports.Member, stored: ports.Member) -> bool:
-        """Return whether an entry is from a later start of its VM than the known one.
+        """Return whether an entry is from a later start of its VM than the stored one.
 
         Incarnations are wall-clock times, and the clock may be set back between two
-        starts. If the known VM is leaving, an entry with any other incarnation is
+        starts. If the VM is leaving, an entry with any other incarnation is
         therefore from its next start.
         """
         if member.vm in self._leaving_until:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/peer_link.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/peer_link.py
@@ -15,7 +15,7 @@
 """Size of the largest datagram that is sent; UDP allows 65,507 bytes."""
 
 MAX_BATCH_DATAGRAMS = 64
-"""Datagrams that are handled before other tasks run."""
+"""Maximum number of datagrams that are handled before other tasks run."""
 
 
 class PeerLink:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/reading_turn.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/reading_turn.py
@@ -15,8 +15,9 @@
 the reader before all the others start to read."""
 
 MAX_DELAYED_RANKS = 5
-"""Ranks that wait longer than the one before them. With more, the time limit for taking
-leaving targets out of use would be at risk."""
+"""Number of ranks that each wait longer than the rank before; all further ranks wait as
+long as the last of these. With more, the time limit for taking leaving targets out of
+use would be at risk."""
 
 JOIN_DELAY_S = 0.5
 """Seconds after this VM has read the list of members before it may become the reader.
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/resignation.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/resignation.py
@@ -1,7 +1,7 @@
 """Resigns from tasks that this VM cannot perform at the moment, though it is running.
 
-Otherwise the others would ask it first again as soon as they hear from it, and wait in
-vain.
+Without a resignation, the other VMs would ask this VM first again as soon as they
+receive a message from it, and wait in vain.
 """
 
 from __future__ import annotations
@@ -69,9 +69,9 @@
     def record_lateness(self, seconds: float, has_tasks: bool) -> None:
         """Record by how many seconds a timer of this process fired late.
 
-        It guards against a VM that turns slow while it dispatches a shard. Slot
-        requests would wait in its queue of datagrams, and each requesting VM would have
-        to find out by a time-out of its own.
+        This guards against a VM that becomes slow while it dispatches a shard. Slot
+        requests would wait in its queue of datagrams, and each requesting VM would
+        notice that only by a time-out of its own.
         """
         self._lateness += LATENESS_WEIGHT * (max(0.0, seconds) - self._lateness)
         if self._lateness > LATE_TIMER_S and has_tasks:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/start_turn.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/start_turn.py
@@ -20,8 +20,9 @@
 the store and to notify the others."""
 
 MAX_DELAYED_RANKS = 8
-"""Ranks that wait longer than the one before them. A VM that gets no answer serves no
-requests while it waits."""
+"""Number of ranks that each wait longer than the rank before; all further ranks wait as
+long as the last of these. A VM that gets no answer serves no requests while it
+waits."""
 
 MAX_DELAY_S = 1.2
 """Seconds after the start of the process from which the store is read in any case: the
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/stopping.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/stopping.py
@@ -14,11 +14,11 @@
 """Seconds before the time limit of a stop by which requests must have an answer."""
 
 MAX_WRITE_TIME_S = 0.2
-"""Upper bound in seconds on the time for writing these answers. The rest of the margin
-remains for ending the process."""
+"""Maximum seconds for writing the answers that are ready at that time. The rest of the
+margin remains for ending the process."""
 
 POLL_INTERVAL_S = 0.02
-"""Seconds between two checks whether any answer is still owed."""
+"""Seconds between two checks whether any request still awaits its answer."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -95,7 +95,7 @@
     times: StopTimes,
     report_fault: supervision.ReportFault,
 ) -> StopSummary:
-    """Stop a VM; return once no answer is owed, or shortly before the time limit.
+    """Stop a VM; return once all requests are answered, or shortly before the limit.
 
     The load balancer sends requests until it notices that the VM is not ready, and
     these are served. Idle connections are closed only after that. An error in one step
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/supervision.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/supervision.py
@@ -1,8 +1,7 @@
 """Keeps background tasks running, so that an error in one ends no request.
 
-An error that leaves a task group cancels all its tasks. Here these would be the
-listeners and all requests under way, because of an error in sending estimates, for
-instance.
+An error that leaves a task group cancels all tasks of the group. So an error in sending
+estimates, for instance, would end the listeners and all requests under way.
 """
 
 from __future__ import annotations
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspension.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/suspension.py
@@ -1,7 +1,7 @@
 """Detects that this VM was suspended, which its monotonic clock does not show.
 
 The monotonic clock stands still while a VM is suspended, so every deadline in the
-process seems as far away as before. By then callers have left, targets have drained,
+process seems as far away as before. Meanwhile callers have left, targets have drained,
 and connections are lost.
 """
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_update_sender.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_update_sender.py
@@ -17,7 +17,7 @@
 """Seconds between two checks whether an update is due."""
 
 SEND_INTERVAL_S = 0.3
-"""Seconds between two updates, after which a lost one is made up for."""
+"""Seconds between two updates; the next update makes up for a lost one."""
 
 MAX_READ_AGE_S = 0.95
 """Seconds after its last successful read for which the reader sends that nothing has
--- a/tests/edge/test_configuration_keeper.py
+++ b/tests/edge/test_configuration_keeper.py
@@ -15,7 +15,7 @@
 """Seconds within which a version must be in force."""
 
 SETTLE_WAIT_S = 4.0
-"""Seconds after which one VM reads the store for the fleet."""
+"""Seconds after the start of a fleet by which one VM reads the store for all."""
 
 
 async def start_settled(
--- a/tests/edge/test_knowledge_keeper.py
+++ b/tests/edge/test_knowledge_keeper.py
@@ -31,8 +31,8 @@
 
 
 async def test_full_list_is_read_when_the_store_has_dropped_history() -> None:
-    # The store drops its old records, and a target left in the gap: only the full list
-    # shows that.
+    # A target starts to leave, and the store drops that record before the VM reads it:
+    # only the full list of targets shows it.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         for name in ("t1", "t2", "t3", "t4"):
--- a/tests/edge/test_members.py
+++ b/tests/edge/test_members.py
@@ -7,6 +7,7 @@
 from zinniastand_proxy.edge import members, ports
 
 SETTLED_AT_S = members.SETTLE_TIME_S + 0.1
+"""Time, in seconds after the start, at which all VMs of a test have settled."""
 
 
 def make_member(name: str, incarnation: int = 1) -> ports.Member:
--- a/tests/edge/test_reading_turn.py
+++ b/tests/edge/test_reading_turn.py
@@ -5,6 +5,7 @@
 from zinniastand_proxy.edge import members, ports, reading_turn
 
 SETTLED_AT_S = members.SETTLE_TIME_S + 0.1
+"""Time, in seconds after the start, at which all VMs of a test have settled."""
 
 
 def make_turn(own: str, others: tuple[str, ...]) -> reading_turn.ReadingTurn:
--- a/tests/edge/test_resignation.py
+++ b/tests/edge/test_resignation.py
@@ -25,6 +25,7 @@
 
 NAMES = tuple(f"vm-{n}" for n in range(6))
 SETTLED_AT_S = members.SETTLE_TIME_S + 0.1
+"""Time, in seconds after the start, at which all VMs of a test have settled."""
 
 
 def make_fleet() -> members.Members:
@@ -84,7 +85,7 @@
     link = peer_link.PeerLink("127.0.0.1", loopback.find_free_port(), log)
     own = resignation.Resignation(fleet, link, log)
 
-    async def play() -> None:
+    async def record_delays() -> None:
         own.record_lateness(0.2, has_tasks=True)
         assert link.sent == 0
         for _ in range(10):
@@ -94,7 +95,7 @@
             own.record_lateness(0.2, has_tasks=True)
         assert link.sent == len(NAMES)
 
-    anyio.run(play)
+    anyio.run(record_delays)
     link.close()
 
 
@@ -147,12 +148,15 @@
         before = edge_site.count_store_calls(vms).total()
         await anyio.sleep(4.0)
         made = edge_site.count_store_calls(vms).total() - before
-        few = reading_turn.MAX_DELAYED_RANKS + 1
-        spare = len(vms) - few
+        first_vm_count = reading_turn.MAX_DELAYED_RANKS + 1
+        standby_count = len(vms) - first_vm_count
         # The VMs that rank first call once a second, at times after half a second.
-        each = 4.0 / store_contact.MAX_DELAY_S * 2
-        seldom = 4.0 / target_reader.MAX_STANDBY_DELAY_S * 2
-        assert made <= few * each + spare * seldom
+        calls_per_first_vm = 4.0 / store_contact.MAX_DELAY_S * 2
+        calls_per_standby = 4.0 / target_reader.MAX_STANDBY_DELAY_S * 2
+        assert (
+            made
+            <= first_vm_count * calls_per_first_vm + standby_count * calls_per_standby
+        )
         site.store.fault = topic_store.Fault.NONE
         site.publish([edge_site.make_route("/new/")])
         await anyio.sleep(2.0)
--- a/tests/edge/test_start.py
+++ b/tests/edge/test_start.py
@@ -29,7 +29,7 @@
     return ports.Member(name, "a", "10.0.0.1", 7660, 1)
 
 
-def make_start(own: str, others: tuple[str, ...]) -> start_turn.StartTurn:
+def make_start_turn(own: str, others: tuple[str, ...]) -> start_turn.StartTurn:
     fleet = members.Members(make_member(own), 0.0)
     for name in others:
         fleet.add(make_member(name))
@@ -42,7 +42,8 @@
 def test_few_vms_that_start_together_read_the_store_at_once() -> None:
     names = tuple(f"vm-{n}" for n in range(30))
     starts = [
-        make_start(own, tuple(name for name in names if name != own)) for own in names
+        make_start_turn(own, tuple(name for name in names if name != own))
+        for own in names
     ]
     soon = start_turn.ANSWER_DELAY_S + 2.5 * start_turn.RANK_DELAY_S
     assert sum(start.may_read(0.0) for start in starts) == 0
@@ -52,7 +53,7 @@
 
 
 def test_vm_that_is_alone_or_cannot_join_reads_the_store_itself() -> None:
-    assert make_start("own", ()).may_read(0.0)
+    assert make_start_turn("own", ()).may_read(0.0)
     fleet = members.Members(make_member("own"), 0.0)
     start = start_turn.StartTurn(fleet, 0.0)
     assert not start.may_read(start_turn.MAX_DELAY_S - 0.1)
--- a/tests/edge/test_store_drill.py
+++ b/tests/edge/test_store_drill.py
@@ -1,4 +1,4 @@
-"""The store is restored from a backup that is some seconds old."""
+"""What VMs do when the store is restored from a copy that is some seconds old."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return vms
 
 
-async def find_used(vms: list[edge_site.Vm], path: str = "/x") -> set[str]:
+async def find_answering_targets(vms: list[edge_site.Vm], path: str = "/x") -> set[str]:
     """Return the targets that answer when a few requests are sent to each VM."""
     used: set[str] = set()
     for number in range(12):
@@ -42,8 +42,8 @@
 
 
 async def test_targets_of_the_new_era_are_used_and_leaving_ones_are_not() -> None:
-    # The restored store assigns the same offsets again. By offsets alone, all that is
-    # written after that looks older than what was read before, and is never applied.
+    # The restored store assigns the same offsets again. By offsets alone, all records
+    # written after that would look older than those read before, and never be applied.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         for name in ("t1", "t2", "t3"):
@@ -54,17 +54,17 @@
             site.register(site.targets[name])
         site.register(site.targets["t1"], "draining")
         await anyio.sleep(1.0)
-        assert "t1" not in await find_used(vms)
+        assert "t1" not in await find_answering_targets(vms)
         await restore_store(site, copy)
         await anyio.sleep(ERA_SETTLE_S)
         # Its entry is back in phase "ready", as it was when the copy was made.
-        assert "t1" not in await find_used(vms)
+        assert "t1" not in await find_answering_targets(vms)
         site.register(site.targets["t1"], "draining")
         for name in ("t2", "t3"):
             site.register(site.targets[name], "draining")
         await site.start_target(edge_site.Target("t4"))
         await anyio.sleep(ERA_SETTLE_S)
-        assert await find_used(vms) == {"t4"}
+        assert await find_answering_targets(vms) == {"t4"}
 
 
 async def test_configuration_in_force_is_kept_when_the_store_is_restored() -> None:
@@ -77,17 +77,18 @@
         await anyio.sleep(1.0)
         await restore_store(site, copy)
         await anyio.sleep(ERA_SETTLE_S)
-        late = await start(site, "vm-3")
+        late_vms = await start(site, "vm-3")
         await anyio.sleep(ERA_SETTLE_S)
-        assert await find_used([*vms, *late], "/new/x") == {"t1"}
-        assert await find_used([*vms, *late], "/old/x") == set()
+        assert await find_answering_targets([*vms, *late_vms], "/new/x") == {"t1"}
+        assert await find_answering_targets([*vms, *late_vms], "/old/x") == set()
         site.publish([edge_site.make_route("/newest/")])
         await anyio.sleep(ERA_SETTLE_S)
-        assert await find_used([*vms, *late], "/newest/x") == {"t1"}
+        assert await find_answering_targets([*vms, *late_vms], "/newest/x") == {"t1"}
 
 
 async def test_vm_whose_entry_is_lost_writes_it_again() -> None:
-    # A VM that starts later reads the list of VMs from the store, and would miss it.
+    # A VM that starts later reads the list of VMs from the store, and would not find
+    # the VM whose entry is lost.
     async with edge_site.run_site() as site:
         site.publish([edge_site.make_route()])
         await site.start_target(edge_site.Target("t1"))
@@ -108,11 +109,11 @@
         await anyio.sleep(1.0)
         copy = site.store.take_snapshot()
         await anyio.sleep(0.5)
-        usual = edge_site.count_store_calls(vms)
+        usual_calls = edge_site.count_store_calls(vms)
         await anyio.sleep(5.0)
-        usual = edge_site.count_store_calls(vms) - usual
+        usual_calls = edge_site.count_store_calls(vms) - usual_calls
         before = edge_site.count_store_calls(vms)
         site.store.restore(copy)
         await anyio.sleep(5.0)
-        made = edge_site.count_store_calls(vms) - before
-        assert made.total() - usual.total() <= 3 * len(vms)
+        calls_made = edge_site.count_store_calls(vms) - before
+        assert calls_made.total() - usual_calls.total() <= 3 * len(vms)
--- a/tests/edge/test_suspension.py
+++ b/tests/edge/test_suspension.py
@@ -107,7 +107,7 @@
             await site.start_target(edge_site.Target(name))
         vm, suspended = await start(site)
         await anyio.sleep(1.0)
-        # The reader's call stands for the suspended time: it is never answered.
+        # The read under way hangs, as it would during a suspension.
 
         async def hang(*_: object) -> None:
             await anyio.sleep_forever()
--- a/tests/edge_site.py
+++ b/tests/edge_site.py
@@ -30,7 +30,10 @@
 
 HOST = "127.0.0.1"
 MAX_LOG_BYTES = 10_000_000
+"""Bytes of a log that are read at once; all lines of a test fit."""
+
 CRASH_DURATION_S = 0.4
+"""Seconds between a crash of a fragile target and the start of its successor."""
 
 
 def fail_on_error(error: BaseException) -> None:
@@ -39,7 +42,27 @@
 
 
 class Target:
-    """A scripted target, whose answers follow `status` and its other attributes."""
+    """A scripted target, whose answers follow its attributes.
+
+    Attributes
+    ----------
+    status : int
+        Status of its answers; with 503 it states that it did not run the request.
+    delay : float
+        Seconds that it works on a request.
+    is_signed : bool
+        Whether its answers are signed.
+    crash_path : bytes or None
+        Path of the requests that crash it.
+    limit : float or None
+        Requests per second that its answers state as its rate limit.
+    arrived : list of float
+        Times at which requests arrived, also those that it did not run.
+    ran, cancelled : list of str
+        Ids of the requests that it ran, and of those whose callers disconnected.
+    time_left : list of int
+        Milliseconds that each request that it ran stated as left.
+    """
 
     def __init__(self, target_id: str, service: str = "desk") -> None:
         self.target_id = target_id
@@ -167,7 +190,7 @@
         self.store.put(wire_names.TARGETS_TOPIC, target.target_id, value)
 
     def publish(self, routes: list[list[object]]) -> None:
-        """Publish a configuration of these routes."""
+        """Publish a configuration with these routes."""
         self.version += 1
         self.store.put(
             wire_names.CONFIGURATION_TOPIC,
@@ -182,7 +205,7 @@
         settings = self.make_settings(name)
         settings = dataclasses.replace(settings, data_centre=data_centre)
         if path is not None:
-            path.write_text(write_settings(settings))
+            path.write_text(format_settings(settings))
         reader, writer = os.pipe()
         os.set_blocking(reader, False)
         log = log_lines.LogLines(name, writer)
@@ -228,7 +251,7 @@
         )
 
 
-def write_settings(settings: edge_settings.Settings) -> str:
+def format_settings(settings: edge_settings.Settings) -> str:
     """Return settings in the format of the settings file."""
 
     def format_address(address: edge_settings.Address) -> str:
@@ -291,7 +314,7 @@
 def count_store_calls(
     vms: collections.abc.Iterable[Vm],
 ) -> collections.Counter[str]:
-    """Return how many calls to the store some VMs have made, by call."""
+    """Return how many calls of each kind some VMs have made to the store."""
     return collections.Counter(
         str(line["call"])
         for vm in vms
