--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/broadcasting.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/broadcasting.py
@@ -35,7 +35,7 @@
     def __init__(self, fleet: members.Members, link: peer_link.PeerLink) -> None:
         self._fleet = fleet
         self._link = link
-        self._turns = 0
+        self._broadcast_count = 0
 
     def broadcast(
         self, message: BroadcastMessage, now: float, relays: int = RELAY_COUNT
@@ -44,7 +44,7 @@
 
         The relays are taken in turn.
         """
-        self._turns += 1
+        self._broadcast_count += 1
         self._link.send_many(message, self._fleet.list_in(self._own_data_centre))
         relayed = dataclasses.replace(message, is_for_relay=True)
         self._link.send_many(relayed, self._choose_relays(now, relays))
@@ -52,15 +52,15 @@
     def relay(self, message: BroadcastMessage) -> None:
         """Forward a message to the own data centre if it was sent for relaying."""
         if message.is_for_relay:
-            passed = dataclasses.replace(message, is_for_relay=False)
-            self._link.send_many(passed, self._fleet.list_in(self._own_data_centre))
+            forwarded = dataclasses.replace(message, is_for_relay=False)
+            self._link.send_many(forwarded, self._fleet.list_in(self._own_data_centre))
 
     def _choose_relays(self, now: float, count: int) -> list[ports.Member]:
         relays: list[ports.Member] = []
         for other_data_centre in self._fleet.data_centres - {self._own_data_centre}:
             ranked = self._fleet.rank(RELAY_TASK, now, RELAY_COUNT, other_data_centre)
             for number in range(min(count, len(ranked))):
-                vm = ranked[(self._turns + number) % len(ranked)]
+                vm = ranked[(self._broadcast_count + number) % len(ranked)]
                 member = self._fleet.find(vm)
                 # If all VMs there are leaving or silent, VMs of other data centres
                 # are ranked instead.
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
@@ -284,8 +284,8 @@
         case Leaving():
             return ["l", message.vm, message.incarnation]
         case Resigned():
-            left = message.until - now
-            return ["q", message.vm, message.incarnation, message.task, left]
+            time_left = message.until - now
+            return ["q", message.vm, message.incarnation, message.task, time_left]
         case TargetUpdate():
             changes = [pack_change(recent, now) for recent in message.changes]
             head = [message.vm, message.version, message.position, message.since]
@@ -316,9 +316,9 @@
         case messages.Grant():
             return ["g", *dataclasses.astuple(message)]
         case messages.Refuse():
-            left = message.retry_at - now
+            time_left = message.retry_at - now
             reason = message.reason.value
-            return ["r", message.ticket, reason, left, round(message.pressure, 2)]
+            return ["r", message.ticket, reason, time_left, round(message.pressure, 2)]
         case messages.Wait():
             return ["w", message.ticket]
         case messages.Report():
@@ -357,9 +357,9 @@
         case "g":
             return messages.Grant(*rest)
         case "r":
-            ticket, reason, left, pressure = rest
+            ticket, reason, time_left, pressure = rest
             return messages.Refuse(
-                ticket, messages.RefusalReason(reason), now + left, pressure
+                ticket, messages.RefusalReason(reason), now + time_left, pressure
             )
         case "w":
             return messages.Wait(rest[0])
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_reader.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_reader.py
@@ -76,7 +76,7 @@
         Delays calls while the store does not answer.
     log : log_lines.LogLines
         Receives a line when the store no longer has the history that is needed.
-    configuration : configuration_keeper.ConfigurationKeeper
+    keeper : configuration_keeper.ConfigurationKeeper
         Read as well if this VM reads for lack of updates. Its wait at the store is
         restarted when the store answers again after an outage.
     resignation : resignation.Resignation
@@ -92,7 +92,7 @@
         update_sender: target_update_sender.TargetUpdateSender,
         contact: store_contact.StoreContact,
         log: log_lines.LogLines,
-        configuration: configuration_keeper.ConfigurationKeeper,
+        keeper: configuration_keeper.ConfigurationKeeper,
         resignation: resignation.Resignation,
         on_complete: collections.abc.Callable[[], None],
     ) -> None:
@@ -103,7 +103,7 @@
         self._update_sender = update_sender
         self._contact = contact
         self._log = log
-        self._configuration = configuration
+        self._keeper = keeper
         self._resignation = resignation
         self._on_complete = on_complete
         self._wait_scope: anyio.CancelScope | None = None
@@ -133,7 +133,7 @@
                 await self._wait_after_failure(error, now)
                 continue
             if self._contact.record_success():
-                self._configuration.restart_read()
+                self._keeper.restart_read()
             now = anyio.current_time()
             self._record.received_at = self._record.read_at = now
             if has_changed or self._update_sender.is_due(now):
@@ -171,7 +171,7 @@
         if not was_complete:
             self._on_complete()
         if lacks_updates:
-            await self._configuration.read_now()
+            await self._keeper.read_now()
         return has_changed
 
     def _is_due(self, now: float) -> bool:
--- a/tests/edge/test_configuration_keeper.py
+++ b/tests/edge/test_configuration_keeper.py
@@ -72,8 +72,10 @@
             site.publish([edge_site.make_route(f"/new-{number}/")])
             await wait_in_force(site, vms)
             await anyio.sleep(0.5)
-        made = edge_site.count_store_calls(vms) - before
-        assert made["read configuration"] + made["follow configuration"] <= 8
+        calls_made = edge_site.count_store_calls(vms) - before
+        assert (
+            calls_made["read configuration"] + calls_made["follow configuration"] <= 8
+        )
 
 
 async def test_malformed_record_is_read_by_one_vm_only() -> None:
--- a/tests/edge/test_datagrams.py
+++ b/tests/edge/test_datagrams.py
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize(
-    "part",
+    "bucket",
     [
         [1, 0.5, -1, 0],
         [1, 0.5, 1, -3],
@@ -96,8 +96,8 @@
     ids=str,
 )
 def test_counts_that_would_grant_extra_retries_are_rejected(
-    part: list[object],
+    bucket: list[object],
 ) -> None:
-    data = cbor2.dumps(["t", "desk", [["vm-1:7:0", [part]]]])
+    data = cbor2.dumps(["t", "desk", [["vm-1:7:0", [bucket]]]])
     with pytest.raises(datagrams.UnreadableError):
         datagrams.decode(data, 0.0)
--- a/tests/edge/test_peer_link.py
+++ b/tests/edge/test_peer_link.py
@@ -31,9 +31,9 @@
     # that a VM is leaving.
     link, other = make_link(), make_link()
     received: list[datagrams.Message] = []
-    broken = ports.Member("vm-3", "a", host, port, 1)
-    healthy = ports.Member("vm-2", "a", HOST, other.port, 1)
-    link.send_many(datagrams.Leaving("vm-1", 1), [broken, healthy])
+    invalid_member = ports.Member("vm-3", "a", host, port, 1)
+    valid_member = ports.Member("vm-2", "a", HOST, other.port, 1)
+    link.send_many(datagrams.Leaving("vm-1", 1), [invalid_member, valid_member])
     async with anyio.create_task_group() as group:
         group.start_soon(other.run, received.append)
         with anyio.fail_after(5.0):
@@ -53,12 +53,12 @@
     def fail(_: datagrams.Message) -> None:
         raise RuntimeError("a fault")
 
-    me = ports.Member("vm-1", "a", HOST, link.port, 1)
-    other.send(datagrams.Leaving("vm-2", 1), me)
+    own_member = ports.Member("vm-1", "a", HOST, link.port, 1)
+    other.send(datagrams.Leaving("vm-2", 1), own_member)
     with anyio.fail_after(5.0):
         with pytest.raises(RuntimeError):
             await link.run(fail)
-        other.send(datagrams.Leaving("vm-2", 1), me)
+        other.send(datagrams.Leaving("vm-2", 1), own_member)
         async with anyio.create_task_group() as group:
             group.start_soon(link.run, received.append)
             while not received:
--- a/tests/edge/test_reading_turn.py
+++ b/tests/edge/test_reading_turn.py
@@ -35,11 +35,13 @@
 
 def test_next_in_rank_reads_before_the_others_when_updates_stop() -> None:
     turns = [turn for turn in make_turns() if not turn.is_first(SETTLED_AT_S)]
-    silent = reading_turn.UPDATE_TIMEOUT_S + reading_turn.RANK_DELAY_S / 2
-    assert sum(turn.is_due(SETTLED_AT_S, SETTLED_AT_S - silent) for turn in turns) == 1
+    silence_s = reading_turn.UPDATE_TIMEOUT_S + reading_turn.RANK_DELAY_S / 2
+    assert (
+        sum(turn.is_due(SETTLED_AT_S, SETTLED_AT_S - silence_s) for turn in turns) == 1
+    )
     longest = reading_turn.RANK_DELAY_S * reading_turn.MAX_DELAYED_RANKS
-    silent = reading_turn.UPDATE_TIMEOUT_S + longest + 0.01
-    assert all(turn.is_due(SETTLED_AT_S, SETTLED_AT_S - silent) for turn in turns)
+    silence_s = reading_turn.UPDATE_TIMEOUT_S + longest + 0.01
+    assert all(turn.is_due(SETTLED_AT_S, SETTLED_AT_S - silence_s) for turn in turns)
 
 
 def test_vm_is_not_the_reader_before_it_could_receive_heartbeats() -> None:
--- a/tests/edge/test_resignation.py
+++ b/tests/edge/test_resignation.py
@@ -130,9 +130,9 @@
         await anyio.sleep(2.0)
         before = edge_site.count_store_calls(vms)
         await anyio.sleep(4.0)
-        made = edge_site.count_store_calls(vms) - before
-        assert made["follow targets"] <= 12
-        assert made["read configuration"] <= 6
+        calls_made = edge_site.count_store_calls(vms) - before
+        assert calls_made["follow targets"] <= 12
+        assert calls_made["read configuration"] <= 6
 
 
 async def test_few_vms_call_an_unavailable_store_and_all_learn_of_its_return() -> None:
@@ -147,14 +147,14 @@
         await anyio.sleep(2.0)
         before = edge_site.count_store_calls(vms).total()
         await anyio.sleep(4.0)
-        made = edge_site.count_store_calls(vms).total() - before
+        calls_made = edge_site.count_store_calls(vms).total() - before
         first_vm_count = reading_turn.MAX_DELAYED_RANKS + 1
         standby_count = len(vms) - first_vm_count
         # The VMs that rank first call once a second, at times after half a second.
         calls_per_first_vm = 4.0 / store_contact.MAX_DELAY_S * 2
         calls_per_standby = 4.0 / target_reader.MAX_STANDBY_DELAY_S * 2
         assert (
-            made
+            calls_made
             <= first_vm_count * calls_per_first_vm + standby_count * calls_per_standby
         )
         site.store.fault = topic_store.Fault.NONE
--- a/tests/edge/test_start.py
+++ b/tests/edge/test_start.py
@@ -71,8 +71,8 @@
         joining = await site.start_vm("vm-9")
         await edge_site.wait_ready(joining)
         assert (await edge_site.call(joining)).status_code == 200
-        made = edge_site.count_store_calls([joining])
-        assert made == {"announce": 1, "read members": 1}
+        calls_made = edge_site.count_store_calls([joining])
+        assert calls_made == {"announce": 1, "read members": 1}
 
 
 async def test_fleet_that_starts_at_once_is_ready_soon_with_few_store_calls() -> None:
@@ -83,9 +83,9 @@
         with anyio.fail_after(1.5):
             for vm in vms:
                 await edge_site.wait_ready(vm)
-        made = edge_site.count_store_calls(vms)
-        assert made["read targets"] <= 5
-        assert made["read configuration"] <= 6
+        calls_made = edge_site.count_store_calls(vms)
+        assert calls_made["read targets"] <= 5
+        assert calls_made["read configuration"] <= 6
 
 
 async def test_first_configuration_reaches_all_vms_without_a_store_call_each() -> None:
@@ -97,8 +97,10 @@
         with anyio.fail_after(2.0):
             for vm in vms:
                 await edge_site.wait_ready(vm)
-        made = edge_site.count_store_calls(vms)
-        assert made["read configuration"] + made["follow configuration"] <= 14
+        calls_made = edge_site.count_store_calls(vms)
+        assert (
+            calls_made["read configuration"] + calls_made["follow configuration"] <= 14
+        )
 
 
 async def test_request_waits_until_a_starting_vm_is_complete() -> None:
--- a/tests/edge/test_stopping.py
+++ b/tests/edge/test_stopping.py
@@ -159,10 +159,10 @@
     # Handling a datagram raises an error. It must not cut off the requests under way,
     # and the next datagram must be handled at once.
     async with edge_site.run_site() as site:
-        taken: list[str] = []
+        handled_vms: list[str] = []
 
         def record_leaving(_: members.Members, vm: str, *rest: object) -> None:
-            taken.append(vm)
+            handled_vms.append(vm)
             fail()
 
         def break_it(vm: edge_site.Vm) -> None:
@@ -174,7 +174,7 @@
                     sender.sendto(data, (address.host, address.port))
 
         vm = await answer_despite(site, break_it)
-        await edge_site.wait_until(lambda: taken == ["vm-8", "vm-9"])
+        await edge_site.wait_until(lambda: handled_vms == ["vm-8", "vm-9"])
         faults = list_events(vm, "unexpected_error")
         assert [line["task"] for line in faults] == ["take datagram"] * 2
 
@@ -238,10 +238,10 @@
     vm = FakeVm(late)
     faults: list[str] = []
     with anyio.fail_after(10.0):
-        ended = await stopping.stop(
+        summary = await stopping.stop(
             vm, vm, stopping.StopTimes(0.6, 0.05), lambda name, _: faults.append(name)
         )
-    assert ended.cut_off == cut_off
+    assert summary.cut_off == cut_off
     assert faults[:3] == ["tell opinions", "tell leaving", "close idle"]
 
 
@@ -262,17 +262,20 @@
         text = path.read_text()
         path.write_text(text.replace('"stop_limit_s": 6.0', '"stop_limit_s": 1.2'))
         vm.daemon.reload()
-        async with await connect(vm) as whole, await connect(vm) as begun:
-            await whole.send(REQUEST.replace(b": 4000", b": 15000"))
+        async with (
+            await connect(vm) as complete_stream,
+            await connect(vm) as partial_stream,
+        ):
+            await complete_stream.send(REQUEST.replace(b": 4000", b": 15000"))
             await edge_site.wait_until(lambda: bool(site.targets["t1"].ran))
-            await begun.send(REQUEST[:-2])
+            await partial_stream.send(REQUEST[:-2])
             await anyio.sleep(0.2)
             vm.daemon.stop()
             await edge_site.wait_until(lambda: bool(list_events(vm, "stopped")), 10.0)
-        [began] = list_events(vm, "stopping")
-        assert (began["in_flight"], began["reading"]) == (1, 1)
-        [ended] = list_events(vm, "stopped")
-        assert (ended["cut_off"], ended["cut_reading"]) == (1, 1)
+        [stopping_line] = list_events(vm, "stopping")
+        assert (stopping_line["in_flight"], stopping_line["reading"]) == (1, 1)
+        [stopped_line] = list_events(vm, "stopped")
+        assert (stopped_line["cut_off"], stopped_line["cut_reading"]) == (1, 1)
 
 
 async def test_second_signals_do_not_shorten_a_stop(tmp_path: pathlib.Path) -> None:
