--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
@@ -148,12 +148,9 @@
         return now - self._read_at < READ_VALIDITY_S
 
     def compensate_suspension(self, seconds: float) -> None:
-        """Make the last read older by the time the clock did not count, and read again.
+        """Make the last read older by the seconds of a suspension, and read again.
 
-        Parameters
-        ----------
-        seconds : float
-            How long the VM was suspended.
+        The monotonic clock did not count them.
         """
         self._read_at -= seconds
         self.restart_read()
@@ -236,13 +233,8 @@
     ) -> None:
         """Put a configuration in force if it is newer than the current one.
 
-        Parameters
-        ----------
-        candidate : configuration.Configuration
-            The configuration.
-        source : str
-            Where it comes from, for log lines. It is pushed to other VMs only if it
-            comes from the store or an operator.
+        It is pushed to other VMs only if `source`, which is also logged, is the store
+        or an operator.
         """
         is_first = self._routing_state.configuration_state.current is None
         if not self._routing_state.configuration_state.offer(candidate):
@@ -295,14 +287,14 @@
         """Return a VM whose newer version should have been pushed by now, or None."""
         version = self._routing_state.configuration_state.version
         self._peer_versions = {
-            vm: (peer_version, learnt_at)
-            for vm, (peer_version, learnt_at) in self._peer_versions.items()
+            vm: (peer_version, named_at)
+            for vm, (peer_version, named_at) in self._peer_versions.items()
             if peer_version > version
         }
         due = [
             vm
-            for vm, (_, learnt_at) in self._peer_versions.items()
-            if now - learnt_at >= PUSH_TIMEOUT_S
+            for vm, (_, named_at) in self._peer_versions.items()
+            if now - named_at >= PUSH_TIMEOUT_S
         ]
         return self._rng.choice(due) if due else None
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
@@ -246,14 +246,7 @@
 
 
 def decode(data: bytes, now: float) -> Message:
-    """Return the message that a datagram encodes.
-
-    Parameters
-    ----------
-    data : bytes
-        The datagram.
-    now : float
-        Seconds of the monotonic clock.
+    """Return the message of a datagram; `now` is in seconds of the monotonic clock.
 
     Raises
     ------
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
@@ -190,12 +190,9 @@
             group.start_soon(self._start_fetcher.run)
 
     def compensate_suspension(self, seconds: float) -> None:
-        """Make the data older by the time that the clock did not count, and read again.
+        """Make the data older by the seconds of a suspension, and read again.
 
-        Parameters
-        ----------
-        seconds : float
-            How long the VM was suspended.
+        The monotonic clock did not count them.
         """
         self._target_record.compensate_suspension(seconds)
         self._configuration_keeper.compensate_suspension(seconds)
@@ -237,12 +234,7 @@
     ) -> None:
         """Put a configuration in force if it is newer than the current one.
 
-        Parameters
-        ----------
-        candidate : configuration.Configuration
-            The configuration.
-        source : str
-            Where it comes from, for log lines.
+        See `ConfigurationKeeper.apply_configuration`.
         """
         self._configuration_keeper.apply_configuration(candidate, source)
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/members.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/members.py
@@ -19,7 +19,7 @@
 
 START_WINDOW_S = 1.0
 """Seconds after the start of this VM in which its own settle time restarts with each VM
-that it first hears from. When all VMs start together, each receives the others'
+whose first message arrives. When all VMs start together, each receives the others'
 greetings some tenths of a second after its own start. If its own settle time ended
 before theirs, every VM would assign all tasks to itself: all would read the store and
 dispatch for themselves."""
@@ -187,7 +187,7 @@
         return [other for other in self._members.values() if other.vm != self.own.vm]
 
     def list_suspects(self, now: float) -> list[ports.Member]:
-        """Return the VMs that did not answer and those never heard from.
+        """Return the VMs that did not answer and those that never sent a message.
 
         Leaving VMs are excluded: they need not be greeted to find out whether they
         returned.
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_record.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/target_record.py
@@ -138,12 +138,9 @@
         return True
 
     def compensate_suspension(self, seconds: float) -> None:
-        """Make the data older by the time that the clock did not count.
+        """Make the data older by the seconds of a suspension.
 
-        Parameters
-        ----------
-        seconds : float
-            How long the VM was suspended.
+        The monotonic clock did not count them.
         """
         self.received_at -= seconds
         self.read_at -= seconds
