--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_codec.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_codec.py
@@ -9,40 +9,38 @@
 from zinniastand_core import services
 from zinniastand_core.deployment import configuration
 
-MAX_UNPACKED_BYTES = 16 << 20
+MAX_DECOMPRESSED_BYTES = 16 << 20
 """Largest size, once decompressed, of a message accepted from a peer."""
 
 
-def pack(value: object) -> bytes:
+def compress_values(value: object) -> bytes:
     """Encode plain values as CBOR and compress them with zlib."""
     return zlib.compress(cbor2.dumps(value))
 
 
-def unpack(data: bytes) -> object:
+def decompress_values(data: bytes) -> object:
     """Decompress and decode plain values.
 
     Raises
     ------
     ValueError
-        If the data is truncated or malformed, or larger than `MAX_UNPACKED_BYTES` once
-        decompressed.
+        If the data is truncated or malformed, or once decompressed larger than
+        `MAX_DECOMPRESSED_BYTES`.
     """
     inflater = zlib.decompressobj()
     try:
-        inflated = inflater.decompress(data, MAX_UNPACKED_BYTES)
+        inflated = inflater.decompress(data, MAX_DECOMPRESSED_BYTES)
         if not inflater.eof:
             raise ValueError(
-                "not packed: truncated, or larger than the maximum once decompressed"
+                "not compressed CBOR: truncated, or too large once decompressed"
             )
         return cbor2.loads(inflated)
     except (zlib.error, cbor2.CBORDecodeError, TypeError) as error:
-        raise ValueError(
-            f"not packed: expected zlib-compressed CBOR: {error!r}"
-        ) from error
+        raise ValueError(f"not compressed CBOR: {error!r}") from error
 
 
-def encode(current: configuration.Configuration) -> list[object]:
-    """Convert a configuration to plain values; the inverse of `decode`."""
+def pack_configuration(current: configuration.Configuration) -> list[object]:
+    """Convert a configuration to plain values."""
     routes = [_pack_route(route) for route in current.routes]
     service_rows = [
         [settings.name, settings.health_path, settings.max_connections]
@@ -58,8 +56,8 @@
     return [current.version, routes, service_rows, limit_fields]
 
 
-def decode(fields: object) -> configuration.Configuration:
-    """Convert plain values from `encode` back to a configuration.
+def unpack_configuration(fields: object) -> configuration.Configuration:
+    """Convert plain values from `pack_configuration` back to a configuration.
 
     Raises
     ------
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
@@ -223,7 +223,9 @@
         """
         if update.version <= self._routing_state.configuration_state.version:
             return
-        candidate = configuration_codec.decode(configuration_codec.unpack(update.data))
+        candidate = configuration_codec.unpack_configuration(
+            configuration_codec.decompress_values(update.data)
+        )
         # Relayed only once, and only after it was decoded: a malformed one stops here.
         self._broadcaster.relay(update)
         self.apply_configuration(candidate, update.vm)
@@ -302,7 +304,9 @@
         now = anyio.current_time()
         if not self._turn.is_first(now):
             return  # It read in place of the reader, as many other VMs may have done.
-        data = configuration_codec.pack(configuration_codec.encode(current))
+        data = configuration_codec.compress_values(
+            configuration_codec.pack_configuration(current)
+        )
         if len(data) <= MAX_PUSHED_BYTES:
             vm = self._fleet.own.vm
             self._broadcaster.broadcast(
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
@@ -98,7 +98,7 @@
     """Version of the configuration."""
 
     data: bytes
-    """The configuration, packed by `configuration_codec`."""
+    """The configuration, packed and compressed by `configuration_codec`."""
 
     is_for_relay: bool = False
     """Whether the receiver should pass it on to the VMs of its data centre."""
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_exchange.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_exchange.py
@@ -96,9 +96,11 @@
 def encode(snapshot: Snapshot, now: float) -> bytes:
     """Encode a snapshot as compressed bytes; `now` is the current time in seconds."""
     current = snapshot.current
-    return configuration_codec.pack(
+    return configuration_codec.compress_values(
         [
-            configuration_codec.encode(current) if current is not None else None,
+            configuration_codec.pack_configuration(current)
+            if current is not None
+            else None,
             snapshot.position,
             now - snapshot.received_at,
             [datagrams.pack_change(entry, now) for entry in snapshot.entries],
@@ -122,10 +124,12 @@
         If the data is truncated or malformed.
     """
     try:
-        current, position, age, rows = configuration_codec.unpack(data)  # type: ignore[misc]
+        current, position, age, rows = configuration_codec.decompress_values(data)  # type: ignore[misc]
         changes = [datagrams.unpack_change(row, now) for row in rows]
         return Snapshot(
-            configuration_codec.decode(current) if current is not None else None,
+            configuration_codec.unpack_configuration(current)
+            if current is not None
+            else None,
             int(position),
             now - max(0.0, float(age)),
             tuple(change for change in changes if isinstance(change, targets.Entry)),
--- a/tests/edge/test_configuration_keeper.py
+++ b/tests/edge/test_configuration_keeper.py
@@ -176,8 +176,15 @@
     current = decoding.decode_configuration(
         encoding.encode_configuration(7, [edge_site.make_route()])
     )
-    data = configuration_codec.pack(configuration_codec.encode(current))
-    assert configuration_codec.decode(configuration_codec.unpack(data)) == current
+    data = configuration_codec.compress_values(
+        configuration_codec.pack_configuration(current)
+    )
+    assert (
+        configuration_codec.unpack_configuration(
+            configuration_codec.decompress_values(data)
+        )
+        == current
+    )
     for end in range(len(data)):
-        with pytest.raises(ValueError, match="not packed"):
-            configuration_codec.unpack(data[:end])
+        with pytest.raises(ValueError, match="not compressed CBOR"):
+            configuration_codec.decompress_values(data[:end])
