--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/edge_daemon.py
@@ -55,7 +55,7 @@
 SETTINGS_CHECK_INTERVAL_S = 1.0
 """Seconds between two checks whether the settings file has changed without a signal."""
 
-CHANGEABLE = frozenset({"retries", "stop_limit", "store", "unready_after"})
+CHANGEABLE_SETTINGS = frozenset({"retries", "stop_limit", "store", "unready_after"})
 """Settings that can change in a running process."""
 
 MS_PER_S = 1000
@@ -166,7 +166,7 @@
             new_settings.retries, anyio.current_time()
         )
         self._store.use_address(new_settings.store.host, new_settings.store.port)
-        waiting = [name for name in changed if name not in CHANGEABLE]
+        waiting = [name for name in changed if name not in CHANGEABLE_SETTINGS]
         self._log.write("reload", outcome="in force", changed=changed, waiting=waiting)
 
     async def run(
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/resignation.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/resignation.py
@@ -10,13 +10,13 @@
 
 from . import datagrams, log_lines, members, peer_link
 
-RESIGNATION_S = 3.0
+RESIGNATION_DURATION_S = 3.0
 """Seconds that a resignation lasts; it is renewed while its reason lasts."""
 
 ALL_TASKS = ""
 """Name that stands for every task."""
 
-LATE_TIMER_S = 0.06
+MAX_MEAN_LATENESS_S = 0.06
 """Mean delay of timers in seconds above which a VM is too slow to answer others, which
 ask the next VM after 90 ms."""
 
@@ -53,9 +53,9 @@
     def resign(self, task: str, why: str) -> None:
         """Resign from a task, unless most of the current resignation is still left."""
         now = anyio.current_time()
-        if self._resigned_until.get(task, 0.0) - now > RESIGNATION_S / 2:
+        if self._resigned_until.get(task, 0.0) - now > RESIGNATION_DURATION_S / 2:
             return
-        until = now + RESIGNATION_S
+        until = now + RESIGNATION_DURATION_S
         own = self._fleet.own
         if not self._fleet.record_resignation(
             own.vm, own.incarnation, task, until, now
@@ -74,5 +74,5 @@
         notice that only by a time-out of its own.
         """
         self._lateness += LATENESS_WEIGHT * (max(0.0, seconds) - self._lateness)
-        if self._lateness > LATE_TIMER_S and has_tasks:
+        if self._lateness > MAX_MEAN_LATENESS_S and has_tasks:
             self.resign(ALL_TASKS, f"timers {self._lateness:.2f} s late")
