--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/configuration_keeper.py
@@ -303,7 +303,7 @@
     def _push(self, current: configuration.Configuration) -> None:
         now = anyio.current_time()
         if not self._turn.is_first(now):
-            return  # It read in place of the reader, as many other VMs may have done.
+            return  # This VM read in place of the reader, as many others may have done.
         data = configuration_codec.compress_values(
             configuration_codec.pack_configuration(current)
         )
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/reading_turn.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/reading_turn.py
@@ -51,7 +51,7 @@
         is_alone : bool
             Whether there is no other VM in the list.
         """
-        # Without other VMs there are no heartbeats to wait for: it reads at once.
+        # Without other VMs there are no updates to wait for: this VM reads at once.
         self._joined_at = now + (0.0 if is_alone else JOIN_DELAY_S)
 
     def is_first(self, now: float) -> bool:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/start_turn.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/start_turn.py
@@ -46,7 +46,7 @@
         self._latest_read_at = now + MAX_DELAY_S
 
     def join(self, now: float, is_alone: bool) -> None:
-        """Record that this VM has read the list of members and greeted them.
+        """Record that this VM has read the list of members and greeted the others.
 
         Parameters
         ----------
--- a/tests/edge/test_reading_turn.py
+++ b/tests/edge/test_reading_turn.py
@@ -44,7 +44,7 @@
     assert all(turn.is_due(SETTLED_AT_S, SETTLED_AT_S - silence_s) for turn in turns)
 
 
-def test_vm_is_not_the_reader_before_it_could_receive_heartbeats() -> None:
+def test_vm_is_not_the_reader_before_it_could_receive_updates() -> None:
     turn = make_turn("own", ())
     assert not turn.is_due(1.0, received_at=1.0)
     turn.join(1.0, is_alone=False)
