--- a/bench/load_model.py
+++ b/bench/load_model.py
@@ -55,7 +55,7 @@
     """Decides where requests go."""
 
     def request_slot(
-        self, ask: messages.SlotRequest, now: float
+        self, slot_request: messages.SlotRequest, now: float
     ) -> list[messages.Decision]:
         """Take in a request."""
         ...
@@ -88,7 +88,7 @@
     def __init__(self, load: loads.Load, seed: int) -> None:
         self._load = load
         self._rng = random.Random(seed)
-        count = round(load.count * (1 - load.lost_share))
+        count = round(load.target_count * (1 - load.lost_share))
         self.names = [f"t{n}" for n in range(count)]
         slow = round(load.slow_share * count)
         self._slow = set(self.names[:slow])
@@ -147,7 +147,7 @@
             act(at)
         counts = self._counts
         return loads.Result(
-            asked=sum(self._asked.values()),
+            request_count=sum(self._asked.values()),
             in_time=counts["in_time"],
             late=counts["late"],
             failed=counts["failed"],
@@ -231,7 +231,7 @@
         ticket = f"{request.number}/{request.attempt}/{request.returns}"
         self._open[ticket] = request
         kind = request.kind
-        ask = messages.SlotRequest(
+        slot_request = messages.SlotRequest(
             ticket,
             SHARD,
             kind.name,
@@ -244,7 +244,7 @@
             request.excluded,
             self._list_open(request.vm, now),
         )
-        self._apply(self._policy.request_slot(ask, now), now)
+        self._apply(self._policy.request_slot(slot_request, now), now)
 
     def _list_open(self, vm: int, now: float) -> tuple[str, ...]:
         """Return the targets to which a VM has an idle connection."""
@@ -397,11 +397,11 @@
 
 def show_result(name: str, result: loads.Result) -> str:
     """Return one row of a table."""
-    refused = result.refused / result.asked
-    failed = result.failed / result.asked
+    refused = result.refused / result.request_count
+    failed = result.failed / result.request_count
     return (
         f"{name:28} {result.served_share:7.3f} {result.in_time_share:7.3f}"
-        f" {failed:7.3f} {refused:7.3f} {result.wasted / result.asked:7.3f}"
+        f" {failed:7.3f} {refused:7.3f} {result.wasted / result.request_count:7.3f}"
     )
 
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
@@ -210,7 +210,7 @@
     "ticket",
     "target_id",
     "outcome",
-    "took",
+    "duration",
     "vm",
     "rate_limit",
     "is_resent",
@@ -299,7 +299,7 @@
                 "k",
                 message.vm,
                 held.target_id,
-                *_pack_slot_request(held.slot_request, now),
+                *_pack_slot_request(held.granted_request, now),
             ]
         case SuspectRequests():
             return ["s", suspect_codec.pack(message.items, now)]
