--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/datagrams.py
@@ -27,7 +27,7 @@
     """The entry of the sender."""
 
     wants_answer: bool
-    """Whether the receiver should reply with a greeting of its own."""
+    """Whether the receiver should reply with a `Hello` of its own."""
 
     position: int = -1
     """Position on the log of targets up to which the sender has read; negative if it
@@ -98,7 +98,7 @@
     """Version of the configuration."""
 
     data: bytes
-    """The configuration, packed by `configuration_codec`."""
+    """The configuration, packed and compressed by `configuration_codec`."""
 
     is_for_relay: bool = False
     """Whether the receiver should pass it on to the VMs of its data centre."""
@@ -153,8 +153,8 @@
     """Kinds of work, each with its mean duration in seconds."""
 
     vm: str = ""
-    """Name of the dispatching VM; empty from an earlier version, which does not send
-    it."""
+    """Name of the dispatching VM; empty if it runs an earlier version of the software,
+    which does not send its name."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -204,7 +204,7 @@
 
 
 MAX_LISTED_TARGETS = 256
-"""Names of targets in one list of a slot request; a VM excludes fewer."""
+"""Maximum number of target ids in one list of a slot request; a VM excludes fewer."""
 
 REPORT_FIELDS = (
     "ticket",
@@ -246,14 +246,7 @@
 
 
 def decode(data: bytes, now: float) -> Message:
-    """Return the message that a datagram encodes.
-
-    Parameters
-    ----------
-    data : bytes
-        The datagram.
-    now : float
-        Seconds of the monotonic clock.
+    """Return the message of a datagram; `now` is in seconds of the monotonic clock.
 
     Raises
     ------
@@ -264,7 +257,7 @@
         fields = cbor2.loads(data)
         if not isinstance(fields, list):
             # A string can be indexed too: two characters would decode as a `Leaving`.
-            raise UnreadableError("no array")
+            raise UnreadableError("expected an array")
         return _unpack(fields, now)
     except (
         cbor2.CBORDecodeError,
@@ -284,8 +277,8 @@
         case Leaving():
             return ["l", message.vm, message.incarnation]
         case Resigned():
-            left = message.until - now
-            return ["q", message.vm, message.incarnation, message.task, left]
+            time_left = message.until - now
+            return ["q", message.vm, message.incarnation, message.task, time_left]
         case TargetUpdate():
             changes = [pack_change(recent, now) for recent in message.changes]
             head = [message.vm, message.version, message.position, message.since]
@@ -316,9 +309,9 @@
         case messages.Grant():
             return ["g", *dataclasses.astuple(message)]
         case messages.Refuse():
-            left = message.retry_at - now
+            time_left = message.retry_at - now
             reason = message.reason.value
-            return ["r", message.ticket, reason, left, round(message.pressure, 2)]
+            return ["r", message.ticket, reason, time_left, round(message.pressure, 2)]
         case messages.Wait():
             return ["w", message.ticket]
         case messages.Report():
@@ -357,9 +350,9 @@
         case "g":
             return messages.Grant(*rest)
         case "r":
-            ticket, reason, left, pressure = rest
+            ticket, reason, time_left, pressure = rest
             return messages.Refuse(
-                ticket, messages.RefusalReason(reason), now + left, pressure
+                ticket, messages.RefusalReason(reason), now + time_left, pressure
             )
         case "w":
             return messages.Wait(rest[0])
@@ -433,15 +426,17 @@
 
 
 def _unpack_target_ids(value: object) -> tuple[str, ...]:
-    """Return names of targets.
+    """Return a list of target ids.
 
     A malformed or overlong list is rejected, because a dispatcher searches the list for
     each of its targets.
     """
     if not isinstance(value, list) or len(value) > MAX_LISTED_TARGETS:
-        raise UnreadableError("no list of names")
+        raise UnreadableError(
+            "expected a list of target ids, not longer than the maximum"
+        )
     if not all(isinstance(listed_id, str) for listed_id in value):
-        raise UnreadableError("a name that is no text")
+        raise UnreadableError("expected each target id to be a string")
     return tuple(value)
 
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/knowledge_keeper.py
@@ -34,9 +34,9 @@
 )
 
 START_WAIT_S = 1.0
-"""Seconds after its start for which a VM lets requests wait until it is complete, which
-it nearly always is by then. Later it refuses them at once, since other VMs may serve
-them."""
+"""Seconds after its start for which a VM that lacks configuration or targets lets
+requests wait for them; by then it nearly always has both. Later it refuses requests at
+once, since other VMs may serve them."""
 
 START_CHECK_INTERVAL_S = 0.01
 """Seconds between two checks by a request that waits for the start to complete."""
@@ -190,12 +190,9 @@
             group.start_soon(self._start_fetcher.run)
 
     def compensate_suspension(self, seconds: float) -> None:
-        """Make the data older by the time that the clock did not count, and read again.
+        """Make the data older by the seconds of a suspension, and read again.
 
-        Parameters
-        ----------
-        seconds : float
-            How long the VM was suspended.
+        The monotonic clock did not count them.
         """
         self._target_record.compensate_suspension(seconds)
         self._configuration_keeper.compensate_suspension(seconds)
@@ -237,12 +234,7 @@
     ) -> None:
         """Put a configuration in force if it is newer than the current one.
 
-        Parameters
-        ----------
-        candidate : configuration.Configuration
-            The configuration.
-        source : str
-            Where it comes from, for log lines.
+        See `ConfigurationKeeper.apply_configuration`.
         """
         self._configuration_keeper.apply_configuration(candidate, source)
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/edge/resignation.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/edge/resignation.py
@@ -1,7 +1,7 @@
 """Resigns from tasks that this VM cannot perform at the moment, though it is running.
 
-Otherwise the others would ask it first again as soon as they hear from it, and wait in
-vain.
+Without a resignation, the other VMs would ask this VM first again as soon as they
+receive a message from it, and wait in vain.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 
 from . import datagrams, log_lines, members, peer_link
 
-RESIGNATION_S = 3.0
+RESIGNATION_DURATION_S = 3.0
 """Seconds that a resignation lasts; it is renewed while its reason lasts."""
 
 ALL_TASKS = ""
 """Name that stands for every task."""
 
-LATE_TIMER_S = 0.06
+MAX_MEAN_LATENESS_S = 0.06
 """Mean delay of timers in seconds above which a VM is too slow to answer others, which
 ask the next VM after 90 ms."""
 
@@ -53,9 +53,9 @@
     def resign(self, task: str, why: str) -> None:
         """Resign from a task, unless most of the current resignation is still left."""
         now = anyio.current_time()
-        if self._resigned_until.get(task, 0.0) - now > RESIGNATION_S / 2:
+        if self._resigned_until.get(task, 0.0) - now > RESIGNATION_DURATION_S / 2:
             return
-        until = now + RESIGNATION_S
+        until = now + RESIGNATION_DURATION_S
         own = self._fleet.own
         if not self._fleet.record_resignation(
             own.vm, own.incarnation, task, until, now
@@ -69,10 +69,10 @@
     def record_lateness(self, seconds: float, has_tasks: bool) -> None:
         """Record by how many seconds a timer of this process fired late.
 
-        It guards against a VM that turns slow while it dispatches a shard. Slot
-        requests would wait in its queue of datagrams, and each requesting VM would have
-        to find out by a time-out of its own.
+        This guards against a VM that becomes slow while it dispatches a shard. Slot
+        requests would wait in its queue of datagrams, and each requesting VM would
+        notice that only by a time-out of its own.
         """
         self._lateness += LATENESS_WEIGHT * (max(0.0, seconds) - self._lateness)
-        if self._lateness > LATE_TIMER_S and has_tasks:
+        if self._lateness > MAX_MEAN_LATENESS_S and has_tasks:
             self.resign(ALL_TASKS, f"timers {self._lateness:.2f} s late")
--- a/tests/edge/test_configuration_keeper.py
+++ b/tests/edge/test_configuration_keeper.py
@@ -15,7 +15,7 @@
 """Seconds within which a version must be in force."""
 
 SETTLE_WAIT_S = 4.0
-"""Seconds after which one VM reads the store for the fleet."""
+"""Seconds after the start of a fleet by which one VM reads the store for all."""
 
 
 async def start_settled(
@@ -72,8 +72,10 @@
             site.publish([edge_site.make_route(f"/new-{number}/")])
             await wait_in_force(site, vms)
             await anyio.sleep(0.5)
-        made = edge_site.count_store_calls(vms) - before
-        assert made["read configuration"] + made["follow configuration"] <= 8
+        calls_made = edge_site.count_store_calls(vms) - before
+        assert (
+            calls_made["read configuration"] + calls_made["follow configuration"] <= 8
+        )
 
 
 async def test_malformed_record_is_read_by_one_vm_only() -> None:
@@ -174,8 +176,15 @@
     current = decoding.decode_configuration(
         encoding.encode_configuration(7, [edge_site.make_route()])
     )
-    data = configuration_codec.pack(configuration_codec.encode(current))
-    assert configuration_codec.decode(configuration_codec.unpack(data)) == current
+    data = configuration_codec.compress_values(
+        configuration_codec.pack_configuration(current)
+    )
+    assert (
+        configuration_codec.unpack_configuration(
+            configuration_codec.decompress_values(data)
+        )
+        == current
+    )
     for end in range(len(data)):
-        with pytest.raises(ValueError, match="not packed"):
-            configuration_codec.unpack(data[:end])
+        with pytest.raises(ValueError, match="not compressed CBOR"):
+            configuration_codec.decompress_values(data[:end])
