--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -25,16 +25,16 @@
 
 
 def make_load(
-    kinds: tuple[Kind, ...], rate: float, count: int, fails: float = 0.9
+    kinds: tuple[Kind, ...], rate: float, count: int, failing_error_share: float = 0.9
 ) -> loads.Load:
     """Return a load whose targets stay good for 21 s and failing for 9 s."""
     return loads.Load(
         rate=rate,
         seconds=20.0,
         target_count=count,
-        onset=1 / 21,
-        recovery=1 / 9,
-        fails=fails,
+        onset_per_s=1 / 21,
+        recovery_per_s=1 / 9,
+        failing_error_share=failing_error_share,
         kinds=kinds,
         vms=48,
     )
@@ -63,7 +63,7 @@
     in_time: float
     """Share that was served in time."""
 
-    opened: float
+    opened_connections: float
     """New connections for each request."""
 
     spread: float
@@ -80,16 +80,18 @@
     return {"all": mechanisms.ALL, **without}
 
 
-def play(name: str, parts: mechanisms.Mechanisms) -> Worth:
+def play(name: str, enabled: mechanisms.Mechanisms) -> Worth:
     """Play one load with all seeds."""
     results = [
-        load_model.play_dispatcher(LOADS[name], seed, parts=parts) for seed in SEEDS
+        load_model.play_dispatcher(LOADS[name], seed, enabled=enabled) for seed in SEEDS
     ]
     served = [one.served_share for one in results]
     return Worth(
         statistics.fmean(served),
         statistics.fmean(one.in_time_share for one in results),
-        statistics.fmean(one.opened / max(1, one.request_count) for one in results),
+        statistics.fmean(
+            one.opened_connections / max(1, one.request_count) for one in results
+        ),
         statistics.stdev(served),
     )
 
@@ -97,7 +99,8 @@
 def show(variant: str, worths: collections.abc.Iterable[Worth]) -> str:
     """Return a row of the table."""
     cells = [
-        f"{one.served:.3f} {one.in_time:.3f} {one.opened:.2f} ±{one.spread:.3f}"
+        f"{one.served:.3f} {one.in_time:.3f} {one.opened_connections:.2f}"
+        f" ±{one.spread:.3f}"
         for one in worths
     ]
     return f"| {variant} | " + " | ".join(cells) + " |"
--- a/bench/least_busy.py
+++ b/bench/least_busy.py
@@ -1,4 +1,4 @@
-"""The baseline of a plain proxy, for the load model."""
+"""The least-busy policy of a plain proxy, as a baseline for the load model."""
 
 from __future__ import annotations
 
@@ -8,34 +8,50 @@
 
 
 class LeastBusy:
-    """The baseline of a plain proxy: the target with the fewest requests in flight."""
-
-    def __init__(self, names: list[str], strike: float, rng: random.Random) -> None:
-        self._busy = dict.fromkeys(names, 0)
-        self._struck: dict[str, float] = {}
-        self._strike = strike
+    """Sends each request at once to the target with the fewest requests in flight.
+
+    Parameters
+    ----------
+    names : list of str
+        Identifiers of the targets.
+    avoidance_s : float
+        Seconds for which a target that failed a request is avoided; 0 for none.
+    rng : random.Random
+        Chooses between targets that are equally busy.
+    """
+
+    def __init__(
+        self, names: list[str], avoidance_s: float, rng: random.Random
+    ) -> None:
+        self._in_flight = dict.fromkeys(names, 0)
+        self._avoided_until: dict[str, float] = {}
+        self._avoidance_s = avoidance_s
         self._rng = rng
 
     def request_slot(
         self, ask: messages.SlotRequest, now: float
     ) -> list[messages.Decision]:
-        """Send at once, to one that has not failed lately if there is any."""
-        usable = [name for name in self._busy if name not in ask.excluded]
-        spared = [name for name in usable if self._struck.get(name, 0.0) <= now]
-        names = spared or usable
-        name = min(names, key=lambda one: (self._busy[one], self._rng.random()))
-        self._busy[name] += 1
+        """Grant a slot of a target that is not avoided, or of any if all are."""
+        allowed = [name for name in self._in_flight if name not in ask.excluded]
+        preferred = [
+            name for name in allowed if self._avoided_until.get(name, 0.0) <= now
+        ]
+        names = preferred or allowed
+        name = min(
+            names, key=lambda target: (self._in_flight[target], self._rng.random())
+        )
+        self._in_flight[name] += 1
         return [messages.Grant(ask.ticket, name, 0.0, 0.2)]
 
     def handle_report(
         self, report: messages.Report, now: float
     ) -> list[messages.Decision]:
-        """Count down, and avoid a target that has failed."""
-        self._busy[report.target_id] -= 1
-        if report.outcome is messages.Outcome.FAILED and self._strike:
-            self._struck[report.target_id] = now + self._strike
+        """Count the request as ended, and avoid its target for a time if it failed."""
+        self._in_flight[report.target_id] -= 1
+        if report.outcome is messages.Outcome.FAILED and self._avoidance_s:
+            self._avoided_until[report.target_id] = now + self._avoidance_s
         return []
 
     def wake(self, now: float) -> list[messages.Decision]:
-        """Do nothing."""
+        """Return no decisions: nothing waits."""
         return []
--- a/bench/load_model.py
+++ b/bench/load_model.py
@@ -1,8 +1,12 @@
-"""A model of callers and failing targets in virtual time, for dispatch decisions.
+"""Simulates callers and failing targets in virtual time, for dispatch decisions.
 
-Arrivals are Poisson, times of work log-normal, and targets change between good and
-failing at given rates. A failing target answers most requests with an error at once,
-so it looks idle. Only decisions are modelled: no connections, no lost datagrams.
+Arrivals are a Poisson process, work times are log-normal, and targets change between
+healthy and failing at given rates. A failing target answers most requests with an error
+at once, so it looks idle. Only decisions are simulated: there are no sockets and no
+lost datagrams.
+
+Run as ``python -m bench.load_model``; prints shares of requests by offered load and by
+lost targets.
 """
 
 from __future__ import annotations
@@ -27,47 +31,49 @@
 
 from . import least_busy, loads
 
-MOST_TARGETS = 2
-"""Targets that a request may be sent to, if the first turned it away."""
+MAX_ATTEMPTS_IF_SHED = 2
+"""Number of targets that a request may be sent to if they turn it away without running
+it; holds for every kind."""
 
-SPREAD = 0.7
-"""Standard deviation of the logarithm of times of work."""
+WORK_SIGMA = 0.7
+"""Standard deviation of the logarithm of work times."""
 
-FAIL_TIME = 0.001
-"""Seconds in which a failing target answers."""
+FAILURE_DELAY_S = 0.001
+"""Seconds in which a target answers with an error or turns a request away."""
 
-RETURN_SHARE = 1 / 3
-"""Share of the time left that a refused caller is willing to wait."""
+MAX_RETURN_WAIT_SHARE = 1 / 3
+"""Share of the time to its deadline that a refused caller waits at most before it
+sends its request again."""
 
-LIMIT_KNOWN_AFTER = 3.0
-"""Seconds after a target first named a limit from which it counts."""
+LIMIT_GRACE_S = 3.0
+"""Seconds after a target first announces a limit in which it need not be kept yet."""
 
-LIMIT_WINDOW = 4.0
-"""Seconds over which requests at such a target are counted."""
+LIMIT_WINDOW_S = 4.0
+"""Seconds over which requests at a target with a limit are counted."""
 
-WAKE_PAUSE = 0.05
+WAKE_INTERVAL_S = 0.05
 SERVICE = "desk"
 SHARD = shards.Shard(SERVICE)
 Outcome = messages.Outcome
 
 
 class Policy(typing.Protocol):
-    """Decides where requests go."""
+    """Decides which targets get requests."""
 
     def request_slot(
         self, ask: messages.SlotRequest, now: float
     ) -> list[messages.Decision]:
-        """Take in a request."""
+        """Return decisions on a slot request, and on others that it affects."""
         ...
 
     def handle_report(
         self, report: messages.Report, now: float
     ) -> list[messages.Decision]:
-        """Take in how an attempt went."""
+        """Record the outcome of an attempt; return the decisions that follow."""
         ...
 
     def wake(self, now: float) -> list[messages.Decision]:
-        """Act on the time."""
+        """Return the decisions that are due because of the time alone."""
         ...
 
 
@@ -75,46 +81,61 @@
     def __init__(self, number: int, kind: loads.Kind, now: float) -> None:
         self.number = number
         self.kind = kind
-        self.at = now
+        self.arrived_at = now
         self.attempt = 1
         self.vm = 0
-        self.returns = 0
+        self.return_count = 0
         self.excluded: tuple[str, ...] = ()
 
 
 class Model:
-    """One run of a load against a policy."""
+    """Simulation of one load under one policy.
+
+    Parameters
+    ----------
+    load : loads.Load
+        Load and faults to simulate.
+    seed : int
+        Seed of everything drawn at random.
+    """
 
     def __init__(self, load: loads.Load, seed: int) -> None:
         self._load = load
-        self._rng = random.Random(seed)
-        count = round(load.target_count * (1 - load.lost_share))
-        self.names = [f"t{n}" for n in range(count)]
-        slow = round(load.slow_share * count)
-        self._slow = set(self.names[:slow])
-        limited = round(load.limit_share * count)
-        self._arrived: dict[str, list[float]] = {
-            name: [] for name in self.names[count - limited :]
+        self._work_rng = random.Random(seed)
+        target_count = round(load.target_count * (1 - load.lost_share))
+        self.target_names = [f"t{n}" for n in range(target_count)]
+        slow = round(load.slow_share * target_count)
+        self._slow_targets = set(self.target_names[:slow])
+        limited = round(load.limited_share * target_count)
+        self._limited_arrivals: dict[str, list[float]] = {
+            name: [] for name in self.target_names[target_count - limited :]
+        }
+        # Arrivals and changes of targets have generators of their own, so that they do
+        # not depend on the decisions of the policy.
+        self._arrival_rng = random.Random(f"{seed} arrivals")
+        self._change_rngs = {
+            name: random.Random(f"{seed} {name}") for name in self.target_names
+        }
+        failing = round(self._find_failing_share() * target_count)
+        chosen = set(self._arrival_rng.sample(self.target_names, failing))
+        self._failing = {name: name in chosen for name in self.target_names}
+        self._busy = dict.fromkeys(self.target_names, 0)
+        self._slot_ends: dict[str, list[float]] = {
+            name: [] for name in self.target_names
         }
-        # Streams of their own, so that two policies meet the same load.
-        self._arrivals = random.Random(f"{seed} arrivals")
-        self._changes = {name: random.Random(f"{seed} {name}") for name in self.names}
-        failing = round(self._usual() * count)
-        chosen = set(self._arrivals.sample(self.names, failing))
-        self._failing = {name: name in chosen for name in self.names}
-        self._busy = dict.fromkeys(self.names, 0)
-        self._free_at: dict[str, list[float]] = {name: [] for name in self.names}
         self._events: list[tuple[float, int, typing.Any]] = []
         self._numbers = itertools.count()
-        self._open: dict[str, _Request] = {}
+        self._pending: dict[str, _Request] = {}
         self._counts: collections.Counter[str] = collections.Counter()
-        self._asked: collections.Counter[str] = collections.Counter()
-        self._served: collections.Counter[str] = collections.Counter()
-        self._longest_refusal = 0.0
-        self._idle: dict[tuple[int, str], list[float]] = collections.defaultdict(list)
+        self._request_counts: collections.Counter[str] = collections.Counter()
+        self._served_counts: collections.Counter[str] = collections.Counter()
+        self._longest_refusal_s = 0.0
+        self._idle_connections: dict[tuple[int, str], list[float]] = (
+            collections.defaultdict(list)
+        )
 
     def make_entries(self) -> list[targets.Entry]:
-        """Return the targets as they register themselves."""
+        """Return the registry entries of the targets."""
         return [
             targets.Entry(
                 name,
@@ -128,133 +149,146 @@
                 0,
                 1,
             )
-            for name in self.names
+            for name in self.target_names
         ]
 
     def run(self, policy: Policy) -> loads.Result:
-        """Play the load."""
+        """Simulate the load under a policy, which may be used only once."""
         self._policy = policy
         self._schedule(0.0, self._arrive)
-        for name in self.names:
+        for name in self.target_names:
             self._schedule(
-                self._draw_change(name), lambda at, one=name: self._flip(one, at)
+                self._draw_change(name),
+                lambda time, target=name: self._toggle_failing(target, time),
             )
-        self._schedule(WAKE_PAUSE, self._wake)
+        self._schedule(WAKE_INTERVAL_S, self._wake_policy)
         while self._events:
-            at, _, act = heapq.heappop(self._events)
-            if at > self._load.seconds + 5.0:
+            time, _, action = heapq.heappop(self._events)
+            if time > self._load.seconds + 5.0:
                 break
-            act(at)
+            action(time)
         counts = self._counts
         return loads.Result(
-            request_count=sum(self._asked.values()),
+            request_count=sum(self._request_counts.values()),
             in_time=counts["in_time"],
             late=counts["late"],
             failed=counts["failed"],
             refused=counts["refused"],
             served_by_kind={
-                name: self._served[name] / asked for name, asked in self._asked.items()
+                name: self._served_counts[name] / request_count
+                for name, request_count in self._request_counts.items()
             },
-            wasted=counts["wasted"],
-            denied=counts["denied"],
-            opened=counts["opened"],
-            longest_refusal=self._longest_refusal,
-            busiest_limited=self._find_busiest_limited(),
-            limited_after=self._count_after_limit(),
-            refused_late=counts["refused_late"] / max(1, sum(self._asked.values())),
+            failed_attempts=counts["failed_attempts"],
+            denied_retries=counts["denied_retries"],
+            opened_connections=counts["opened_connections"],
+            longest_refusal_s=self._longest_refusal_s,
+            max_requests_at_limit=self._find_max_requests_at_limit(),
+            rate_after_limit=self._find_rate_after_limit(),
+            late_refusal_share=counts["late_refusals"]
+            / max(1, sum(self._request_counts.values())),
         )
 
-    def _find_busiest_limited(self) -> int:
-        since = self._load.limit_from + LIMIT_KNOWN_AFTER
+    def _find_max_requests_at_limit(self) -> int:
+        since = self._load.limit_from + LIMIT_GRACE_S
         until = self._load.limit_until
         return max(
             (
-                sum(begin <= at < min(until, begin + LIMIT_WINDOW) for at in times)
-                for times in self._arrived.values()
+                sum(
+                    begin <= time < min(until, begin + LIMIT_WINDOW_S) for time in times
+                )
+                for times in self._limited_arrivals.values()
                 for begin in times
                 if since <= begin < until
             ),
             default=0,
         )
 
-    def _count_after_limit(self) -> float:
+    def _find_rate_after_limit(self) -> float:
         left = self._load.seconds - self._load.limit_until
-        if left <= 0 or not self._arrived:
+        if left <= 0 or not self._limited_arrivals:
             return 0.0
         until = self._load.limit_until
-        count = sum(at >= until for times in self._arrived.values() for at in times)
-        return count / left / len(self._arrived)
+        arrival_count = sum(
+            time >= until for times in self._limited_arrivals.values() for time in times
+        )
+        return arrival_count / left / len(self._limited_arrivals)
 
-    def _find_limit(self, name: str, now: float) -> float:
-        """Return the limit that a target names now, infinite for none."""
+    def _find_limit_per_s(self, name: str, now: float) -> float:
+        """Return the rate limit that a target announces now; infinite for none."""
         load = self._load
-        is_limited = name in self._arrived
+        is_limited = name in self._limited_arrivals
         if is_limited and load.limit_from <= now < load.limit_until:
-            return load.limit
+            return load.limit_per_s
         return math.inf
 
-    def _usual(self) -> float:
+    def _find_failing_share(self) -> float:
         load = self._load
-        total = load.onset + load.recovery
-        return load.onset / total if total else 0.0
+        total = load.onset_per_s + load.recovery_per_s
+        return load.onset_per_s / total if total else 0.0
 
     def _draw_change(self, name: str) -> float:
-        rate = self._load.recovery if self._failing[name] else self._load.onset
-        return self._changes[name].expovariate(rate) if rate else math.inf
+        rate = (
+            self._load.recovery_per_s if self._failing[name] else self._load.onset_per_s
+        )
+        return self._change_rngs[name].expovariate(rate) if rate else math.inf
 
-    def _flip(self, name: str, now: float) -> None:
+    def _toggle_failing(self, name: str, now: float) -> None:
         self._failing[name] = not self._failing[name]
-        self._schedule(now + self._draw_change(name), lambda at: self._flip(name, at))
+        self._schedule(
+            now + self._draw_change(name), lambda time: self._toggle_failing(name, time)
+        )
 
-    def _schedule(self, at: float, act: typing.Callable[[float], None]) -> None:
-        heapq.heappush(self._events, (at, next(self._numbers), act))
+    def _schedule(self, time: float, action: typing.Callable[[float], None]) -> None:
+        heapq.heappush(self._events, (time, next(self._numbers), action))
 
-    def _wake(self, now: float) -> None:
+    def _wake_policy(self, now: float) -> None:
         self._apply(self._policy.wake(now), now)
-        self._schedule(now + WAKE_PAUSE, self._wake)
+        self._schedule(now + WAKE_INTERVAL_S, self._wake_policy)
 
     def _arrive(self, now: float) -> None:
         if now > self._load.seconds:
             return
         kinds = self._load.kinds
-        [kind] = self._arrivals.choices(kinds, [one.share for one in kinds])
+        [kind] = self._arrival_rng.choices(kinds, [each.share for each in kinds])
         request = _Request(next(self._numbers), kind, now)
-        request.vm = self._arrivals.randrange(self._load.vms or 1)
-        self._asked[kind.name] += 1
-        self._ask(request, now)
+        request.vm = self._arrival_rng.randrange(self._load.vms or 1)
+        self._request_counts[kind.name] += 1
+        self._request_slot(request, now)
         load = self._load
         is_burst = load.burst_from <= now < load.burst_until
-        rate = load.rate * (load.burst if is_burst else 1.0)
-        self._schedule(now + self._arrivals.expovariate(rate), self._arrive)
+        rate = load.rate * (load.burst_factor if is_burst else 1.0)
+        self._schedule(now + self._arrival_rng.expovariate(rate), self._arrive)
 
-    def _ask(self, request: _Request, now: float) -> None:
-        ticket = f"{request.number}/{request.attempt}/{request.returns}"
-        self._open[ticket] = request
+    def _request_slot(self, request: _Request, now: float) -> None:
+        ticket = f"{request.number}/{request.attempt}/{request.return_count}"
+        self._pending[ticket] = request
         kind = request.kind
         ask = messages.SlotRequest(
             ticket,
             SHARD,
             kind.name,
-            request.attempt < kind.attempts,
+            request.attempt < kind.max_attempts,
             kind.priority,
-            request.at + kind.objective,
-            request.at + kind.deadline,
+            request.arrived_at + kind.objective,
+            request.arrived_at + kind.deadline,
             request.attempt,
             "a",
             request.excluded,
-            self._list_open(request.vm, now),
+            self._list_connected_targets(request.vm, now),
         )
         self._apply(self._policy.request_slot(ask, now), now)
 
-    def _list_open(self, vm: int, now: float) -> tuple[str, ...]:
+    def _list_connected_targets(self, vm: int, now: float) -> tuple[str, ...]:
         """Return the targets to which a VM has an idle connection."""
         if not self._load.vms:
             return ()
-        oldest = now - self._load.kept_for
-        for name in self.names:
-            idle = self._idle[vm, name]
-            idle[:] = [at for at in idle if at > oldest]
-        return tuple(name for name in self.names if self._idle[vm, name])
+        expired_at = now - self._load.idle_timeout_s
+        for name in self.target_names:
+            idle = self._idle_connections[vm, name]
+            idle[:] = [time for time in idle if time > expired_at]
+        return tuple(
+            name for name in self.target_names if self._idle_connections[vm, name]
+        )
 
     def _apply(self, decisions: list[messages.Decision], now: float) -> None:
         for decision in decisions:
@@ -262,91 +296,108 @@
                 case messages.Grant():
                     self._send(decision, now)
                 case messages.Refuse():
-                    request = self._open.pop(decision.ticket)
+                    request = self._pending.pop(decision.ticket)
                     if request.attempt > 1:
-                        # Its last failure is the answer that the caller gets.
+                        # The caller gets the failed answer of its last attempt.
                         self._counts["failed"] += 1
-                        self._counts["denied"] += 1
+                        self._counts["denied_retries"] += 1
                         continue
-                    if self._come_back(request, decision.retry_at, now):
+                    if self._schedule_return(request, decision.retry_at, now):
                         continue
                     self._counts["refused"] += 1
-                    waited = now - request.at
-                    self._counts["refused_late"] += waited > request.kind.objective / 8
-                    self._longest_refusal = max(self._longest_refusal, waited)
+                    waited = now - request.arrived_at
+                    self._counts["late_refusals"] += waited > request.kind.objective / 8
+                    self._longest_refusal_s = max(self._longest_refusal_s, waited)
                 case messages.Wait():
                     pass
 
-    def _come_back(self, request: _Request, retry_at: float, now: float) -> bool:
-        """Let a refused caller return, if it still may; return whether it does."""
-        left = request.at + request.kind.deadline - now
-        if request.returns >= self._load.returns or request.attempt > 1:
+    def _schedule_return(self, request: _Request, retry_at: float, now: float) -> bool:
+        """Send a refused request again, at the time that the refusal names.
+
+        Returns
+        -------
+        bool
+            Whether it is sent again: not if it has no returns left, if it is a retry,
+            or if the wait is too long.
+        """
+        left = request.arrived_at + request.kind.deadline - now
+        if request.return_count >= self._load.max_returns or request.attempt > 1:
             return False
-        if retry_at - now > RETURN_SHARE * left:
+        if retry_at - now > MAX_RETURN_WAIT_SHARE * left:
             return False
-        request.returns += 1
-        self._schedule(retry_at, lambda at: self._ask(request, at))
+        request.return_count += 1
+        self._schedule(retry_at, lambda time: self._request_slot(request, time))
         return True
 
     def _send(self, grant: messages.Grant, now: float) -> None:
-        """Let a target work: at once, or after those that came before."""
-        request = self._open[grant.ticket]
+        """Deliver a request to the granted target, which queues it if its slots are
+        taken."""
+        request = self._pending[grant.ticket]
         name, kind = grant.target_id, request.kind
-        if name in self._arrived:
-            self._arrived[name].append(now)
+        if name in self._limited_arrivals:
+            self._limited_arrivals[name].append(now)
         if self._load.vms:
-            idle = self._idle[request.vm, name]
-            self._counts["opened"] += not idle
+            idle = self._idle_connections[request.vm, name]
+            self._counts["opened_connections"] += not idle
             del idle[-1:]
-        if self._load.shed and self._rng.random() < self._load.shed:
-            self._schedule(now + FAIL_TIME, lambda at: self._turn_away(grant, at))
+        if self._load.shed_share and self._work_rng.random() < self._load.shed_share:
+            self._schedule(
+                now + FAILURE_DELAY_S, lambda time: self._handle_shed(grant, time)
+            )
             return
-        share = self._load.fails if self._failing[name] else self._load.error_share
-        failed = self._rng.random() < share
-        work = FAIL_TIME
+        share = (
+            self._load.failing_error_share
+            if self._failing[name]
+            else self._load.error_share
+        )
+        failed = self._work_rng.random() < share
+        duration_s = FAILURE_DELAY_S
         if not failed:
-            mu = math.log(kind.mean) - SPREAD * SPREAD / 2
-            work = self._rng.lognormvariate(mu, SPREAD)
-            work *= self._load.slow_factor if name in self._slow else 1.0
-        slots = self._free_at[name]
+            mu = math.log(kind.mean_work_s) - WORK_SIGMA * WORK_SIGMA / 2
+            duration_s = self._work_rng.lognormvariate(mu, WORK_SIGMA)
+            duration_s *= self._load.slow_factor if name in self._slow_targets else 1.0
+        slots = self._slot_ends[name]
         begin = now
         if len(slots) >= self._load.slots:
             begin = max(now, heapq.heappop(slots))
-        end = begin + work
+        end = begin + duration_s
         heapq.heappush(slots, end)
         self._schedule(
-            min(end, request.at + kind.deadline) if end > now else now,
-            lambda at: self._end(
-                grant, failed or end > request.at + kind.deadline, now, at
+            min(end, request.arrived_at + kind.deadline) if end > now else now,
+            lambda time: self._handle_end(
+                grant, failed or end > request.arrived_at + kind.deadline, now, time
             ),
         )
 
-    def _turn_away(self, grant: messages.Grant, now: float) -> None:
-        """Let a target say that it did not run a request; any kind may try again."""
-        request = self._open.pop(grant.ticket)
+    def _handle_shed(self, grant: messages.Grant, now: float) -> None:
+        """Report that a target turned a request away without running it.
+
+        Requests of any kind may then be sent to another target.
+        """
+        request = self._pending.pop(grant.ticket)
         report = messages.Report(
             grant.ticket,
             SHARD,
             grant.target_id,
             Outcome.SHED,
-            FAIL_TIME,
+            FAILURE_DELAY_S,
             "vm",
-            self._find_limit(grant.target_id, now),
+            self._find_limit_per_s(grant.target_id, now),
         )
         decisions = self._policy.handle_report(report, now)
         self._counts["turned_away"] += 1
-        if request.attempt < MOST_TARGETS:
+        if request.attempt < MAX_ATTEMPTS_IF_SHED:
             request.attempt += 1
             request.excluded = (*request.excluded, grant.target_id)
-            self._ask(request, now)
+            self._request_slot(request, now)
         else:
             self._counts["refused"] += 1
         self._apply(decisions, now)
 
-    def _end(
+    def _handle_end(
         self, grant: messages.Grant, failed: bool, started: float, now: float
     ) -> None:
-        request = self._open.pop(grant.ticket)
+        request = self._pending.pop(grant.ticket)
         outcome = Outcome.FAILED if failed else Outcome.GOOD
         report = messages.Report(
             grant.ticket,
@@ -355,67 +406,85 @@
             outcome,
             now - started,
             "vm",
-            self._find_limit(grant.target_id, now),
+            self._find_limit_per_s(grant.target_id, now),
         )
         if self._load.vms:
-            self._idle[request.vm, grant.target_id].append(now)
+            self._idle_connections[request.vm, grant.target_id].append(now)
         decisions = self._policy.handle_report(report, now)
         kind = request.kind
         if not failed:
-            in_time = now <= request.at + kind.objective
+            in_time = now <= request.arrived_at + kind.objective
             self._counts["in_time" if in_time else "late"] += 1
-            self._served[kind.name] += 1
+            self._served_counts[kind.name] += 1
         else:
-            self._counts["wasted"] += 1
-            if request.attempt < kind.attempts and now < request.at + kind.deadline:
+            self._counts["failed_attempts"] += 1
+            if (
+                request.attempt < kind.max_attempts
+                and now < request.arrived_at + kind.deadline
+            ):
                 request.attempt += 1
                 request.excluded = (*request.excluded, grant.target_id)
-                self._ask(request, now)
+                self._request_slot(request, now)
             else:
                 self._counts["failed"] += 1
         self._apply(decisions, now)
 
 
 def play_dispatcher(
-    load: loads.Load, seed: int, parts: mechanisms.Mechanisms = mechanisms.ALL
+    load: loads.Load, seed: int, enabled: mechanisms.Mechanisms = mechanisms.ALL
 ) -> loads.Result:
-    """Play a load against the product's dispatcher, or parts of its policy."""
+    """Simulate a load under the product's dispatcher, or under parts of its policy."""
     model = Model(load, seed)
     window = retry_window.RetryWindow(0.2, lambda: 23.0, 10.0)
     policy = dispatcher.Dispatcher(
-        work_times.KindTimes(), window, random.Random(seed), parts
+        work_times.KindTimes(), window, random.Random(seed), enabled
     )
     policy.update_targets(model.make_entries(), 0.0)
     return model.run(policy)
 
 
-def play_least_busy(load: loads.Load, seed: int, strike: float = 0.0) -> loads.Result:
-    """Play a load against the least busy target, with or without strikes."""
+def play_least_busy(
+    load: loads.Load, seed: int, avoidance_s: float = 0.0
+) -> loads.Result:
+    """Simulate a load under the least-busy policy.
+
+    Parameters
+    ----------
+    load : loads.Load
+        Load and faults to simulate.
+    seed : int
+        Seed of everything drawn at random.
+    avoidance_s : float
+        Seconds for which a target that failed a request is avoided.
+    """
     model = Model(load, seed)
-    return model.run(least_busy.LeastBusy(model.names, strike, random.Random(seed)))
+    return model.run(
+        least_busy.LeastBusy(model.target_names, avoidance_s, random.Random(seed))
+    )
 
 
-def show_result(name: str, result: loads.Result) -> str:
-    """Return one row of a table."""
+def format_row(name: str, result: loads.Result) -> str:
+    """Return one row of the table: a name and shares of the requests."""
     refused = result.refused / result.request_count
     failed = result.failed / result.request_count
     return (
         f"{name:28} {result.served_share:7.3f} {result.in_time_share:7.3f}"
-        f" {failed:7.3f} {refused:7.3f} {result.wasted / result.request_count:7.3f}"
+        f" {failed:7.3f} {refused:7.3f}"
+        f" {result.failed_attempts / result.request_count:7.3f}"
     )
 
 
 def main() -> None:
-    """Print goodput against offered load and targets lost."""
+    """Print shares of requests by offered load and by share of lost targets."""
     print(f"{'':28} {'served':>7} {'in time':>7} {'failed':>7} {'refused':>7} wasted")
     for share in (0.5, 0.8, 1.0, 1.5, 2.0, 3.0):
         for lost in (0.0, 0.25, 0.5):
             load = loads.Load(rate=1.0, seconds=10.0, lost_share=lost)
             load = dataclasses.replace(load, rate=share * load.capacity)
             name = f"load {share:.0%}, lost {lost:.0%}"
-            print(show_result(f"dispatcher, {name}", play_dispatcher(load, 1)))
-            print(show_result("  least busy", play_least_busy(load, 1)))
-            print(show_result("  one strike of 0.7 s", play_least_busy(load, 1, 0.7)))
+            print(format_row(f"dispatcher, {name}", play_dispatcher(load, 1)))
+            print(format_row("  least busy", play_least_busy(load, 1)))
+            print(format_row("  one strike of 0.7 s", play_least_busy(load, 1, 0.7)))
 
 
 if __name__ == "__main__":
--- a/bench/loads.py
+++ b/bench/loads.py
@@ -1,4 +1,4 @@
-"""Loads of the model in virtual time, and what became of them."""
+"""Loads for the load model in virtual time, and the results of simulating them."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
     """A kind of request."""
 
     name: str
-    """Its name."""
+    """Name of the kind."""
 
     share: float
-    """Share of all requests."""
+    """Share of all requests, from 0 to 1."""
 
-    mean: float
-    """Mean seconds of work."""
+    mean_work_s: float
+    """Mean work time, in seconds."""
 
-    attempts: int
-    """Most targets that one request may be sent to when it fails."""
+    max_attempts: int
+    """Number of targets that a request may be sent to if they fail it."""
 
     priority: int
-    """Rank."""
+    """Priority among the requests of the service; 0 goes first."""
 
     objective: float
-    """Seconds within which an answer is in time."""
+    """Seconds after arrival until which an answer is in time."""
 
     deadline: float
-    """Seconds after which nobody waits."""
+    """Seconds after arrival from which the caller no longer waits for an answer."""
 
 
 KINDS = (
@@ -40,128 +40,129 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """What happens to a service."""
+    """Requests to a service, and the faults of its targets while they arrive."""
 
     rate: float
-    """Requests a second."""
+    """Mean requests per second, outside bursts."""
 
     seconds: float = 60.0
-    """How long."""
+    """Duration of the load, in seconds."""
 
     target_count: int = 22
-    """Targets."""
+    """Number of targets, including the lost ones."""
 
     slots: int = 3
-    """Slots of each."""
+    """Slots of each target."""
 
-    onset: float = 0.033
-    """Changes to failing, per second of a good target."""
+    onset_per_s: float = 0.033
+    """Rate at which a healthy target starts to fail."""
 
-    recovery: float = 0.078
-    """Changes to good, per second of a failing target."""
+    recovery_per_s: float = 0.078
+    """Rate at which a failing target becomes healthy."""
 
-    fails: float = 0.75
-    """Share of requests that a failing target fails."""
+    failing_error_share: float = 0.75
+    """Share of its requests that a failing target answers with an error."""
 
     error_share: float = 0.012
-    """Share of requests that fail at any target."""
+    """Share of its requests that a healthy target answers with an error."""
 
     slow_share: float = 0.0
     """Share of targets that are slow."""
 
     slow_factor: float = 5.0
-    """Times that a slow target takes longer."""
+    """Factor by which the work times of slow targets are longer."""
 
     lost_share: float = 0.0
-    """Share of targets that are gone from the start."""
+    """Share of targets that do not exist from the start."""
 
-    burst: float = 1.0
-    """Times as many requests as usual come in a burst."""
+    burst_factor: float = 1.0
+    """Factor by which the rate is higher during the burst."""
 
     burst_from: float = 4.0
-    """Seconds from the start at which it begins."""
+    """Begin of the burst, in seconds from the start."""
 
     burst_until: float = 7.0
-    """Seconds from the start at which it ends."""
+    """End of the burst, in seconds from the start."""
 
-    shed: float = 0.0
-    """Share of what reaches any target that is turned away."""
+    shed_share: float = 0.0
+    """Share of the requests received by any target that it turns away."""
 
-    limit_share: float = 0.0
-    """Share of targets that name a limit."""
+    limited_share: float = 0.0
+    """Share of targets that announce a rate limit."""
 
-    limit: float = 2.0
-    """Requests a second that each of them takes."""
+    limit_per_s: float = 2.0
+    """Rate limit that each of them announces, in requests per second."""
 
     limit_from: float = 3.0
-    """Seconds from the start at which they name it."""
+    """Time from which they announce it, in seconds from the start."""
 
     limit_until: float = math.inf
-    """Seconds from the start at which they name none any more."""
+    """Time from which they announce no limit, in seconds from the start."""
 
     vms: int = 0
-    """VMs that send and keep connections; 0 for a model without connections."""
+    """Number of VMs that keep connections to targets; 0 to simulate no connections."""
 
-    kept_for: float = 8.0
-    """Seconds for which an idle connection may be used again."""
+    idle_timeout_s: float = 8.0
+    """Seconds for which an idle connection may be reused."""
 
-    returns: int = 0
-    """Times that a refused caller comes back when told, while time is left."""
+    max_returns: int = 0
+    """Number of times that a refused caller sends its request again, at the time that
+    the refusal names, while enough time is left."""
 
     kinds: tuple[Kind, ...] = KINDS
-    """Kinds of requests."""
+    """Kinds of requests; their shares add up to 1."""
 
     @property
     def capacity(self) -> float:
-        """Requests a second that all targets together could serve if none failed."""
-        mean = sum(kind.share * kind.mean for kind in self.kinds)
-        return self.target_count * self.slots / mean
+        """Requests per second that all targets together could serve if none failed."""
+        mean_work_s = sum(kind.share * kind.mean_work_s for kind in self.kinds)
+        return self.target_count * self.slots / mean_work_s
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """What became of all requests."""
+    """Numbers of requests by outcome, and measures of the policy."""
 
     request_count: int
-    """Requests."""
+    """Number of requests that arrived."""
 
     in_time: int
-    """Answered within their objective."""
+    """Number of requests answered within their objective."""
 
     late: int
-    """Answered after it."""
+    """Number of requests answered after their objective."""
 
     failed: int
-    """Failed by their last target, or overdue."""
+    """Number of requests whose last attempt failed or exceeded the deadline."""
 
     refused: int
-    """Refused."""
+    """Number of requests refused by the policy, or turned away by their last target."""
 
     served_by_kind: dict[str, float]
-    """Share served, by kind."""
+    """Share of the requests that were answered, by the name of their kind."""
 
-    wasted: int
-    """Attempts that failed."""
+    failed_attempts: int
+    """Number of attempts that failed or exceeded the deadline."""
 
-    denied: int
-    """Requests whose first target failed them, and that got no second one."""
+    denied_retries: int
+    """Number of requests whose retry was refused; they count as failed."""
 
-    opened: int
-    """Connections opened to targets."""
+    opened_connections: int
+    """Number of connections opened to targets."""
 
-    longest_refusal: float
-    """Longest seconds that a refused request had waited."""
+    longest_refusal_s: float
+    """Longest time in seconds from the arrival of a request to its refusal."""
 
-    busiest_limited: int
-    """Most requests in four seconds at a target with a limit, from three seconds after
-    it first named one."""
+    max_requests_at_limit: int
+    """Most requests that a target with a limit received in four seconds, from three
+    seconds after it first announced the limit."""
 
-    limited_after: float
-    """Requests a second and target at those that had one, once they name none."""
+    rate_after_limit: float
+    """Mean requests per second at a target that had a limit, after the limit ended."""
 
-    refused_late: float
-    """Share of all requests that were refused after more than an eighth of their
-    objective."""
+    late_refusal_share: float
+    """Share of all requests that were refused after waiting for more than an eighth of
+    their objective."""
 
     @property
     def served_share(self) -> float:
@@ -170,5 +171,5 @@
 
     @property
     def in_time_share(self) -> float:
-        """Share of requests that were answered in time."""
+        """Share of requests that were answered within their objective."""
         return self.in_time / max(1, self.request_count)
--- a/bench/shard_model.py
+++ b/bench/shard_model.py
@@ -1,7 +1,11 @@
-"""A large service in shards against the same service under one dispatcher.
+"""Compares a large service in shards with the same service under one dispatcher.
 
-The load of `load_model` on a service of 96 targets. Each VM sees a small part of the
-requests and knows of a shard only what came with the last answer from there.
+Simulates the load of `load_model` on a service of 96 targets. Each VM receives a small
+part of the requests and knows the pressure of a shard only from the last answer of that
+shard's dispatcher.
+
+Run as ``python -m bench.shard_model``; prints shares of requests by offered load and
+number of shards.
 """
 
 from __future__ import annotations
@@ -19,93 +23,117 @@
 
 from . import load_model, loads
 
-VMS = 120
-TARGETS = 96
-SLACK = 80.0
-"""Retries of the service beyond its ratio, shared by its shards."""
+VM_COUNT = 120
+TARGET_COUNT = 96
+RETRY_SLACK = 80.0
+"""Number of retries of the service in addition to its ratio, split among its shards."""
+
+MAX_SHARDS_PER_REQUEST = 2
+"""Number of shards in which a request asks for a slot, as in the product."""
 
-MOST_SHARDS = 2
-"""Shards that a request asks, as in the product's placement."""
 
+class ShardedPolicy:
+    """One dispatcher for each shard, and VMs that choose among the shards.
 
-class Sharded:
-    """Dispatchers of all shards, and the VMs that choose between them."""
+    Parameters
+    ----------
+    model : load_model.Model
+        Simulation whose targets are divided among the shards.
+    shard_count : int
+        Number of shards.
+    seed : int
+        Seed of the dispatchers and the choices of the VMs.
+    """
 
-    def __init__(self, model: load_model.Model, count: int, seed: int) -> None:
+    def __init__(self, model: load_model.Model, shard_count: int, seed: int) -> None:
         self._rng = random.Random(seed)
         times = work_times.KindTimes()
         self._dispatchers: dict[shards.Shard, dispatcher.Dispatcher] = {}
         entries = model.make_entries()
-        for index in range(count):
-            shard = shards.Shard(load_model.SERVICE, "a", index, count)
-            window = retry_window.RetryWindow(0.2, lambda: SLACK / count, 10.0)
-            one = dispatcher.Dispatcher(times, window, self._rng)
-            one.update_targets([entry for entry in entries if shard.covers(entry)], 0.0)
-            self._dispatchers[shard] = one
-        self._choosers = [shards.ShardChooser("a", self._rng) for _ in range(VMS)]
-        self._shard_of: dict[str, shards.Shard] = {}
+        for index in range(shard_count):
+            shard = shards.Shard(load_model.SERVICE, "a", index, shard_count)
+            window = retry_window.RetryWindow(
+                0.2, lambda: RETRY_SLACK / shard_count, 10.0
+            )
+            shard_dispatcher = dispatcher.Dispatcher(times, window, self._rng)
+            shard_dispatcher.update_targets(
+                [entry for entry in entries if shard.covers(entry)], 0.0
+            )
+            self._dispatchers[shard] = shard_dispatcher
+        self._vm_choosers = [
+            shards.ShardChooser("a", self._rng) for _ in range(VM_COUNT)
+        ]
+        self._shard_by_ticket: dict[str, shards.Shard] = {}
 
     def request_slot(
         self, ask: messages.SlotRequest, now: float
     ) -> list[messages.Decision]:
-        """Ask in one shard, and in another where the first refuses."""
-        chooser = self._rng.choice(self._choosers)
+        """Request the slot in one shard, and in another one if the first refuses it."""
+        chooser = self._rng.choice(self._vm_choosers)
         refused: list[shards.Shard] = []
-        others: list[messages.Decision] = []
-        own: list[messages.Decision] = []
-        while len(refused) < MOST_SHARDS:
+        other_decisions: list[messages.Decision] = []
+        own_decisions: list[messages.Decision] = []
+        while len(refused) < MAX_SHARDS_PER_REQUEST:
             shard = chooser.choose(list(self._dispatchers), now, refused)
             if shard is None:
                 break
-            placed = dataclasses.replace(ask, shard=shard)
-            decisions = self._dispatchers[shard].request_slot(placed, now)
-            others += [one for one in decisions if one.ticket != ask.ticket]
-            own = [one for one in decisions if one.ticket == ask.ticket]
-            self._shard_of[ask.ticket] = shard
-            for one in own:
-                if not isinstance(one, messages.Wait):
-                    chooser.record_pressure(shard, one.pressure, now)
-            if not any(isinstance(one, messages.Refuse) for one in own):
+            addressed = dataclasses.replace(ask, shard=shard)
+            decisions = self._dispatchers[shard].request_slot(addressed, now)
+            other_decisions += [each for each in decisions if each.ticket != ask.ticket]
+            own_decisions = [each for each in decisions if each.ticket == ask.ticket]
+            self._shard_by_ticket[ask.ticket] = shard
+            for decision in own_decisions:
+                if not isinstance(decision, messages.Wait):
+                    chooser.record_pressure(shard, decision.pressure, now)
+            if not any(isinstance(each, messages.Refuse) for each in own_decisions):
                 break
             refused.append(shard)
-        return [*own, *others]
+        return [*own_decisions, *other_decisions]
 
     def handle_report(
         self, report: messages.Report, now: float
     ) -> list[messages.Decision]:
-        """Tell the shard that gave the slot."""
-        shard = self._shard_of.pop(report.ticket)
-        told = dataclasses.replace(report, shard=shard)
-        return self._dispatchers[shard].handle_report(told, now)
+        """Forward the report to the dispatcher that granted the slot."""
+        shard = self._shard_by_ticket.pop(report.ticket)
+        forwarded = dataclasses.replace(report, shard=shard)
+        return self._dispatchers[shard].handle_report(forwarded, now)
 
     def wake(self, now: float) -> list[messages.Decision]:
-        """Act on the time."""
+        """Wake the dispatchers of all shards."""
         decisions: list[messages.Decision] = []
-        for one in self._dispatchers.values():
-            decisions += one.wake(now)
+        for shard_dispatcher in self._dispatchers.values():
+            decisions += shard_dispatcher.wake(now)
         return decisions
 
 
 def make_load(share: float, seconds: float = 6.0) -> loads.Load:
-    """Return a share of what all targets could serve if none failed."""
-    load = loads.Load(rate=1.0, seconds=seconds, target_count=TARGETS)
+    """Return a load of the large service.
+
+    Parameters
+    ----------
+    share : float
+        Rate as a share of what all targets could serve if none failed.
+    seconds : float
+        Duration of the load.
+    """
+    load = loads.Load(rate=1.0, seconds=seconds, target_count=TARGET_COUNT)
     return dataclasses.replace(load, rate=share * load.capacity)
 
 
-def play(load: loads.Load, count: int, seed: int) -> loads.Result:
-    """Play a load against a service in so many shards."""
+def play(load: loads.Load, shard_count: int, seed: int) -> loads.Result:
+    """Simulate a load of a service that has the given number of shards."""
     model = load_model.Model(load, seed)
-    return model.run(Sharded(model, count, seed))
+    return model.run(ShardedPolicy(model, shard_count, seed))
 
 
 def main() -> None:
-    """Print how shards serve against one dispatcher."""
+    """Print shares of requests by offered load and number of shards."""
     print(f"{'':28} {'served':>7} {'in time':>7} {'failed':>7} {'refused':>7} wasted")
     for share in (0.35, 0.5, 0.65):
-        for count in (1, 4):
-            result = play(make_load(share), count, 1)
-            name = f"load {share:.0%}, {count} shards"
-            print(load_model.show_result(name, result), flush=True)
+        for shard_count in (1, 4):
+            result = play(make_load(share), shard_count, 1)
+            name = f"load {share:.0%}, {shard_count} shards"
+            print(load_model.format_row(name, result), flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/dispatch/test_load_replay.py
+++ b/tests/dispatch/test_load_replay.py
@@ -36,7 +36,7 @@
 
 def play_with_strikes(load: loads.Load, seed: int) -> loads.Result:
     """Play the least-busy policy that avoids a target for 0.7 s after a failure."""
-    return load_model.play_least_busy(load, seed, strike=0.7)
+    return load_model.play_least_busy(load, seed, avoidance_s=0.7)
 
 
 def test_failing_targets_are_detected_and_avoided() -> None:
@@ -76,9 +76,9 @@
         rate=rate,
         seconds=40.0,
         target_count=count,
-        onset=1 / 21,
-        recovery=1 / 9,
-        fails=0.9,
+        onset_per_s=1 / 21,
+        recovery_per_s=1 / 9,
+        failing_error_share=0.9,
         kinds=(kind,),
     )
 
@@ -100,7 +100,7 @@
     load = make_sticky_load(write, 45.0, 11)
     load = dataclasses.replace(load, vms=48)
     results = play(load_model.play_dispatcher, load)
-    assert mean(each.opened / each.request_count for each in results) < 0.35
+    assert mean(each.opened_connections / each.request_count for each in results) < 0.35
     unaware = play(load_model.play_dispatcher, dataclasses.replace(load, vms=0))
     assert mean(each.served_share for each in results) > 0.99 * mean(
         each.served_share for each in unaware
@@ -124,17 +124,17 @@
 def test_overload_is_refused_on_arrival() -> None:
     # Three times the work that the targets can do. Requests that cannot be served are
     # refused at once, not after a wait.
-    load = make_load(3.0, onset=0.0)
+    load = make_load(3.0, onset_per_s=0.0)
     for result in play(load_model.play_dispatcher, load):
         assert result.refused > 0.5 * result.request_count
         assert result.in_time + result.late > 0.85 * load.capacity * load.seconds
         assert result.in_time > 0.4 * (result.in_time + result.late)
-        assert result.refused_late < 0.02
+        assert result.late_refusal_share < 0.02
 
 
 def test_slow_targets_get_a_smaller_share_of_the_load() -> None:
     # Three of ten targets take twelve times as long; the others have enough slots.
-    load = make_load(0.4, slow_share=0.3, slow_factor=12.0, onset=0.0)
+    load = make_load(0.4, slow_share=0.3, slow_factor=12.0, onset_per_s=0.0)
     results = play(load_model.play_dispatcher, load)
     least_busy = play(load_model.play_least_busy, load)
     assert mean(each.in_time_share for each in results) > mean(
@@ -144,7 +144,7 @@
 
 def test_nearly_all_requests_are_served_when_no_target_fails() -> None:
     # Failure estimates and tests of targets must not cost capacity when none fails.
-    load = make_load(0.8, onset=0.0, error_share=0.0)
+    load = make_load(0.8, onset_per_s=0.0, error_share=0.0)
     for result in play(load_model.play_dispatcher, load):
         assert result.served_share > 0.99
         assert result.in_time_share > 0.93
@@ -154,7 +154,7 @@
     # Guards against retries that are counted but never sent. Each request may go to two
     # targets, and the retry budget allows a second one to a fifth of the requests, with
     # some slack.
-    load = make_load(0.5, shed=0.55, onset=0.0, error_share=0.0)
+    load = make_load(0.5, shed_share=0.55, onset_per_s=0.0, error_share=0.0)
     slack_share = 23.0 / (10.0 * load.rate)
     max_served_share = 0.45 * (1 + 0.2 + slack_share)
     for result in play(load_model.play_dispatcher, load):
@@ -164,8 +164,10 @@
 def test_retries_earned_by_a_burst_are_used_after_it() -> None:
     # Targets refuse half of the requests from the start; a burst of 1.8 times the usual
     # rate adds to the retry budget, and that may be spent as long as the burst counts.
-    load = make_load(0.4, burst=1.8, burst_from=0.0, burst_until=5.0, shed=0.55)
-    load = dataclasses.replace(load, seconds=15.0, onset=0.0, error_share=0.0)
+    load = make_load(
+        0.4, burst_factor=1.8, burst_from=0.0, burst_until=5.0, shed_share=0.55
+    )
+    load = dataclasses.replace(load, seconds=15.0, onset_per_s=0.0, error_share=0.0)
     results = play(load_model.play_dispatcher, load)
     assert mean(each.served_share for each in results) > 0.538
 
@@ -173,9 +175,9 @@
 def test_rate_limits_of_targets_are_kept_at_high_load_and_end() -> None:
     # A quarter of the targets announce a limit of 2 requests per second while most
     # slots are needed.
-    load = make_load(0.8, limit_share=0.25, limit_until=9.0)
+    load = make_load(0.8, limited_share=0.25, limit_until=9.0)
     for result in play(load_model.play_dispatcher, load):
-        assert result.busiest_limited <= 1.5 * load.limit * 4.0 + 5
-        assert result.limited_after > 2 * load.limit
+        assert result.max_requests_at_limit <= 1.5 * load.limit_per_s * 4.0 + 5
+        assert result.rate_after_limit > 2 * load.limit_per_s
     for result in play(load_model.play_least_busy, load):
-        assert result.busiest_limited > 1.5 * load.limit * 4.0 + 5
+        assert result.max_requests_at_limit > 1.5 * load.limit_per_s * 4.0 + 5
