--- a/bench/choice.py
+++ b/bench/choice.py
@@ -1,4 +1,4 @@
-"""Answers in time against load: each VM alone, and VMs that share evidence."""
+"""Measures answers in time by load, for VMs alone and VMs that share evidence."""
 
 from __future__ import annotations
 
@@ -6,43 +6,45 @@
 
 from . import arrivals, shapes, tables
 
-SECONDS = 12.0
-WARM_UP = 2.0
+DURATION_S = 12.0
+WARM_UP_S = 2.0
+"""Requests that arrive earlier are not counted."""
+
 LOADS = (0.5, 0.8, 0.95, 1.2, 1.5, 2.0, 3.0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Case:
-    """One run."""
+    """A run of the model."""
 
     name: str
-    """Name of the service."""
+    """Name of the service and its variant in the table."""
 
     shape: shapes.Shape
-    """Its size and load."""
+    """Size and load of the service."""
 
     mode: str
-    """How VMs act together."""
+    """Mode of the model, one of the constants of `arrivals`."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Score:
-    """What came out."""
+    """Results of a run."""
 
     answered: float
-    """Share answered in time, by weight."""
+    """Share of the requests answered in time, by weight."""
 
     goodput: float
-    """Answers in time as a share of all slots' work."""
+    """Work answered in time, as a share of what all slots can do."""
 
-    p99: float
-    """Seconds, of the answered."""
+    p99_s: float
+    """99th percentile of the durations of requests answered in time."""
 
     refusals: float
-    """Attempts that targets refused, per request."""
+    """Mean number of attempts of a request that targets refused."""
 
-    control_rate: float
-    """Control bytes that a VM sends in a second."""
+    control_bytes_per_s: float
+    """Mean bytes per second of control messages that a VM sends."""
 
 
 def make_cases() -> list[Case]:
@@ -55,9 +57,9 @@
     cases: list[Case] = []
     for name, shape in sizes.items():
         for load in LOADS:
-            loaded = dataclasses.replace(shape, load=load)
+            loaded_shape = dataclasses.replace(shape, load=load)
             for mode in (arrivals.ALONE, arrivals.SHARED):
-                cases.append(Case(name, loaded, mode))
+                cases.append(Case(name, loaded_shape, mode))
         skewed = dataclasses.replace(shape, load=0.8, skew=0.8)
         cases.append(Case(f"{name}, skewed balancer", skewed, arrivals.SHARED))
         queued = dataclasses.replace(shape, load=0.8, queues=True)
@@ -66,25 +68,25 @@
 
 
 def measure(case: Case) -> Score:
-    """Run one case."""
+    """Run a case and return its results."""
     model = arrivals.Model(case.shape, (), case.mode, seed=1)
-    model.run(SECONDS)
-    done = [d for d in model.ended_requests if d.arrived_at >= WARM_UP]
-    good = [d for d in done if d.is_answered]
-    weight = sum(d.weight for d in done)
-    took = sorted(d.took for d in good)
-    answered = sum(d.weight for d in good) / weight
+    model.run(DURATION_S)
+    counted_requests = [d for d in model.ended_requests if d.arrived_at >= WARM_UP_S]
+    answered_requests = [d for d in counted_requests if d.is_answered]
+    weight = sum(d.weight for d in counted_requests)
+    duration_s = sorted(d.duration_s for d in answered_requests)
+    answered = sum(d.weight for d in answered_requests) / weight
     return Score(
         answered,
-        case.shape.load * len(good) / len(done),
-        took[int(0.99 * (len(took) - 1))],
+        case.shape.load * len(answered_requests) / len(counted_requests),
+        duration_s[int(0.99 * (len(duration_s) - 1))],
         model.refusals / max(1, len(model.ended_requests)),
-        model.control_bytes / SECONDS / case.shape.vms,
+        model.control_bytes / DURATION_S / case.shape.vms,
     )
 
 
 def format_report() -> str:
-    """Return the table."""
+    """Return the table as Markdown."""
     cases = make_cases()
     rows = [
         (
@@ -93,9 +95,9 @@
             case.mode,
             f"{score.answered:.3f}",
             f"{score.goodput:.2f}",
-            f"{1000 * score.p99:.0f} ms",
+            f"{1000 * score.p99_s:.0f} ms",
             f"{score.refusals:.2f}",
-            f"{score.control_rate:.0f}",
+            f"{score.control_bytes_per_s:.0f}",
         )
         for case, score in zip(cases, tables.run_all(measure, cases), strict=True)
     ]
--- a/bench/detection.py
+++ b/bench/detection.py
@@ -1,4 +1,4 @@
-"""Detection time and harm against false ejections, for each gray fault."""
+"""Measures detection time, affected requests and false ejections for each fault."""
 
 from __future__ import annotations
 
@@ -6,146 +6,200 @@
 
 from . import arrivals, shapes, tables
 
-STARTS_AT = 10.0
-ENDS_AT = 30.0
-WINDOW = 1.0
-FADED_SHARE = 0.1
-DAY = 86400.0
-WEIGHTS = (0.1, 0.5, 0.9)
+FAULT_STARTS_AT_S = 10.0
+FAULT_ENDS_AT_S = 30.0
+WINDOW_S = 1.0
+"""Span in which the requests to faulty targets are counted."""
+
+REMAINING_SHARE = 0.1
+"""A fault counts as detected when its targets get this share of their usual requests
+or less."""
+
+DAY_S = 86400.0
+DETECTION_WEIGHTS = (0.1, 0.5, 0.9)
 MODES = (arrivals.SHARED, arrivals.ALONE, arrivals.CONSECUTIVE, arrivals.NO_EJECTION)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Scenario:
-    """A fault and whose it is."""
+    """A fault and the targets that cause it."""
 
     name: str
-    """What goes wrong."""
+    """Name of the fault in the table."""
 
     faults: tuple[shapes.Fault, ...]
-    """How the model brings it about."""
+    """Faults that the model simulates."""
 
-    guilty: tuple[int, ...]
-    """Targets that are really at fault; none where it is the observer's."""
+    faulty_targets: tuple[int, ...]
+    """Indexes of the targets that should be ejected; none if the fault is that of the
+    VMs, of the network or of all targets."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Case:
-    """One run."""
+    """A run of the model."""
 
     scenario: Scenario
-    """What goes wrong."""
+    """The simulated fault."""
 
     shape: shapes.Shape
-    """Size, load and weight."""
+    """Size and load of the service, and its detection weight."""
 
     mode: str
-    """How VMs act together."""
+    """Mode of the model, one of `MODES`."""
 
-    seconds: float = ENDS_AT
-    """Length of the run."""
+    seconds: float = FAULT_ENDS_AT_S
+    """Duration of the run."""
 
     seed: int = 1
-    """Seed."""
+    """Seed of the run."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Score:
-    """What came out."""
+    """Results of a run."""
 
-    detection: float | None
-    """Seconds until the guilty targets' work had faded; None if it never did."""
+    detection_time_s: float | None
+    """Time from the begin of the fault until its targets get few requests; None if they
+    never do."""
 
-    harmed: int
-    """Requests that the fault touched."""
+    affected_requests: int
+    """Number of requests that the fault affected."""
 
     false_ejections: float
-    """Healthy targets ejected; by one VM of many alone counts as its share."""
+    """Number of ejections of healthy targets; one by a single VM counts as the share of
+    that VM in all VMs."""
 
     answered: float
     """Share of requests answered in time."""
 
 
-def _first(vm: int) -> bool:
+def _is_first_vm(vm: int) -> bool:
     return vm == 0
 
 
-def _first_place(vm: int) -> bool:
+def _is_in_first_data_centre(vm: int) -> bool:
     return vm % 3 == 0
 
 
-def _other_places(vm: int) -> bool:
+def _is_outside_second_data_centre(vm: int) -> bool:
     return vm % 3 != 1
 
 
 def list_scenarios(targets: int) -> list[Scenario]:
-    """Return the faults of the table for a service of so many targets."""
+    """Return the faults for a service with the given number of targets."""
 
-    def _fault(indexes: tuple[int, ...], **fields: object) -> shapes.Fault:
-        return shapes.Fault(indexes, STARTS_AT, ENDS_AT, **fields)  # type: ignore
+    def _make_fault(indexes: tuple[int, ...], **fields: object) -> shapes.Fault:
+        return shapes.Fault(indexes, FAULT_STARTS_AT_S, FAULT_ENDS_AT_S, **fields)  # type: ignore
 
-    one, every = (3,), tuple(range(targets))
-    place = tuple(number for number in every if number % 3 == 1)
+    one_target, all_targets = (3,), tuple(range(targets))
+    data_centre_targets = tuple(number for number in all_targets if number % 3 == 1)
     return [
-        Scenario("errors 5%", (_fault(one, error_share=0.05),), one),
-        Scenario("errors 20%", (_fault(one, error_share=0.2),), one),
-        Scenario("errors 100%", (_fault(one, error_share=1.0),), one),
-        Scenario("straggler 2x", (_fault(one, slow_factor=2.0),), one),
-        Scenario("straggler 5x", (_fault(one, slow_factor=5.0),), one),
-        Scenario("straggler 20x", (_fault(one, slow_factor=20.0),), one),
-        Scenario("hangs", (_fault(one, hangs=True),), one),
-        Scenario("one kind fails", (_fault(one, error_share=1.0, kind="order"),), one),
-        Scenario("flaps, 4 s", (_fault(one, error_share=1.0, period=4.0),), one),
-        Scenario("flaps, 20 s", (_fault(one, error_share=1.0, period=20.0),), one),
+        Scenario("errors 5%", (_make_fault(one_target, error_share=0.05),), one_target),
+        Scenario("errors 20%", (_make_fault(one_target, error_share=0.2),), one_target),
+        Scenario(
+            "errors 100%", (_make_fault(one_target, error_share=1.0),), one_target
+        ),
+        Scenario(
+            "straggler 2x", (_make_fault(one_target, slow_factor=2.0),), one_target
+        ),
+        Scenario(
+            "straggler 5x", (_make_fault(one_target, slow_factor=5.0),), one_target
+        ),
+        Scenario(
+            "straggler 20x", (_make_fault(one_target, slow_factor=20.0),), one_target
+        ),
+        Scenario("hangs", (_make_fault(one_target, hangs=True),), one_target),
+        Scenario(
+            "one kind fails",
+            (_make_fault(one_target, error_share=1.0, kind="order"),),
+            one_target,
+        ),
+        Scenario(
+            "flaps, 4 s",
+            (_make_fault(one_target, error_share=1.0, period=4.0),),
+            one_target,
+        ),
+        Scenario(
+            "flaps, 20 s",
+            (_make_fault(one_target, error_share=1.0, period=20.0),),
+            one_target,
+        ),
         Scenario(
-            "one VM cut from one target", (_fault(one, hangs=True, seen_by=_first),), ()
+            "one VM cut from one target",
+            (_make_fault(one_target, hangs=True, seen_by=_is_first_vm),),
+            (),
         ),
         Scenario(
             "one data centre cut from one target",
-            (_fault(one, hangs=True, seen_by=_first_place),),
+            (_make_fault(one_target, hangs=True, seen_by=_is_in_first_data_centre),),
             (),
         ),
         Scenario(
             "targets of one data centre cut off",
-            (_fault(place, hangs=True, seen_by=_other_places),),
+            (
+                _make_fault(
+                    data_centre_targets,
+                    hangs=True,
+                    seen_by=_is_outside_second_data_centre,
+                ),
+            ),
+            (),
+        ),
+        Scenario(
+            "one VM slow",
+            (_make_fault(all_targets, slow_factor=5.0, seen_by=_is_first_vm),),
+            (),
+        ),
+        Scenario(
+            "one VM sees errors",
+            (_make_fault(all_targets, error_share=0.5, seen_by=_is_first_vm),),
             (),
         ),
-        Scenario("one VM slow", (_fault(every, slow_factor=5.0, seen_by=_first),), ()),
         Scenario(
-            "one VM sees errors", (_fault(every, error_share=0.5, seen_by=_first),), ()
+            "everything 3x slower", (_make_fault(all_targets, slow_factor=3.0),), ()
+        ),
+        Scenario(
+            "everything fails 30%", (_make_fault(all_targets, error_share=0.3),), ()
         ),
-        Scenario("everything 3x slower", (_fault(every, slow_factor=3.0),), ()),
-        Scenario("everything fails 30%", (_fault(every, error_share=0.3),), ()),
     ]
 
 
 def measure(case: Case) -> Score:
-    """Run one case."""
+    """Run a case and return its results."""
     scenario = case.scenario
     model = arrivals.Model(case.shape, scenario.faults, case.mode, case.seed)
     model.run(case.seconds)
-    false = [name for _, name in model.ejected if int(name) not in scenario.guilty]
-    false_alone = [n for n in model.ejected_alone if int(n) not in scenario.guilty]
+    false_by_fleet = [
+        name for _, name in model.ejected if int(name) not in scenario.faulty_targets
+    ]
+    false_by_one_vm = [
+        n for n in model.ejected_by_one_vm if int(n) not in scenario.faulty_targets
+    ]
     answered = sum(d.is_answered for d in model.ended_requests) / len(
         model.ended_requests
     )
     return Score(
-        _find_detection(model, scenario.guilty),
-        sum(d.was_harmed for d in model.ended_requests),
-        len(false) + len(false_alone) / case.shape.vms,
+        _find_detection_time(model, scenario.faulty_targets),
+        sum(d.was_affected for d in model.ended_requests),
+        len(false_by_fleet) + len(false_by_one_vm) / case.shape.vms,
         answered,
     )
 
 
-def _find_detection(model: arrivals.Model, guilty: tuple[int, ...]) -> float | None:
-    times = [at for at, index in model.sent_attempts if index in guilty]
-    before = [at for at in times if STARTS_AT - 5 <= at < STARTS_AT]
-    during = [at for at in times if STARTS_AT <= at < ENDS_AT]
-    usual = len(before) / 5.0 * WINDOW
-    for moment in [STARTS_AT, *during]:
-        after = [at for at in during if moment < at <= moment + WINDOW]
-        if len(after) <= FADED_SHARE * usual:
-            return moment - STARTS_AT
+def _find_detection_time(
+    model: arrivals.Model, faulty_targets: tuple[int, ...]
+) -> float | None:
+    sent_times = [at for at, index in model.sent_attempts if index in faulty_targets]
+    before = [
+        at for at in sent_times if FAULT_STARTS_AT_S - 5 <= at < FAULT_STARTS_AT_S
+    ]
+    during = [at for at in sent_times if FAULT_STARTS_AT_S <= at < FAULT_ENDS_AT_S]
+    usual_count = len(before) / 5.0 * WINDOW_S
+    for moment in [FAULT_STARTS_AT_S, *during]:
+        after = [at for at in during if moment < at <= moment + WINDOW_S]
+        if len(after) <= REMAINING_SHARE * usual_count:
+            return moment - FAULT_STARTS_AT_S
     return None
 
 
@@ -159,34 +213,50 @@
     scores = tables.run_all(measure, cases)
     rows = []
     for start in range(0, len(cases), len(MODES)):
-        ours = scores[start : start + len(MODES)]
+        mode_scores = scores[start : start + len(MODES)]
         row: list[object] = [cases[start].scenario.name]
-        for score in ours:
-            found = "-" if score.detection is None else f"{score.detection:.1f}"
-            row.append(f"{found} / {score.harmed} / {score.false_ejections:.2g}")
+        for score in mode_scores:
+            detection = (
+                "-"
+                if score.detection_time_s is None
+                else f"{score.detection_time_s:.1f}"
+            )
+            row.append(
+                f"{detection} / {score.affected_requests} / {score.false_ejections:.2g}"
+            )
         rows.append(row)
     head = (f"{name}: detection s / harmed / false ejections", *MODES)
     return tables.format_table(head, rows)
 
 
 def format_curve(name: str, shape: shapes.Shape, quiet_seconds: float) -> str:
-    """Return detection time against false ejections over the operators' weight."""
+    """Return the table of detection times and false ejections by detection weight.
+
+    False ejections are those of a run of `quiet_seconds` without a fault.
+    """
     quiet = Scenario("none", (), ())
-    wanted = {s.name: s for s in list_scenarios(shape.targets)}
-    faults = [wanted["errors 20%"], wanted["straggler 2x"], wanted["straggler 5x"]]
+    scenarios = {s.name: s for s in list_scenarios(shape.targets)}
+    faults = [
+        scenarios["errors 20%"],
+        scenarios["straggler 2x"],
+        scenarios["straggler 5x"],
+    ]
     cases: list[Case] = []
-    for weight in WEIGHTS:
-        weighed = dataclasses.replace(shape, detection_weight=weight)
+    for weight in DETECTION_WEIGHTS:
+        weighted_shape = dataclasses.replace(shape, detection_weight=weight)
         for fault in faults:
-            cases.append(Case(fault, weighed, arrivals.SHARED))
-        cases.append(Case(quiet, weighed, arrivals.SHARED, quiet_seconds))
+            cases.append(Case(fault, weighted_shape, arrivals.SHARED))
+        cases.append(Case(quiet, weighted_shape, arrivals.SHARED, quiet_seconds))
     scores = tables.run_all(measure, cases)
     rows = []
     step = len(faults) + 1
-    for index, weight in enumerate(WEIGHTS):
-        *found, calm = scores[index * step : (index + 1) * step]
-        per_day = calm.false_ejections * DAY / (quiet_seconds * shape.targets)
-        cells = ["-" if s.detection is None else f"{s.detection:.1f} s" for s in found]
+    for index, weight in enumerate(DETECTION_WEIGHTS):
+        *fault_scores, quiet_score = scores[index * step : (index + 1) * step]
+        per_day = quiet_score.false_ejections * DAY_S / (quiet_seconds * shape.targets)
+        cells = [
+            "-" if s.detection_time_s is None else f"{s.detection_time_s:.1f} s"
+            for s in fault_scores
+        ]
         rows.append((weight, *cells, f"{per_day:.2g}"))
     head = (
         f"{name}: weight",
@@ -197,7 +267,7 @@
 
 
 def format_report() -> str:
-    """Return all tables."""
+    """Return all tables as Markdown."""
     desk = shapes.Shape(36, 3, 20, 3, 0.6, keyed_share=0.3, detection_weight=0.8)
     register = shapes.Shape(36, 3, 6, 3, 0.6, keyed_share=0.3, detection_weight=0.8)
     bridge = shapes.Shape(36, 3, 8, 4, 0.6, keyed_share=0.3, detection_weight=0.2)
--- a/bench/shapes.py
+++ b/bench/shapes.py
@@ -1,4 +1,4 @@
-"""Sizes, loads and faults of the model of arrivals."""
+"""Sizes, loads, faults and results of the model of arrivals."""
 
 from __future__ import annotations
 
@@ -11,79 +11,82 @@
     """Size and load of one service."""
 
     vms: int
-    """VMs that send to it."""
+    """Number of VMs that send requests to the service."""
 
-    vm_places: int
-    """Data centres over which VMs and targets are spread."""
+    data_centres: int
+    """Number of data centres over which VMs and targets are spread."""
 
     targets: int
-    """Targets."""
+    """Number of targets."""
 
     slots: int
-    """Slots of each."""
+    """Slots of each target."""
 
     load: float
-    """Offered work as a share of all slots."""
+    """Offered work, as a share of what all slots can do."""
 
     work_time: float = 0.05
-    """Median seconds of work."""
+    """Median work time, in seconds."""
 
-    spread: float = 0.4
-    """Sigma of the lognormal work time."""
+    work_sigma: float = 0.4
+    """Standard deviation of the logarithm of work times."""
 
     floor_share: float = 0.6
-    """Floor as a share of all slots."""
+    """Share of all slots that ejections must leave."""
 
     detection_weight: float = 0.5
-    """Weight of detection time against false ejections."""
+    """Weight of short detection against few false ejections, from 0 to 1."""
 
     skew: float = 0.0
-    """0: the balancer spreads evenly; 1: the busiest VM gets twice the mean."""
+    """Unevenness of the load of VMs: 0 if all get the same, 1 if the busiest gets twice
+    the mean."""
 
     keyed_share: float = 0.0
-    """Share of requests that may run only once and weigh five times."""
+    """Share of requests of the kind that stands for keyed requests; it has five times
+    the weight of the other."""
 
     queues: bool = False
-    """Whether a full target queues work instead of refusing it."""
+    """Whether a target with no free slot queues requests instead of refusing them."""
 
 
-def _everybody(vm: int) -> bool:
+def _affects_every_vm(vm: int) -> bool:
     return True
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """What befalls one target, from the view of some VMs, for some time."""
+    """A fault of some targets for some time, as some of the VMs observe it."""
 
     targets: tuple[int, ...]
-    """Targets."""
+    """Indexes of the targets."""
 
     starts_at: float
-    """Seconds."""
+    """Begin, in seconds of virtual time."""
 
     ends_at: float
-    """Seconds."""
+    """End, in seconds of virtual time."""
 
     error_share: float = 0.0
-    """Share of requests that fail."""
+    """Share of requests that are answered with an error."""
 
     slow_factor: float = 1.0
-    """How much longer work takes."""
+    """Factor by which work takes longer."""
 
     period: float = 0.0
-    """Seconds of one cycle of flapping, half of it sick; 0 for none."""
+    """Seconds of a cycle in whose first half the fault is present; 0 for a constant
+    fault."""
 
-    seen_by: collections.abc.Callable[[int], bool] = _everybody
-    """Which VMs suffer from it."""
+    seen_by: collections.abc.Callable[[int], bool] = _affects_every_vm
+    """Whether the VM with a given number is affected."""
 
     hangs: bool = False
-    """Whether nothing comes back at all."""
+    """Whether requests get no answer at all."""
 
     kind: str = ""
-    """The one kind of work that it hits, or empty for all."""
+    """Name of the only kind of request that is affected; empty for all kinds."""
 
-    def hits(self, vm: int, target: int, kind: str, now: float) -> bool:
-        """Return whether a request suffers from it."""
+    def affects(self, vm: int, target: int, kind: str, now: float) -> bool:
+        """Return whether a request from a VM to a target is affected."""
         if target not in self.targets or not self.starts_at <= now < self.ends_at:
             return False
         if self.kind and kind != self.kind:
@@ -95,19 +98,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndedRequest:
-    """What became of one request."""
+    """A request that was answered or refused, or whose deadline passed."""
 
     arrived_at: float
-    """Seconds."""
+    """Time of its arrival, in seconds of virtual time."""
 
-    took: float
-    """Seconds."""
+    duration_s: float
+    """Time from its arrival to its end."""
 
     weight: float
-    """Worth."""
+    """Weight of its kind."""
 
     is_answered: bool
-    """Whether it got a good answer in time."""
+    """Whether it was answered without an error before its deadline."""
 
-    was_harmed: bool
-    """Whether a fault touched it."""
+    was_affected: bool
+    """Whether a fault affected one of its attempts."""
