--- a/bench/retry_fleet.py
+++ b/bench/retry_fleet.py
@@ -1,9 +1,12 @@
-"""VMs, dispatchers and targets in virtual time, for the bound on retries.
+"""Simulates VMs, dispatchers and targets in virtual time, for the limit on retries.
 
-Each VM runs the product's own requests, placement, dispatchers and members; only
-sockets, clocks and targets are modelled. Datagrams take time and some are lost, VMs are
-killed and start again, targets turn work away, fail, or cannot be reached. What callers
-sent and what reached targets is audited as from outside.
+Each VM runs the product's request runs, placement, dispatchers and members; only
+sockets, clocks and targets are simulated. Datagrams are delayed and some are lost, VMs
+are killed and start again, and targets turn requests away, fail or are unreachable. The
+retries are audited by what callers sent and what targets received.
+
+Run as ``python -m bench.retry_fleet``; prints the span with the most retries by size of
+the fleet and by fault.
 """
 
 from __future__ import annotations
@@ -39,11 +42,11 @@
 from . import retry_loads, retry_vms
 
 SERVICE = "desk"
-SPREAD = 0.5
-"""Standard deviation of the logarithm of times of work."""
+WORK_SIGMA = 0.5
+"""Standard deviation of the logarithm of work times."""
 
-FAIL_TIME = 0.002
-"""Seconds in which a target turns a request away or fails it."""
+FAILURE_DELAY_S = 0.002
+"""Seconds in which a target turns a request away or answers with an error."""
 
 CASES: dict[str, dict[str, object]] = {
     "nothing else": {},
@@ -51,20 +54,20 @@
     "a fifth killed, twice": {
         "kills": (retry_loads.Kill(9.5, 0.2), retry_loads.Kill(12.0, 0.2))
     },
-    "loads swing by 30%": {"wave": 0.3},
+    "loads swing by 30%": {"rate_swing": 0.3},
     "a burst of 1.7 until 8 s": {"surge": retry_loads.TimedShare(0.0, 8.0, 0.7)},
 }
 
 
 class Fleet:
-    """VMs, their callers and their targets.
+    """Simulation of a fleet of VMs with their callers and targets.
 
     Parameters
     ----------
     load : retry_loads.Load
-        What is played.
+        Load and faults to simulate.
     seed : int
-        Draws everything that is left to chance.
+        Seed of everything that the simulation itself draws at random.
     """
 
     def __init__(self, load: retry_loads.Load, seed: int) -> None:
@@ -73,53 +76,57 @@
         self._rng = random.Random(seed)
         self._vms: dict[str, retry_vms.Vm | None] = {}
         self._busy: collections.Counter[str] = collections.Counter()
-        self._sent: list[float] = []
-        self._arrivals: list[tuple[float, str]] = []
+        self._sent_times: list[float] = []
+        self._target_arrivals: list[tuple[float, str]] = []
         self._served = 0
         self._local_dispatchers: list[local_dispatchers.LocalDispatchers] = []
-        self._refused: collections.Counter[str] = collections.Counter()
+        self._refusals: collections.Counter[str] = collections.Counter()
         self.registry = targets.Registry()
         self.registry.replace(self._make_entries(), 1, 0.0)
-        self.sink = os.open(os.devnull, os.O_WRONLY)
-        self.notes: request_recorder.RequestRecorder = retry_vms.Notes(self._refused)
+        self.log_fd = os.open(os.devnull, os.O_WRONLY)
+        self.recorder: request_recorder.RequestRecorder = retry_vms.RefusalCounter(
+            self._refusals
+        )
 
     def play(self) -> retry_loads.Result:
-        """Play the load and return what came of it."""
+        """Simulate the load and return its result; may be called only once."""
         clock = trio.testing.MockClock(autojump_threshold=0)
         options = {"clock": clock}
         try:
             anyio.run(self._run, backend="trio", backend_options=options)
         finally:
-            os.close(self.sink)
-        retries = retry_audit.find_retries(self._arrivals)
-        worst = retry_audit.find_worst(self._sent, retries, self.load.bound)
-        asked = len(self._sent)
+            os.close(self.log_fd)
+        retries = retry_audit.find_retries(self._target_arrivals)
+        worst = retry_audit.find_worst(self._sent_times, retries, self.load.bound)
+        request_count = len(self._sent_times)
         return retry_loads.Result(
-            worst, asked, self._served, len(retries), self._refused
+            worst, request_count, self._served, len(retries), self._refusals
         )
 
     def count_requests(self) -> int:
-        """Return how many requests all dispatchers together have counted lately."""
+        """Return how many requests the dispatchers of all VMs have counted."""
         return sum(
-            one.retries.count_requests(SERVICE) for one in self._local_dispatchers
+            each.retries.count_requests(SERVICE) for each in self._local_dispatchers
         )
 
-    def carry(self, message: datagrams.Message, member: ports.Member) -> None:
-        """Deliver a datagram to whichever start of a VM runs by then."""
+    def deliver_datagram(
+        self, message: datagrams.Message, member: ports.Member
+    ) -> None:
+        """Send a datagram to a VM; its running incarnation at arrival receives it."""
 
         def _deliver() -> None:
             vm = self._vms.get(member.vm)
             if vm is not None:
-                vm.talk.receive(message)
+                vm.messenger.receive(message)
 
-        self._wire.send(_deliver)
+        self._network.send(_deliver)
 
     async def is_down(self, target: targets.Entry, broke_at: float) -> bool:
-        """Return that no target crashes."""
+        """Return False: targets do not crash."""
         return False
 
     def list_connected_targets(self, work: services.Work, now: float) -> list[str]:
-        """Return none: every attempt opens a connection."""
+        """Return no targets: connections are not simulated."""
         return []
 
     async def attempt(
@@ -129,22 +136,24 @@
         work: services.Work,
         mark_sent: collections.abc.Callable[[], None],
     ) -> target_client.Attempt:
-        """Play one attempt at a target."""
-        await anyio.sleep(FAIL_TIME)
+        """Simulate an attempt at a target."""
+        await anyio.sleep(FAILURE_DELAY_S)
         now = anyio.current_time()
-        share = self.load.unreachable.find_share(now - self._begin)
+        share = self.load.unreachable.find_share(now - self._load_began_at)
         if self.registry.list_entries().index(target) < share * self.load.target_count:
             return target_client.Attempt(plan.Result.UNREACHABLE, None, "refused")
         mark_sent()
         headers = dict(request.headers)
         name = headers[words.HEADERS.request_id].decode()
-        self._arrivals.append((now, name))
+        self._target_arrivals.append((now, name))
         is_full = self._busy[target.target_id] >= 2 * target.slots
-        if is_full or self._rng.random() < self.load.shed.find_share(now - self._begin):
-            await anyio.sleep(FAIL_TIME)
+        if is_full or self._rng.random() < self.load.shed.find_share(
+            now - self._load_began_at
+        ):
+            await anyio.sleep(FAILURE_DELAY_S)
             return target_client.Attempt(plan.Result.TURNED_AWAY, None, "503")
-        if self._rng.random() < self.load.failing.find_share(now - self._begin):
-            await anyio.sleep(FAIL_TIME)
+        if self._rng.random() < self.load.failing.find_share(now - self._load_began_at):
+            await anyio.sleep(FAILURE_DELAY_S)
             answer = http_exchange.Answer(500, [], b"", True, b"")
             return target_client.Attempt(plan.Result.ERROR, answer, "500")
         self._busy[target.target_id] += 1
@@ -156,10 +165,12 @@
         return target_client.Attempt(plan.Result.ANSWERED, answer, "200")
 
     def _draw_work(self, target: targets.Entry) -> float:
-        mean = self.load.work
-        work = self._rng.lognormvariate(math.log(mean) - SPREAD * SPREAD / 2, SPREAD)
-        crowd = max(1.0, self._busy[target.target_id] / target.slots)
-        return work * crowd
+        mean = self.load.mean_work_s
+        work = self._rng.lognormvariate(
+            math.log(mean) - WORK_SIGMA * WORK_SIGMA / 2, WORK_SIGMA
+        )
+        slowdown = max(1.0, self._busy[target.target_id] / target.slots)
+        return work * slowdown
 
     def _make_entries(self) -> list[targets.Entry]:
         return [
@@ -168,7 +179,7 @@
                 SERVICE,
                 "h",
                 1,
-                self._name_place(n),
+                self._name_data_centre(n),
                 self.load.slots,
                 targets.Phase.READY,
                 1,
@@ -178,34 +189,36 @@
             for n in range(self.load.target_count)
         ]
 
-    def _name_place(self, number: int) -> str:
+    def _name_data_centre(self, number: int) -> str:
         return f"dc-{number % self.load.data_centres}"
 
     async def _run(self) -> None:
         async with anyio.create_task_group() as group:
             self._group = group
-            self._wire = retry_vms.Wire(self.load, random.Random(f"{self.seed} wire"))
-            group.start_soon(self._wire.run)
-            names = {f"vm-{n}": self._name_place(n) for n in range(self.load.vms)}
-            for name, place in names.items():
-                self._start(name, place, retry_vms.FIRST_INCARNATION)
-            self._introduce()
+            self._network = retry_vms.Network(
+                self.load, random.Random(f"{self.seed} wire")
+            )
+            group.start_soon(self._network.run)
+            names = {f"vm-{n}": self._name_data_centre(n) for n in range(self.load.vms)}
+            for name, centre_name in names.items():
+                self._start(name, centre_name, retry_vms.FIRST_INCARNATION)
+            self._add_members()
             await anyio.sleep(members.SETTLE_TIME_S + 1.0)
-            self._begin = self._wire.begin = anyio.current_time()
+            self._load_began_at = self._network.load_began_at = anyio.current_time()
             for kill in self.load.kills:
                 group.start_soon(self._kill, kill, names)
-            for place in range(self.load.data_centres):
-                group.start_soon(self._send, place)
+            for centre_index in range(self.load.data_centres):
+                group.start_soon(self._send_requests, centre_index)
             await anyio.sleep(self.load.seconds + 5.0)
             group.cancel_scope.cancel()
 
-    def _start(self, name: str, place: str, born: int) -> retry_vms.Vm:
-        vm = self._vms[name] = retry_vms.Vm(self, name, place, born)
+    def _start(self, name: str, centre_name: str, incarnation: int) -> retry_vms.Vm:
+        vm = self._vms[name] = retry_vms.Vm(self, name, centre_name, incarnation)
         self._local_dispatchers.append(vm.local_dispatchers)
         self._group.start_soon(vm.run)
         return vm
 
-    def _introduce(self) -> None:
+    def _add_members(self) -> None:
         now = anyio.current_time()
         running = [vm for vm in self._vms.values() if vm is not None]
         for vm in running:
@@ -213,69 +226,80 @@
                 vm.members.add(other.member)
                 vm.members.record_contact(other.member.vm, now)
 
-    async def _kill(self, kill: retry_loads.Kill, places: dict[str, str]) -> None:
+    async def _kill(self, kill: retry_loads.Kill, centre_names: dict[str, str]) -> None:
         await anyio.sleep(kill.at)
         count = round(kill.share * self.load.vms)
-        first = self._find_dispatchers()
-        others = [name for name in places if name not in first]
+        dispatcher_vms = self._find_dispatchers()
+        others = [name for name in centre_names if name not in dispatcher_vms]
         self._rng.shuffle(others)
-        killed = [*first, *others][:count]
-        born = retry_vms.FIRST_INCARNATION + round(anyio.current_time() * 1000)
+        killed = [*dispatcher_vms, *others][:count]
+        incarnation = retry_vms.FIRST_INCARNATION + round(anyio.current_time() * 1000)
         for name in killed:
             vm = self._vms[name]
             self._vms[name] = None
             if vm is not None:
                 vm.kill()
-        await anyio.sleep(kill.down)
+        await anyio.sleep(kill.down_s)
         for name in killed:
-            vm = self._start(name, places[name], born)
-            for other, place in places.items():
+            vm = self._start(name, centre_names[name], incarnation)
+            for other, centre_name in centre_names.items():
                 running = self._vms[other]
-                known = running.member if running else None
+                current_member = running.member if running else None
                 fallback = ports.Member(
-                    other, place, "h", 1, retry_vms.FIRST_INCARNATION
+                    other, centre_name, "h", 1, retry_vms.FIRST_INCARNATION
                 )
-                vm.members.add(known or fallback)
-            vm.greet()
+                vm.members.add(current_member or fallback)
+            vm.announce()
 
     def _find_dispatchers(self) -> list[str]:
         now = anyio.current_time()
-        found: list[str] = []
+        dispatcher_names: list[str] = []
         for vm in self._vms.values():
             if vm is None:
                 continue
             for shard in vm.local_dispatchers.list_shards(SERVICE):
-                found += vm.members.rank(shard.task, now, 1, shard.data_centre)
-        return [name for name, _ in collections.Counter(found).most_common()][:1]
+                dispatcher_names += vm.members.rank(
+                    shard.task, now, 1, shard.data_centre
+                )
+        return [
+            name for name, _ in collections.Counter(dispatcher_names).most_common()
+        ][:1]
 
-    async def _send(self, place: int) -> None:
-        """Let the callers of a data centre send until the load is over."""
-        rng = random.Random(f"{self.seed} callers {place}")
+    async def _send_requests(self, centre_index: int) -> None:
+        """Send the requests of the callers of a data centre until the load ends."""
+        rng = random.Random(f"{self.seed} callers {centre_index}")
         load = self.load
         for number in itertools.count():
-            now = anyio.current_time() - self._begin
+            now = anyio.current_time() - self._load_began_at
             if now >= load.seconds:
                 return
-            phase = place / load.data_centres
-            swing = 1 + load.wave * math.sin(2 * math.pi * (now / 11.0 + phase))
-            rate = load.rate / load.data_centres * swing
+            phase = centre_index / load.data_centres
+            rate_factor = 1 + load.rate_swing * math.sin(
+                2 * math.pi * (now / 11.0 + phase)
+            )
+            rate = load.rate / load.data_centres * rate_factor
             rate *= 1 + load.surge.find_share(now)
             await anyio.sleep(rng.expovariate(rate))
-            near = [
+            local_vms = [
                 vm
                 for vm in self._vms.values()
-                if vm is not None and vm.member.data_centre == self._name_place(place)
+                if vm is not None
+                and vm.member.data_centre == self._name_data_centre(centre_index)
             ]
-            self._sent.append(anyio.current_time())
-            if not near:
+            self._sent_times.append(anyio.current_time())
+            if not local_vms:
                 continue
             work = services.Work.AT_MOST_ONCE
-            if rng.random() < load.idempotent:
+            if rng.random() < load.idempotent_share:
                 work = services.Work.IDEMPOTENT
-            name = f"{place}-{number}"
-            self._group.start_soon(self._call, rng.choice(near), name, work)
+            name = f"{centre_index}-{number}"
+            self._group.start_soon(
+                self._send_request, rng.choice(local_vms), name, work
+            )
 
-    async def _call(self, vm: retry_vms.Vm, name: str, work: services.Work) -> None:
+    async def _send_request(
+        self, vm: retry_vms.Vm, name: str, work: services.Work
+    ) -> None:
         now = anyio.current_time()
         headers = [(words.HEADERS.request_id, name.encode())]
         request = http_exchange.Request(b"GET", b"/x", headers, b"", False)
@@ -292,19 +316,19 @@
             weighted_services=(configuration.WeightedService(SERVICE, 1.0),),
         )
         run = request_run.Run(vm.parts, incoming, route, SERVICE)
-        reply = await vm.call(run)
+        reply = await vm.run_request(run)
         self._served += reply is not None and reply.status == 200
 
 
 def main() -> None:
-    """Print the busiest span of retries by size of the fleet and what happens."""
+    """Print the span with the most retries by size of the fleet and by fault."""
     for vms in (30, 100, 300):
         for name, changes in CASES.items():
-            found = Fleet(retry_loads.make_load(vms, **changes), 1).play()
-            worst = found.worst
+            result = Fleet(retry_loads.make_load(vms, **changes), 1).play()
+            worst = result.worst
             print(
                 f"{vms:4} {name:26} {worst.retries:5} of {worst.allowed:6.0f}"
-                f" served {found.served_share:.3f}",
+                f" served {result.served_share:.3f}",
                 flush=True,
             )
 
--- a/bench/retry_loads.py
+++ b/bench/retry_loads.py
@@ -1,4 +1,4 @@
-"""Loads for the model of retries, and what comes of them."""
+"""Loads for the model of retries, and the results of simulating them."""
 
 from __future__ import annotations
 
@@ -33,57 +33,62 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Kill:
-    """VMs that are killed at one moment and start again."""
+    """VMs that are killed at the same time and start again."""
 
     at: float
-    """When."""
+    """Time of the kill, in seconds from the begin of the load."""
 
     share: float
-    """Share of the VMs; the ones that dispatch go first."""
+    """Share of the VMs that are killed, beginning with the VM that dispatches for the
+    most shards."""
 
-    down: float = 0.6
-    """Seconds until they start again."""
+    down_s: float = 0.6
+    """Time until they start again."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """What is played."""
+    """Size of a fleet, requests to one service, and faults while they arrive.
+
+    Times are in seconds from the begin of the load.
+    """
 
     vms: int = 36
-    """VMs."""
+    """Number of VMs."""
 
     data_centres: int = 3
-    """Data centres that they and the targets are spread over."""
+    """Number of data centres over which VMs and targets are spread."""
 
     target_count: int = 22
-    """Targets."""
+    """Number of targets."""
 
     slots: int = 4
-    """Requests that a target works on at a time."""
+    """Requests that a target runs at a time without becoming slower."""
 
     rate: float = 130.0
-    """Requests a second."""
+    """Mean requests per second."""
 
     seconds: float = 30.0
     """Seconds for which callers send."""
 
     surge: TimedShare = NEVER
-    """Share by which the rate is higher for a while."""
+    """Share by which the rate is higher for some time."""
 
-    wave: float = 0.0
-    """Share by which the rate of a data centre swings, each with a phase of its own."""
+    rate_swing: float = 0.0
+    """Share by which the rate of each data centre rises and falls, out of phase with
+    the others."""
 
-    work: float = 0.25
-    """Mean seconds of work."""
+    mean_work_s: float = 0.25
+    """Mean work time of a target that is not overloaded."""
 
-    idempotent: float = 0.25
-    """Share of requests that may run more than once."""
+    idempotent_share: float = 0.25
+    """Share of requests that are idempotent."""
 
     shed: TimedShare = NEVER
-    """Share of arrivals that targets turn away."""
+    """Share of received requests that targets turn away."""
 
     failing: TimedShare = NEVER
-    """Share of arrivals that targets fail at once."""
+    """Share of received requests that targets answer with an error at once."""
 
     unreachable: TimedShare = NEVER
     """Share of the targets that refuse connections."""
@@ -97,40 +102,40 @@
     mean_late_delay_s: float = 0.12
     """Mean of the seconds by which they are late; up to twice as many are drawn."""
 
-    lost: float = 0.001
+    lost_datagram_share: float = 0.001
     """Share of datagrams that are lost."""
 
     bound: retry_audit.Bound = BOUND
-    """Retries allowed."""
+    """Limit of the retries."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """What came of a load."""
+    """Numbers of requests and retries, and the span with the most retries."""
 
     worst: retry_audit.Span
-    """The span with the most retries beyond the bound."""
+    """Span that exceeds the limit of retries most, or stays closest below it."""
 
     request_count: int
-    """Requests that callers sent."""
+    """Number of requests that callers sent."""
 
     served: int
-    """Those answered with success."""
+    """Number of requests answered with status 200."""
 
     retries: int
-    """Arrivals beyond the first of each request."""
+    """Number of requests received by targets, without the first of each request."""
 
     refused: collections.Counter[str]
-    """Requests that got no answer of a target, by the reason that was given."""
+    """Number of requests not answered with status 200, by the recorded reason."""
 
     @property
     def served_share(self) -> float:
-        """Share of the requests that were served."""
+        """Share of requests answered with status 200."""
         return self.served / max(1, self.request_count)
 
 
 def make_load(vms: int, **changes: object) -> Load:
-    """Return a load that grows with the fleet, and turns half away from 8 s on."""
+    """Return a load for a number of VMs, whose targets turn half away from 8 s on."""
     load = Load(
         vms=vms,
         target_count=round(vms * 0.65),
--- a/bench/retry_vms.py
+++ b/bench/retry_vms.py
@@ -1,4 +1,4 @@
-"""One VM of the model of retries: the product's parts, with sockets stood in for."""
+"""VMs of the model of retries: parts of the product, on a simulated network."""
 
 from __future__ import annotations
 
@@ -37,23 +37,25 @@
 
 from . import retry_loads
 
-WAKE_PAUSE = 0.05
+WAKE_INTERVAL_S = 0.05
 FIRST_INCARNATION = 1
 
 Deliver = collections.abc.Callable[[], None]
 
 
-class Surroundings(ports.TargetExchange, typing.Protocol):
-    """What a VM meets: targets, other VMs, and the load."""
+class Environment(ports.TargetExchange, typing.Protocol):
+    """What surrounds a VM: targets, other VMs, and the load."""
 
     seed: int
     load: retry_loads.Load
     registry: targets.Registry
-    notes: request_recorder.RequestRecorder
-    sink: int
+    recorder: request_recorder.RequestRecorder
+    log_fd: int
 
-    def carry(self, message: datagrams.Message, member: ports.Member) -> None:
-        """Deliver a datagram to whichever start of a VM runs by then."""
+    def deliver_datagram(
+        self, message: datagrams.Message, member: ports.Member
+    ) -> None:
+        """Send a datagram to a VM; its running incarnation at arrival receives it."""
         ...
 
     async def is_down(self, target: targets.Entry, broke_at: float) -> bool:
@@ -61,24 +63,26 @@
         ...
 
 
-class Wire:
-    """Carries datagrams: in order of their arrival, some late, some never."""
+class Network:
+    """Delivers datagrams after random delays; loses some."""
 
     def __init__(self, load: retry_loads.Load, rng: random.Random) -> None:
         self._load = load
         self._rng = rng
         self._queue: list[tuple[float, int, Deliver]] = []
-        self.begin = math.inf
+        self.load_began_at = math.inf
         self._numbers = itertools.count()
         self._changed = anyio.Event()
 
     def send(self, deliver: Deliver) -> None:
-        """Deliver a datagram after a while, or lose it."""
-        if self._rng.random() < self._load.lost:
+        """Call `deliver` after a random delay, or never if the datagram is lost."""
+        if self._rng.random() < self._load.lost_datagram_share:
             return
         now = anyio.current_time()
         delay = self._rng.uniform(0.0008, 0.003)
-        if self._rng.random() < self._load.late_datagrams.find_share(now - self.begin):
+        if self._rng.random() < self._load.late_datagrams.find_share(
+            now - self.load_began_at
+        ):
             delay += self._load.mean_late_delay_s * self._rng.random() * 2
         entry = (now + delay, next(self._numbers), deliver)
         if not self._queue or entry < self._queue[0]:
@@ -86,7 +90,7 @@
         heapq.heappush(self._queue, entry)
 
     async def run(self) -> None:
-        """Deliver until cancelled."""
+        """Deliver datagrams when they are due, until cancelled."""
         while True:
             self._changed = anyio.Event()
             due_at = self._queue[0][0] if self._queue else math.inf
@@ -97,9 +101,9 @@
 
 
 class _Link(peer_link.PeerLink):
-    """The sending side of one VM's datagrams."""
+    """Sends the datagrams of a VM over the simulated network."""
 
-    def __init__(self, fleet: Surroundings) -> None:
+    def __init__(self, fleet: Environment) -> None:
         self._fleet = fleet
 
     def send_many(
@@ -109,87 +113,99 @@
     ) -> None:
         """Send one message to several VMs."""
         for member in members:
-            self._fleet.carry(message, member)
+            self._fleet.deliver_datagram(message, member)
 
 
-def _fail(task: str, error: BaseException) -> None:
+def _raise_error(task: str, error: BaseException) -> None:
     raise error
 
 
-class _NothingNew:
-    """Knows the same targets and configuration as all others."""
+class _EmptyKnowledgeKeeper:
+    """Replaces the knowledge of targets and configuration, which no VM changes here."""
 
     position = 0
 
     def record_peer_position(self, vm: str, position: int) -> None:
-        """Take in up to where a VM has read."""
+        """Ignore the position."""
 
 
-class _Unsuspected:
-    """Knows of no request that crashes its targets."""
+class _NoSuspects:
+    """Records no requests that crash targets, since none does."""
 
     def announce_to(self, member: ports.Member) -> None:
-        """Tell a VM that starts."""
+        """Send nothing."""
 
     def find_hold_end(self, fingerprint: str, now: float) -> float | None:
-        """Return that no request is kept from targets."""
+        """Return None: no request is held back."""
         return None
 
     def begin_attempt(self, fingerprint: str, now: float) -> None:
-        """Take in that a request is about to be sent."""
+        """Ignore the attempt."""
 
     def record_crash(
         self, fingerprint: str, target: targets.Entry, started_at: float
     ) -> None:
-        """Take in that a target crashed."""
+        """Ignore the crash."""
 
     def record_answer(self, fingerprint: str) -> None:
-        """Take in that a target answered a request."""
+        """Ignore the answer."""
 
 
 class Vm:
-    """One start of a VM."""
+    """One incarnation of a VM: from its start until it is killed.
+
+    Parameters
+    ----------
+    fleet : Environment
+        Targets, network and load.
+    name : str
+        Name of the VM, the same in all its incarnations.
+    data_centre : str
+        Data centre of the VM.
+    incarnation : int
+        Number of this incarnation; higher than that of the one before.
+    """
 
     def __init__(
-        self, fleet: Surroundings, name: str, data_centre: str, born: int
+        self, fleet: Environment, name: str, data_centre: str, incarnation: int
     ) -> None:
         now = anyio.current_time()
         self._fleet = fleet
-        self.member = ports.Member(name, data_centre, "h", 1, born)
+        self.member = ports.Member(name, data_centre, "h", 1, incarnation)
         self.members = members.Members(self.member, now)
         self._scope = anyio.CancelScope()
-        self._calls: set[anyio.CancelScope] = set()
+        self._request_scopes: set[anyio.CancelScope] = set()
         self.is_killed = False
-        rng = random.Random(f"{fleet.seed} {name} {born}")
+        rng = random.Random(f"{fleet.seed} {name} {incarnation}")
         link = _Link(fleet)
-        log = log_lines.LogLines(name, fleet.sink)
+        log = log_lines.LogLines(name, fleet.log_fd)
         bound = fleet.load.bound
         self.local_dispatchers = local_dispatchers.LocalDispatchers(
             self.members,
             fleet.registry,
             retry_counts.RetryBudget(bound.ratio, bound.slack, bound.span),
             rng,
-            self._deliver,
-            is_new_fleet=born == FIRST_INCARNATION,
+            self._deliver_decision,
+            is_new_fleet=incarnation == FIRST_INCARNATION,
         )
         self.local_dispatchers.update_targets(now)
         self.placement = placement.Placement(self.members, link, log, rng)
         self.placement.use_local_dispatchers(self.local_dispatchers)
-        hearers = fleet_messenger.Receivers(
+        receivers = fleet_messenger.Receivers(
             self.local_dispatchers,
-            typing.cast(knowledge_keeper.KnowledgeKeeper, _NothingNew()),
+            typing.cast(knowledge_keeper.KnowledgeKeeper, _EmptyKnowledgeKeeper()),
             self.placement,
-            typing.cast(suspect_exchange.SuspectExchange, _Unsuspected()),
+            typing.cast(suspect_exchange.SuspectExchange, _NoSuspects()),
         )
-        self.talk = fleet_messenger.FleetMessenger(
-            self.members, link, hearers, log, _fail
+        self.messenger = fleet_messenger.FleetMessenger(
+            self.members, link, receivers, log, _raise_error
         )
-        self.local_dispatchers.retries.use_announcer(self.talk.send_retry_counts)
+        self.local_dispatchers.retries.use_announcer(self.messenger.send_retry_counts)
         self._link = link
         self.parts = self._make_parts(fleet)
 
-    def _make_parts(self, fleet: Surroundings) -> run_dependencies.RunDependencies:
-        """Return what the runs of requests work with."""
+    def _make_parts(self, fleet: Environment) -> run_dependencies.RunDependencies:
+        """Return the dependencies of request runs."""
         own = self.member
         numbers = itertools.count()
         return run_dependencies.RunDependencies(
@@ -199,46 +215,46 @@
             fleet,
             fleet.registry,
             unreachable_targets.UnreachableTargets(),
-            fleet.notes,
+            fleet.recorder,
             words.HEADERS,
             lambda: f"{own.vm}:{own.incarnation}:{next(numbers)}",
-            _Unsuspected(),
+            _NoSuspects(),
             fleet.is_down,
             lambda: None,
         )
 
-    def greet(self) -> None:
-        """Tell all others that this VM is there."""
+    def announce(self) -> None:
+        """Send a hello to all other VMs that asks for an answer."""
         hello = datagrams.Hello(self.member, wants_answer=True)
         self._link.send_many(hello, self.members.list_others())
 
     def kill(self) -> None:
-        """End at once, with all that it works on."""
+        """Stop at once, with all requests in progress."""
         self.is_killed = True
-        for scope in (self._scope, *self._calls):
+        for scope in (self._scope, *self._request_scopes):
             scope.cancel()
 
-    async def call(self, run: request_run.Run) -> calls.Reply | None:
-        """Run a request; return its answer, or None if this VM is killed before."""
+    async def run_request(self, run: request_run.Run) -> calls.Reply | None:
+        """Run a request; return its answer, or None if the VM is killed first."""
         with anyio.CancelScope() as scope:
-            self._calls.add(scope)
+            self._request_scopes.add(scope)
             try:
                 return await run.run()
             finally:
-                self._calls.discard(scope)
+                self._request_scopes.discard(scope)
         return None
 
     async def run(self) -> None:
-        """Wake the dispatchers, and tell others what this VM knows, until killed."""
+        """Wake the dispatchers and send messages to other VMs, until killed."""
         with self._scope:
             async with anyio.create_task_group() as group:
-                group.start_soon(self.talk.greet)
-                group.start_soon(self.talk.send_estimates_periodically)
+                group.start_soon(self.messenger.greet)
+                group.start_soon(self.messenger.send_estimates_periodically)
                 while True:
-                    await anyio.sleep(WAKE_PAUSE)
+                    await anyio.sleep(WAKE_INTERVAL_S)
                     self.local_dispatchers.wake(anyio.current_time())
 
-    def _deliver(self, vm: str, decision: messages.Decision) -> None:
+    def _deliver_decision(self, vm: str, decision: messages.Decision) -> None:
         if vm == self.member.vm:
             self.placement.handle_decision(decision)
             return
@@ -247,20 +263,20 @@
             self._link.send(decision, member)
 
 
-class Notes(request_recorder.RequestRecorder):
-    """Counts why requests got no answer of a target."""
+class RefusalCounter(request_recorder.RequestRecorder):
+    """Counts the requests that did not succeed, by reason."""
 
-    def __init__(self, refused: collections.Counter[str]) -> None:
-        self._refused = refused
+    def __init__(self, refusals: collections.Counter[str]) -> None:
+        self._refusals = refusals
 
     def record_attempt(self, attempt: request_recorder.Attempt) -> None:
-        """Take in an attempt."""
+        """Ignore the attempt."""
 
     def record_final_answer(self, answer: request_recorder.Answer) -> None:
-        """Count an answer other than success."""
+        """Count an answer that is not a success."""
         if answer.status != 200:
-            self._refused[answer.why] += 1
+            self._refusals[answer.why] += 1
 
     def log_error(self, request_id: str, error: Exception) -> None:
-        """Let an error that no part expected end the play."""
+        """Raise the error, which ends the simulation."""
         raise error
--- a/tests/edge/test_retry_bound.py
+++ b/tests/edge/test_retry_bound.py
@@ -72,7 +72,7 @@
 def test_shards_with_alternating_loads_keep_the_limit_of_the_service() -> None:
     # Guards against using the busiest window of each shard: their sum exceeds that of
     # the busiest window of the service.
-    result = play(dataclasses.replace(LARGE, wave=0.3))
+    result = play(dataclasses.replace(LARGE, rate_swing=0.3))
     assert result.worst.excess <= 0, result
 
 
@@ -80,6 +80,6 @@
     # Guards against keeping the limit by refusing retries that it allows.
     failing = retry_loads.TimedShare(0.0, 20.0, 0.1)
     load = dataclasses.replace(SMALL, shed=retry_loads.NEVER, failing=failing)
-    result = play(dataclasses.replace(load, idempotent=1.0))
+    result = play(dataclasses.replace(load, idempotent_share=1.0))
     assert result.refused["retry-budget"] == 0
     assert result.served_share > 0.97
