--- a/examples/embedding.py
+++ b/examples/embedding.py
@@ -1,7 +1,7 @@
-"""Uses the coordination parts without the daemon: one VM decides about one target.
+"""Uses the decisions of the core package without the daemon: one VM, three targets.
 
-Everything comes in from outside: time, randomness, what happened. Nothing here opens a
-socket; the caller of the library carries out what it is told.
+The program passes in the time, a random generator and the observed results. The library
+opens no sockets; it returns actions, and the program that embeds it performs them.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from zinniastand_core import attempt_actions, attempts, evidence, router, services
 
 LOOKUP = services.Kind("lookup", services.Work.IDEMPOTENT, time_limit=1.0, weight=1.0)
-ERRORS_SEEN = 8
+OBSERVED_ERRORS = 8
 
 
 def make_service() -> services.Service:
@@ -36,16 +36,16 @@
 
 
 def main() -> None:
-    """Let one target fail, and show where the next requests go."""
+    """Report errors of one target; print the weights and the next attempt."""
     now = 0.0
     routing = router.Router(make_service(), random.Random(1), now)
-    for _ in range(ERRORS_SEEN):
+    for _ in range(OBSERVED_ERRORS):
         now += 0.1
         for name in ("desk-1", "desk-2"):
             routing.observe(name, "lookup", evidence.Sign.GOOD, now)
         routing.observe("desk-3", "lookup", evidence.Sign.ERROR, now)
-    for weighted in routing.weigh(now):
-        print(f"{weighted.target.name}: weight {weighted.weight:.2f}")
+    for weighted_target in routing.weigh(now):
+        print(f"{weighted_target.target.name}: weight {weighted_target.weight:.2f}")
     plan = attempts.Plan(LOOKUP, deadline=now + 1.0, chooser=routing)
     for action in plan.start(now):
         if isinstance(action, attempt_actions.Send):
