--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: seeded models of arrivals over the real decisions, and real sockets."""
+"""Benchmarks: simulations of the product's decisions, and runs over real sockets."""
--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -1,7 +1,8 @@
-"""What each part of the dispatcher's policy is worth: the model with one switched off.
+"""Simulates loads with each part of the dispatcher's policy switched off in turn.
 
-Run as ``python -m bench.ablation``; prints shares served and served in time, and what
-both lose without each part, over loads of several deployments and their seeds.
+Run as ``python -m bench.ablation``. For each load it prints the shares of requests
+served and served in time, the new connections per request and the deviation of the
+share served, with the complete policy and without each of its parts.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from . import load_model, loads
 
 SEEDS = range(1, 4)
-JOBS = 2
+PROCESS_COUNT = 2
 Kind = loads.Kind
 
 SHORT_READ = Kind("read", 1.0, 0.32, 2, 2, 1.0, 2.0)
@@ -27,7 +28,7 @@
 def make_load(
     kinds: tuple[Kind, ...], rate: float, count: int, failing_error_share: float = 0.9
 ) -> loads.Load:
-    """Return a load whose targets stay good for 21 s and failing for 9 s."""
+    """Return a load whose targets are healthy for 21 s and fail for 9 s, on average."""
     return loads.Load(
         rate=rate,
         seconds=20.0,
@@ -50,58 +51,59 @@
     "half as many targets": make_load((SHORT_READ,), 14.0, 4),
     "twice as many targets": make_load((SHORT_READ,), 56.0, 14),
 }
-"""Loads like those of the deployments, and of others that nothing was chosen for."""
+"""Loads like those of deployments, and others that no constant of the policy was
+chosen for."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Worth:
-    """How one load went, as means over the seeds."""
+class LoadScore:
+    """Results of a load, as means over the seeds."""
 
     served: float
     """Share of requests that were served."""
 
     in_time: float
-    """Share that was served in time."""
+    """Share of requests that were served within their objective."""
 
     opened_connections: float
-    """New connections for each request."""
+    """Number of new connections per request."""
 
-    spread: float
+    served_deviation: float
     """Standard deviation of the share served over the seeds."""
 
 
 def list_variants() -> dict[str, mechanisms.Mechanisms]:
-    """Return the whole policy, and it without each of its parts."""
-    names = [field.name for field in dataclasses.fields(mechanisms.Mechanisms)]
+    """Return the complete policy, and the policy without each of its parts, by name."""
+    part_names = [field.name for field in dataclasses.fields(mechanisms.Mechanisms)]
     without = {
         f"without {name}": dataclasses.replace(mechanisms.ALL, **{name: False})
-        for name in names
+        for name in part_names
     }
     return {"all": mechanisms.ALL, **without}
 
 
-def play(name: str, enabled: mechanisms.Mechanisms) -> Worth:
-    """Play one load with all seeds."""
+def play(name: str, enabled: mechanisms.Mechanisms) -> LoadScore:
+    """Simulate a load with all seeds."""
     results = [
         load_model.play_dispatcher(LOADS[name], seed, enabled=enabled) for seed in SEEDS
     ]
-    served = [one.served_share for one in results]
-    return Worth(
+    served = [each.served_share for each in results]
+    return LoadScore(
         statistics.fmean(served),
-        statistics.fmean(one.in_time_share for one in results),
+        statistics.fmean(each.in_time_share for each in results),
         statistics.fmean(
-            one.opened_connections / max(1, one.request_count) for one in results
+            each.opened_connections / max(1, each.request_count) for each in results
         ),
         statistics.stdev(served),
     )
 
 
-def show(variant: str, worths: collections.abc.Iterable[Worth]) -> str:
-    """Return a row of the table."""
+def format_row(variant: str, scores: collections.abc.Iterable[LoadScore]) -> str:
+    """Return the row of a variant of the policy."""
     cells = [
-        f"{one.served:.3f} {one.in_time:.3f} {one.opened_connections:.2f}"
-        f" ±{one.spread:.3f}"
-        for one in worths
+        f"{each.served:.3f} {each.in_time:.3f} {each.opened_connections:.2f}"
+        f" ±{each.served_deviation:.3f}"
+        for each in scores
     ]
     return f"| {variant} | " + " | ".join(cells) + " |"
 
@@ -110,10 +112,10 @@
     """Print the table."""
     print("| served, in time, connections, spread | " + " | ".join(LOADS) + " |")
     print("|---" * (len(LOADS) + 1) + "|")
-    with concurrent.futures.ProcessPoolExecutor(JOBS) as pool:
-        for variant, parts in list_variants().items():
-            played = pool.map(play, LOADS, [parts] * len(LOADS))
-            print(show(variant, played), flush=True)
+    with concurrent.futures.ProcessPoolExecutor(PROCESS_COUNT) as pool:
+        for variant, enabled in list_variants().items():
+            scores_of_loads = pool.map(play, LOADS, [enabled] * len(LOADS))
+            print(format_row(variant, scores_of_loads), flush=True)
 
 
 if __name__ == "__main__":
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,4 +1,7 @@
-"""Slopes behind docs/CAPACITY.md: each cost at three sizes or more."""
+"""Measures each cost of docs/CAPACITY.md at three sizes or more.
+
+Run as ``python -m bench.capacity``.
+"""
 
 from __future__ import annotations
 
@@ -29,18 +32,21 @@
 ACCOUNT_SIZES = (5_000, 15_000, 45_000)
 FLEET_SIZES = (36, 100, 300)
 LEDGER_SIZES = (5_000, 15_000, 45_000)
-WAITS_MS = (0.0, 2.0, 10.0, 50.0)
-KEYED_RATE = 400.0
-APPEND_SECONDS = 0.005
-NOW = 1000.0
+BATCH_WAITS_MS = (0.0, 2.0, 10.0, 50.0)
+KEYED_REQUESTS_PER_S = 400.0
+APPEND_DURATION_S = 0.005
+START_TIME_S = 1000.0
 
 
 def make_large_document(services: int, accounts: int) -> dict[str, object]:
-    """Return a document with services and accounts of the usual size."""
+    """Return the document of a bundle with a number of services and accounts.
+
+    Each service has a usual number of routes and targets.
+    """
     document = documents.make_document(KEYS, targets=TARGETS_PER_SERVICE)
-    pattern = document["services"].pop("desk")
+    template = document["services"].pop("desk")
     for number in range(services):
-        service = copy.deepcopy(pattern)
+        service = copy.deepcopy(template)
         service["routes"] = [
             {
                 "path_prefix": f"/s{number}/r{index}",
@@ -55,12 +61,12 @@
 
 
 def measure_memory(build: collections.abc.Callable[[], object]) -> int:
-    """Return the bytes that what `build` returns keeps."""
+    """Return the memory in bytes that the object returned by `build` keeps."""
     tracemalloc.start()
-    kept = build()
+    retained = build()
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del retained
     return size
 
 
@@ -74,7 +80,7 @@
 
 
 def report_bundles() -> str:
-    """Return memory and cost of a change by the size of the bundle."""
+    """Return the tables of memory and cost of a change, by the size of the bundle."""
     rows = []
     for services in SERVICE_SIZES:
         size = measure_memory(lambda: _build_bundle(services, 0))  # noqa: B023
@@ -88,8 +94,14 @@
                 f"{1000 * seconds:.2f}",
             ]
         )
-    head = ("services", "routes", "KiB a service", "bytes a change", "CPU ms a change")
-    text = tables.format_table(head, rows)
+    columns = (
+        "services",
+        "routes",
+        "KiB a service",
+        "bytes a change",
+        "CPU ms a change",
+    )
+    text = tables.format_table(columns, rows)
     accounts = [
         [count, f"{(measure_memory(lambda: _build_bundle(1, count))) / count:.0f}"]  # noqa: B023
         for count in ACCOUNT_SIZES
@@ -99,35 +111,40 @@
 
 def _measure_change(services: int) -> tuple[int, float]:
     trusted = documents.make_operators(KEYS)
-    head = chain.Chain(trusted)
+    current_chain = chain.Chain(trusted)
     document = make_large_document(services, 0)
-    _publish(head, bundles.parse_document(document).ok)
-    section = copy.deepcopy(head.bundle.sections["service/service-0"].value)
-    spent, size, rounds = 0.0, 0, 10
+    _publish(current_chain, bundles.parse_document(document).ok)
+    section = copy.deepcopy(current_chain.bundle.sections["service/service-0"].value)
+    cpu_time_s, size, rounds = 0.0, 0, 10
     for number in range(rounds):
         section = copy.deepcopy(section)
         section["floor_slots"] = number
         key = "service/service-0"
-        new = bundles.change(head.bundle, {key: section}).ok
-        record = _make_record(head, new)
+        new = bundles.change(current_chain.bundle, {key: section}).ok
+        record = _make_record(current_chain, new)
         size = len(record)
         started = time.process_time()
-        head.apply(record)
-        spent += time.process_time() - started
-    return size, spent / rounds
+        current_chain.apply(record)
+        cpu_time_s += time.process_time() - started
+    return size, cpu_time_s / rounds
 
 
-def _make_record(head: chain.Chain, new: bundles.Bundle) -> bytes:
-    proposal = proposals.propose(f"p{head.version}", head.version + 1, head.bundle, new)
+def _make_record(current_chain: chain.Chain, new: bundles.Bundle) -> bytes:
+    proposal = proposals.propose(
+        f"p{current_chain.version}",
+        current_chain.version + 1,
+        current_chain.bundle,
+        new,
+    )
     return chain.pack_proposal(proposals.sign(proposal, "a", KEYS["a"]))
 
 
-def _publish(head: chain.Chain, new: bundles.Bundle) -> None:
-    head.apply(_make_record(head, new))
+def _publish(current_chain: chain.Chain, new: bundles.Bundle) -> None:
+    current_chain.apply(_make_record(current_chain, new))
 
 
 def report_fleet() -> str:
-    """Return what a steady VM sends and spends, by the size of the fleet."""
+    """Return the table of traffic and processor time of a VM, by size of the fleet."""
     rows = []
     for count in FLEET_SIZES:
         fleet = virtual_fleet.Fleet(count)
@@ -136,127 +153,149 @@
         fleet.bytes_sent.clear()
         started = time.process_time()
         fleet.run(10)
-        spent = time.process_time() - started
-        sent = sorted(fleet.bytes_sent.values())
+        cpu_time_s = time.process_time() - started
+        sent_bytes = sorted(fleet.bytes_sent.values())
         rows.append(
             [
                 count,
-                f"{sent[len(sent) // 2] / 10:.0f}",
-                f"{sent[-1] / 10:.0f}",
-                f"{100 * spent / 10 / count:.2f}%",
-                _measure_news(fleet),
+                f"{sent_bytes[len(sent_bytes) // 2] / 10:.0f}",
+                f"{sent_bytes[-1] / 10:.0f}",
+                f"{100 * cpu_time_s / 10 / count:.2f}%",
+                _measure_loss_bytes(fleet),
             ]
         )
-    head = ("VMs", "B/s median", "B/s highest", "of a core a VM", "B a VM per VM lost")
-    return tables.format_table(head, rows)
+    columns = (
+        "VMs",
+        "B/s median",
+        "B/s highest",
+        "of a core a VM",
+        "B a VM per VM lost",
+    )
+    return tables.format_table(columns, rows)
 
 
-def _measure_news(fleet: virtual_fleet.Fleet) -> str:
-    """Return the bytes that each VM sends because one is lost and replaced."""
+def _measure_loss_bytes(fleet: virtual_fleet.Fleet) -> str:
+    """Return the additional bytes that each VM sends because one VM is lost."""
     count = len(fleet.vms)
     fleet.bytes_sent.clear()
     fleet.run(10)
-    usual = sum(fleet.bytes_sent.values())
+    usual_bytes = sum(fleet.bytes_sent.values())
     fleet.bytes_sent.clear()
     del fleet.vms["vm-3"]
     fleet.run(10)
-    return f"{max(0, sum(fleet.bytes_sent.values()) - usual) / count:.0f}"
+    return f"{max(0, sum(fleet.bytes_sent.values()) - usual_bytes) / count:.0f}"
 
 
 def report_claims() -> str:
-    """Return appends against batch wait, and the cost of a ledger by its size."""
+    """Return the tables of appends by batch wait, and of ledger costs by its size."""
     rows = []
-    for wait in WAITS_MS:
-        appends, size, latency = _run_claims(wait / 1000)
+    for wait in BATCH_WAITS_MS:
+        appends, size, latency = _simulate_claims(wait / 1000)
         rows.append([wait, f"{appends:.0f}", f"{size:.0f}", f"{1000 * latency:.1f}"])
-    head = (
+    columns = (
         "batch wait ms",
         "appends a 1,000 keyed requests",
         "bytes a request",
         "median ms added",
     )
-    text = tables.format_table(head, rows)
+    text = tables.format_table(columns, rows)
     sizes = []
     for count in LEDGER_SIZES:
         records = [_make_claim(number) for number in range(count)]
-        size = measure_memory(lambda: _fill(records))  # noqa: B023
+        size = measure_memory(lambda: _make_ledger(records))  # noqa: B023
         entries = [claim_records.pack(records[i : i + 50]) for i in range(0, count, 50)]
         started = time.process_time()
-        _rebuild(entries)
-        spent = time.process_time() - started
-        sizes.append([count, f"{size / count:.0f}", f"{1e6 * spent / count:.0f}"])
-    head = ("keys in a slice", "bytes a key", "µs a key to rebuild")
-    return text + "\n\n" + tables.format_table(head, sizes)
+        _replay_entries(entries)
+        cpu_time_s = time.process_time() - started
+        sizes.append([count, f"{size / count:.0f}", f"{1e6 * cpu_time_s / count:.0f}"])
+    columns = ("keys in a slice", "bytes a key", "µs a key to rebuild")
+    return text + "\n\n" + tables.format_table(columns, sizes)
 
 
 def _make_claim(number: int) -> claim_records.Claim:
     digest = number.to_bytes(16, "big")
-    return claim_records.Claim(digest, digest[4:], "vm-1", 1, NOW + 5, NOW, b"12345678")
+    return claim_records.Claim(
+        digest, digest[4:], "vm-1", 1, START_TIME_S + 5, START_TIME_S, b"12345678"
+    )
 
 
-def _fill(records: list[claim_records.Claim]) -> claim_ledger.ClaimLedger:
+def _make_ledger(records: list[claim_records.Claim]) -> claim_ledger.ClaimLedger:
     ledger = claim_ledger.ClaimLedger(3600.0)
     for record in records:
-        ledger.apply(record, NOW)
+        ledger.apply(record, START_TIME_S)
     return ledger
 
 
-def _rebuild(entries: list[bytes]) -> None:
-    seeker = claimer.Claimer(claim_ledger.ClaimLedger(3600.0))
+def _replay_entries(entries: list[bytes]) -> None:
+    slice_claimer = claimer.Claimer(claim_ledger.ClaimLedger(3600.0))
     for offset, data in enumerate(entries):
-        seeker.apply_entry(offset, data, NOW)
-
-
-def _run_claims(wait: float) -> tuple[float, float, float]:
-    """Run one slice's appender at a steady rate in virtual time."""
-    generator = random.Random(1)
-    seeker = claimer.Claimer(claim_ledger.ClaimLedger(3600.0), batch_wait=wait)
-    now, count, offset, size = NOW, 0, 0, 0
-    due: list[tuple[float, int]] = []
-    asked: dict[bytes, float] = {}
-    took: list[float] = []
+        slice_claimer.apply_entry(offset, data, START_TIME_S)
+
+
+def _simulate_claims(wait: float) -> tuple[float, float, float]:
+    """Simulate the claims of a slice at a constant mean rate.
+
+    Parameters
+    ----------
+    wait : float
+        Seconds for which claims are collected into a batch.
+
+    Returns
+    -------
+    tuple of float
+        Appends per 1,000 requests, bytes per request, and the median of the seconds
+        that a request waits for its claim.
+    """
+    rng = random.Random(1)
+    slice_claimer = claimer.Claimer(claim_ledger.ClaimLedger(3600.0), batch_wait=wait)
+    now, count, offset, size = START_TIME_S, 0, 0, 0
+    pending_appends: list[tuple[float, int]] = []
+    sought_at: dict[bytes, float] = {}
+    waits_s: list[float] = []
     next_at = now
-    while len(took) < 2000:
-        flush_at = seeker.find_deadline() or float("inf")
-        ends_at = due[0][0] if due else float("inf")
+    while len(waits_s) < 2000:
+        flush_at = slice_claimer.find_deadline() or float("inf")
+        ends_at = pending_appends[0][0] if pending_appends else float("inf")
         now = min(next_at, ends_at, flush_at)
         if now == ends_at:
-            _, batch = due.pop(0)
-            actions = seeker.handle_appended(batch, offset, now)
+            _, batch = pending_appends.pop(0)
+            actions = slice_claimer.handle_appended(batch, offset, now)
             offset += 1
         elif now == next_at:
             count += 1
-            next_at += generator.expovariate(KEYED_RATE)
-            asked[_make_claim(count).claim_id] = now
-            actions = seeker.seek(_make_claim_at(count, now), now)
+            next_at += rng.expovariate(KEYED_REQUESTS_PER_S)
+            sought_at[_make_claim(count).claim_id] = now
+            actions = slice_claimer.seek(_make_claim_at(count, now), now)
         else:
-            actions = seeker.process_due(now)
+            actions = slice_claimer.process_due(now)
         for action in actions:
             if isinstance(action, claimer.Append):
                 size += len(action.data)
-                due.append((now + APPEND_SECONDS, action.batch))
+                pending_appends.append((now + APPEND_DURATION_S, action.batch))
             elif isinstance(action, claimer.Granted):
-                took.append(now - asked[action.claim.claim_id])
-                done = claim_records.Done(
+                waits_s.append(now - sought_at[action.claim.claim_id])
+                done_record = claim_records.Done(
                     action.claim.key_digest, action.claim.claim_id, 200
                 )
-                more = seeker.settle(done, now)
-                for extra in more:
-                    if isinstance(extra, claimer.Append):
-                        size += len(extra.data)
-                        due.append((now + APPEND_SECONDS, extra.batch))
-    return 1000 * offset / count, size / count, sorted(took)[len(took) // 2]
+                follow_ups = slice_claimer.settle(done_record, now)
+                for follow_up in follow_ups:
+                    if isinstance(follow_up, claimer.Append):
+                        size += len(follow_up.data)
+                        pending_appends.append(
+                            (now + APPEND_DURATION_S, follow_up.batch)
+                        )
+    return 1000 * offset / count, size / count, sorted(waits_s)[len(waits_s) // 2]
 
 
 def _make_claim_at(number: int, now: float) -> claim_records.Claim:
     digest = number.to_bytes(16, "big")
     return claim_records.Claim(
-        digest, digest[4:], "vm-1", 1, round(now + 5, 3), NOW, b"12345678"
+        digest, digest[4:], "vm-1", 1, round(now + 5, 3), START_TIME_S, b"12345678"
     )
 
 
 def report_routing() -> str:
-    """Return the CPU of one choice by the number of targets of a service."""
+    """Return the table of processor time of a choice, by the number of targets."""
     rows = []
     for targets in (6, 25, 100):
         document = documents.make_document(KEYS, targets=targets)
@@ -266,13 +305,13 @@
         started = time.process_time()
         for number in range(rounds):
             routing.choose(service.kinds[0], set(), number * 0.005)
-        spent = time.process_time() - started
-        rows.append([targets, f"{1e6 * spent / rounds:.0f}"])
+        cpu_time_s = time.process_time() - started
+        rows.append([targets, f"{1e6 * cpu_time_s / rounds:.0f}"])
     return tables.format_table(("targets", "µs a choice at 200 a second"), rows)
 
 
 def main() -> None:
-    """Print all slopes."""
+    """Print all tables."""
     for title, report in (
         ("Bundles", report_bundles),
         ("Fleet", report_fleet),
--- a/bench/choice.py
+++ b/bench/choice.py
@@ -101,7 +101,7 @@
         )
         for case, score in zip(cases, tables.run_all(measure, cases), strict=True)
     ]
-    head = (
+    columns = (
         "service",
         "load",
         "VMs",
@@ -111,4 +111,4 @@
         "refusals a request",
         "control B/s a VM",
     )
-    return tables.format_table(head, rows)
+    return tables.format_table(columns, rows)
--- a/bench/cli.py
+++ b/bench/cli.py
@@ -1,4 +1,4 @@
-"""Prints the tables that the docs quote; the same figures on every run."""
+"""Prints the tables that the docs quote; all runs give the same figures."""
 
 from __future__ import annotations
 
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -1,8 +1,11 @@
-"""Time that the daemon adds to a request, against going straight to the target.
+"""Measures the time that the daemon adds to a request.
 
-All parts run in this process on one loop, over real sockets, with the same load
-generator; so figures are for comparing, and each run has its own baselines: the target
-itself, and a bare hypercorn forwarder over one shared httpx client.
+Each run has two baselines: requests sent directly to the target, and a bare hypercorn
+forwarder with one shared httpx client. All parts run in this process on one event loop,
+over real sockets and with the same load generator. The figures are therefore only
+comparable within a run.
+
+Run as ``python -m bench.cost``.
 """
 
 from __future__ import annotations
@@ -23,9 +26,9 @@
 
 from . import tables
 
-RATES = (50, 200, 400)
-CONNECTIONS = (1, 8, 32)
-SECONDS = 3.0
+RATES_PER_S = (50, 200, 400)
+CONNECTION_COUNTS = (1, 8, 32)
+RUN_DURATION_S = 3.0
 SATURATION_REQUESTS = 1500
 SATURATION_CONNECTIONS = 8
 PATH = "/items/1"
@@ -35,7 +38,7 @@
 
 
 class SharedClientForwarder(http_app.HttpApp):
-    """The plain way: one shared `httpx.AsyncClient` behind hypercorn."""
+    """A plain forwarder: one shared `httpx.AsyncClient` behind hypercorn."""
 
     def __init__(self, port: int) -> None:
         self._client = httpx.AsyncClient(base_url=f"http://{site.HOST}:{port}")
@@ -68,7 +71,15 @@
 
 
 class Load:
-    """Requests at a mean rate over some kept connections to one port."""
+    """Sends requests over persistent connections to one port.
+
+    Parameters
+    ----------
+    port : int
+        Local port to send to.
+    connections : int
+        Number of connections, used in turn; a request waits for its connection.
+    """
 
     def __init__(self, port: int, connections: int) -> None:
         origin = httpcore.Origin(b"http", site.HOST.encode(), port)
@@ -79,27 +90,33 @@
             httpcore.AsyncHTTPConnection(origin) for _ in range(connections)
         ]
         self._locks = [anyio.Lock() for _ in range(connections)]
-        self.took: list[float] = []
+        self.latencies_s: list[float] = []
         self.refused = 0
 
-    async def run_at(self, rate: float, seconds: float) -> None:
-        """Send at a Poisson rate for some seconds."""
-        generator = random.Random(1)
+    async def send_at_rate(self, rate: float, seconds: float) -> None:
+        """Send requests as a Poisson process of a mean rate per second."""
+        rng = random.Random(1)
         until = time.perf_counter() + seconds
-        turn = 0
+        request_number = 0
         async with anyio.create_task_group() as group:
             while time.perf_counter() < until:
-                await anyio.sleep(generator.expovariate(rate))
-                turn += 1
-                group.start_soon(self._send, turn % len(self._connections))
-
-    async def run_flat_out(self, requests: int) -> float:
-        """Send one after another on every connection; return requests a second."""
+                await anyio.sleep(rng.expovariate(rate))
+                request_number += 1
+                group.start_soon(self._send, request_number % len(self._connections))
+
+    async def send_continuously(self, requests: int) -> float:
+        """Send one request after another on each connection.
+
+        Returns
+        -------
+        float
+            Requests per second of processor time of this process.
+        """
         started = time.process_time()
-        each = requests // len(self._connections)
+        requests_per_connection = requests // len(self._connections)
 
         async def _send_many(index: int) -> None:
-            for _ in range(each):
+            for _ in range(requests_per_connection):
                 await self._send(index)
 
         async with anyio.create_task_group() as group:
@@ -117,41 +134,41 @@
             await reply.aread()
             await reply.aclose()
         if reply.status == 200:
-            self.took.append(time.perf_counter() - started)
+            self.latencies_s.append(time.perf_counter() - started)
         else:
             self.refused += 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Way:
-    """One way to the target."""
+class Route:
+    """A route by which requests reach the target."""
 
     name: str
-    """What stands between."""
+    """Name of the route, by what lies between the caller and the target."""
 
     port: int
-    """Where to send."""
+    """Local port to which requests are sent."""
 
 
 async def _measure(group: anyio.abc.TaskGroup) -> str:
-    place = site.Site(group)
-    await place.start_platform()
-    await place.start_targets([PLAN])
-    target_port = await place.serve(InstantTarget())
-    listed = place.document["services"]["desk"]["targets"][0]
-    listed["port"] = target_port
-    place.publish()
-    process = await place.start_daemon("vm-1")
+    local_site = site.Site(group)
+    await local_site.start_platform()
+    await local_site.start_targets([PLAN])
+    target_port = await local_site.serve(InstantTarget())
+    target_entry = local_site.document["services"]["desk"]["targets"][0]
+    target_entry["port"] = target_port
+    local_site.publish()
+    process = await local_site.start_daemon("vm-1")
     while not process.table.routers:
         await anyio.sleep(0.05)
-    bare = await place.serve(SharedClientForwarder(target_port))
-    ways = [
-        Way("straight", target_port),
-        Way("shared httpx client", bare),
-        Way("zinniastand", process.caller_port),
+    forwarder_port = await local_site.serve(SharedClientForwarder(target_port))
+    routes = [
+        Route("straight", target_port),
+        Route("shared httpx client", forwarder_port),
+        Route("zinniastand", process.caller_port),
     ]
-    rows = [row async for row in _list_rates(ways)]
-    head = (
+    rows = [row async for row in _list_rates(routes)]
+    columns = (
         "rate",
         "connections",
         "way",
@@ -161,39 +178,39 @@
         "added at p99",
         "refused",
     )
-    text = tables.format_table(head, rows)
-    flat = [row async for row in _list_saturation(ways)]
-    head = ("way", "requests a CPU second", "CPU ms a request", "of it added")
-    return text + "\n\n" + tables.format_table(head, flat)
+    text = tables.format_table(columns, rows)
+    saturation_rows = [row async for row in _list_saturation(routes)]
+    columns = ("way", "requests a CPU second", "CPU ms a request", "of it added")
+    return text + "\n\n" + tables.format_table(columns, saturation_rows)
 
 
 async def _list_rates(
-    ways: collections.abc.Sequence[Way],
+    routes: collections.abc.Sequence[Route],
 ) -> collections.abc.AsyncIterator[list[object]]:
-    for rate in RATES:
-        for connections in CONNECTIONS:
-            straight: list[float] = []
-            for way in ways:
-                load = Load(way.port, connections)
-                await load.run_at(rate, SECONDS)
-                found = [_find_quantile(load.took, q) for q in QUANTILES]
-                straight = straight or found
-                added = f"{1000 * (found[1] - straight[1]):.1f} ms"
-                cells = [f"{1000 * value:.1f} ms" for value in found]
-                yield [rate, connections, way.name, *cells, added, load.refused]
+    for rate in RATES_PER_S:
+        for connections in CONNECTION_COUNTS:
+            direct: list[float] = []
+            for route in routes:
+                load = Load(route.port, connections)
+                await load.send_at_rate(rate, RUN_DURATION_S)
+                quantiles = [_find_quantile(load.latencies_s, q) for q in QUANTILES]
+                direct = direct or quantiles
+                added = f"{1000 * (quantiles[1] - direct[1]):.1f} ms"
+                cells = [f"{1000 * value:.1f} ms" for value in quantiles]
+                yield [rate, connections, route.name, *cells, added, load.refused]
 
 
 async def _list_saturation(
-    ways: collections.abc.Sequence[Way],
+    routes: collections.abc.Sequence[Route],
 ) -> collections.abc.AsyncIterator[list[object]]:
-    straight = 0.0
-    for way in ways:
-        load = Load(way.port, SATURATION_CONNECTIONS)
-        await load.run_flat_out(200)
-        rate = await load.run_flat_out(SATURATION_REQUESTS)
-        straight = straight or 1000 / rate
-        spent = 1000 / rate
-        yield [way.name, f"{rate:.0f}", f"{spent:.2f}", f"{spent - straight:.2f}"]
+    direct = 0.0
+    for route in routes:
+        load = Load(route.port, SATURATION_CONNECTIONS)
+        await load.send_continuously(200)
+        rate = await load.send_continuously(SATURATION_REQUESTS)
+        direct = direct or 1000 / rate
+        cpu_ms = 1000 / rate
+        yield [route.name, f"{rate:.0f}", f"{cpu_ms:.2f}", f"{cpu_ms - direct:.2f}"]
 
 
 def _find_quantile(values: list[float], quantile: float) -> float:
@@ -202,18 +219,18 @@
 
 
 def format_report() -> str:
-    """Return the tables."""
-    found: list[str] = []
+    """Run the measurement; return the tables as Markdown."""
+    reports: list[str] = []
 
     async def _run() -> None:
         listeners.log_loop_errors()
         async with anyio.create_task_group() as group:
-            found.append(await _measure(group))
+            reports.append(await _measure(group))
             group.cancel_scope.cancel()
 
     options: dict[str, typing.Any] = {"use_uvloop": True}
     anyio.run(_run, backend_options=options)
-    return found[0]
+    return reports[0]
 
 
 if __name__ == "__main__":
--- a/bench/detection.py
+++ b/bench/detection.py
@@ -225,8 +225,8 @@
                 f"{detection} / {score.affected_requests} / {score.false_ejections:.2g}"
             )
         rows.append(row)
-    head = (f"{name}: detection s / harmed / false ejections", *MODES)
-    return tables.format_table(head, rows)
+    columns = (f"{name}: detection s / harmed / false ejections", *MODES)
+    return tables.format_table(columns, rows)
 
 
 def format_curve(name: str, shape: shapes.Shape, quiet_seconds: float) -> str:
@@ -258,12 +258,12 @@
             for s in fault_scores
         ]
         rows.append((weight, *cells, f"{per_day:.2g}"))
-    head = (
+    columns = (
         f"{name}: weight",
         *(fault.name for fault in faults),
         "false ejections a target-day",
     )
-    return tables.format_table(head, rows)
+    return tables.format_table(columns, rows)
 
 
 def format_report() -> str:
--- a/bench/propagation.py
+++ b/bench/propagation.py
@@ -1,8 +1,11 @@
-"""Time from the append of a bundle until it is in force on the last of 36 daemons.
+"""Measures the time from the append of a bundle until all of 36 daemons accept it.
 
-The daemons are processes of their own; the log stand-in runs here. Half or nearly all
-of them read through a way to the log that can be cut. The times are those of the events
-that the daemons record, on one machine's clock.
+The daemons run as separate processes; the log stand-in runs in this process. All but
+one of the daemons read the log through one of two apps that can be interrupted. The
+time of acceptance is that of the event that a daemon records; all processes use the
+clock of this machine.
+
+Run as ``python -m bench.propagation``.
 """
 
 from __future__ import annotations
@@ -25,19 +28,19 @@
 
 from . import tables
 
-VMS = 36
+VM_COUNT = 36
 ROUNDS = 9
-ROUND_PAUSE = 6.0
-START_LIMIT = 120.0
+ROUND_PAUSE_S = 6.0
+START_TIMEOUT_S = 120.0
 PLAN = site.plan_lookups(targets=2, slots=3, work_time=0.01)
 
 
-class CutApp:
-    """A way to the log that can be cut."""
+class InterruptibleLogApp:
+    """Forwards requests to the log until it is interrupted."""
 
-    def __init__(self, inner: log_app.LogApp) -> None:
-        self._inner = inner
-        self.is_cut = False
+    def __init__(self, log_server: log_app.LogApp) -> None:
+        self._log_server = log_server
+        self.is_interrupted = False
 
     async def __call__(
         self,
@@ -45,40 +48,40 @@
         receive: caller_app.Receive,
         send: caller_app.Send,
     ) -> None:
-        """Pass a request on, or refuse it."""
-        if self.is_cut and scope["type"] == "http":
+        """Forward a request to the log, or answer 503 while interrupted."""
+        if self.is_interrupted and scope["type"] == "http":
             await asgi.answer(send, 503, b"", [(b"x-not-appended", b"1")])
             return
-        await self._inner(scope, receive, send)
+        await self._log_server(scope, receive, send)
 
 
-class Processes:
-    """The daemons.
+class DaemonProcesses:
+    """Starts daemons as processes and reads their admin pages.
 
     Parameters
     ----------
-    place : site.Site
-        The platform.
+    local_site : site.Site
+        Stand-ins of the platform.
     folder : pathlib.Path
-        Where settings go.
+        Folder for the settings files.
     """
 
-    def __init__(self, place: site.Site, folder: pathlib.Path) -> None:
-        self._place = place
+    def __init__(self, local_site: site.Site, folder: pathlib.Path) -> None:
+        self._local_site = local_site
         self._folder = folder
         self._client = httpx.AsyncClient(timeout=10)
         self._running: list[anyio.abc.Process] = []
-        self._admins: list[int] = []
+        self._admin_ports: list[int] = []
 
     async def start(self, number: int, log_url: str) -> None:
-        """Start one daemon."""
+        """Start a daemon that reads the log at a URL."""
         vm = f"vm-{number}"
-        settings = self._place.make_settings(vm, f"dc-{number % 3}")
+        settings = self._local_site.make_settings(vm, f"dc-{number % 3}")
         settings["log"]["url"] = log_url
         settings["callers"]["port"] = loopback.find_free_port()
         settings["admin"]["port"] = loopback.find_free_port()
         settings["log_level"] = "error"
-        self._admins.append(settings["admin"]["port"])
+        self._admin_ports.append(settings["admin"]["port"])
         path = self._folder / f"{vm}.json"
         path.write_text(json.dumps(settings))
         module = "zinniastand_proxy.cli"
@@ -87,30 +90,30 @@
             command, stdout=None, stderr=None, env=dict(os.environ)
         )
         self._running.append(process)
-        self._place.list_vm(vm, f"dc-{number % 3}", settings["peers"]["url"])
+        self._local_site.list_vm(vm, f"dc-{number % 3}", settings["peers"]["url"])
 
-    async def read(self, page: str) -> list[dict[str, typing.Any]]:
-        """Return a page of every daemon."""
+    async def read_pages(self, page: str) -> list[dict[str, typing.Any]]:
+        """Return an admin page of every daemon."""
         found = []
-        for port in self._admins:
+        for port in self._admin_ports:
             reply = await self._client.get(f"http://{site.HOST}:{port}/{page}")
             found.append(reply.json())
         return found
 
     async def wait_version(self, version: int) -> None:
-        """Wait until every daemon has a version."""
-        with anyio.fail_after(START_LIMIT):
+        """Wait until every daemon has a version of the bundle or a later one."""
+        with anyio.fail_after(START_TIMEOUT_S):
             while True:
                 with contextlib.suppress(httpx.HTTPError):
-                    pages = await self.read("bundle")
+                    pages = await self.read_pages("bundle")
                     if all(page["version"] >= version for page in pages):
                         return
                 await anyio.sleep(0.5)
 
-    async def find_last(self, proposal_id: str) -> float:
+    async def find_last_acceptance(self, proposal_id: str) -> float:
         """Return when the last daemon accepted a proposal, in unix seconds."""
         times = []
-        for page in await self.read("events"):
+        for page in await self.read_pages("events"):
             times += [
                 event["time"]
                 for event in page["events"]
@@ -120,7 +123,7 @@
         return max(times)
 
     async def stop(self) -> None:
-        """End all daemons."""
+        """Kill all daemons."""
         for process in self._running:
             process.kill()
         for process in self._running:
@@ -129,67 +132,77 @@
 
 
 async def _measure(group: anyio.abc.TaskGroup, folder: pathlib.Path) -> str:
-    place = site.Site(group)
-    await place.start_platform()
-    await place.start_targets([PLAN])
-    place.publish()
-    inner = log_app.LogApp(place.log)
-    ways = [CutApp(inner), CutApp(inner)]
-    urls = [f"http://{site.HOST}:{await place.serve(way)}" for way in ways]
-    whole = f"http://{site.HOST}:{await place.serve(inner)}"
-    processes = Processes(place, folder)
+    local_site = site.Site(group)
+    await local_site.start_platform()
+    await local_site.start_targets([PLAN])
+    local_site.publish()
+    log_server = log_app.LogApp(local_site.log)
+    log_apps = [InterruptibleLogApp(log_server), InterruptibleLogApp(log_server)]
+    urls = [f"http://{site.HOST}:{await local_site.serve(app)}" for app in log_apps]
+    uninterrupted_url = f"http://{site.HOST}:{await local_site.serve(log_server)}"
+    processes = DaemonProcesses(local_site, folder)
     try:
-        for number in range(VMS):
-            # VM 0 is never cut off; the even ones go first.
-            url = whole if number == 0 else urls[number % 2]
+        for number in range(VM_COUNT):
+            # VM 0 always reaches the log. The other even VMs are interrupted first.
+            url = uninterrupted_url if number == 0 else urls[number % 2]
             await processes.start(number, url)
         await processes.wait_version(1)
         await anyio.sleep(10)
-        return await _run_rounds(place, processes, ways)
+        return await _run_rounds(local_site, processes, log_apps)
     finally:
         await processes.stop()
 
 
 async def _run_rounds(
-    place: site.Site, processes: Processes, ways: list[CutApp]
+    local_site: site.Site,
+    processes: DaemonProcesses,
+    log_apps: list[InterruptibleLogApp],
 ) -> str:
     rows = []
-    for name, cut in (("every VM reads the log", 0), ("half are cut off", 1),
-                      ("all but one are cut off", 2)):  # fmt: skip
-        for way in ways[:cut]:
-            way.is_cut = True
-        await anyio.sleep(ROUND_PAUSE)
-        took = sorted([await _publish(place, processes) for _ in range(ROUNDS)])
-        cells = [f"{1000 * took[len(took) // 2]:.0f} ms", f"{1000 * took[-1]:.0f} ms"]
+    for name, interrupted_count in (
+        ("every VM reads the log", 0),
+        ("half are cut off", 1),
+        ("all but one are cut off", 2),
+    ):
+        for app in log_apps[:interrupted_count]:
+            app.is_interrupted = True
+        await anyio.sleep(ROUND_PAUSE_S)
+        durations_s = sorted(
+            [await _publish(local_site, processes) for _ in range(ROUNDS)]
+        )
+        cells = [
+            f"{1000 * durations_s[len(durations_s) // 2]:.0f} ms",
+            f"{1000 * durations_s[-1]:.0f} ms",
+        ]
         rows.append([name, *cells])
-    head = ("log", f"last of {VMS} VMs, median of {ROUNDS}", "worst")
-    return tables.format_table(head, rows)
+    columns = ("log", f"last of {VM_COUNT} VMs, median of {ROUNDS}", "worst")
+    return tables.format_table(columns, rows)
 
 
-async def _publish(place: site.Site, processes: Processes) -> float:
-    service = place.document["services"]["desk"]
+async def _publish(local_site: site.Site, processes: DaemonProcesses) -> float:
+    service = local_site.document["services"]["desk"]
     service["floor_slots"] = 3 - service["floor_slots"]
-    started = time.time()
-    proposal_id = place.publish()
-    await processes.wait_version(place.read_chain().version)
-    took = await processes.find_last(proposal_id) - started
+    started_at = time.time()
+    proposal_id = local_site.publish()
+    await processes.wait_version(local_site.read_chain().version)
+    duration_s = await processes.find_last_acceptance(proposal_id) - started_at
     await anyio.sleep(1)
-    return took
+    return duration_s
 
 
 def format_report() -> str:
-    """Return the table."""
-    found: list[str] = []
+    """Run the measurement; return the table as Markdown."""
+    reports: list[str] = []
 
     async def _run() -> None:
         listeners.log_loop_errors()
         with tempfile.TemporaryDirectory() as folder:
             async with anyio.create_task_group() as group:
-                found.append(await _measure(group, pathlib.Path(folder)))
+                reports.append(await _measure(group, pathlib.Path(folder)))
                 group.cancel_scope.cancel()
 
     anyio.run(_run, backend_options={"use_uvloop": True})
-    return found[0]
+    return reports[0]
 
 
 if __name__ == "__main__":
--- a/bench/tables.py
+++ b/bench/tables.py
@@ -1,4 +1,4 @@
-"""Running cases in parallel and printing them as tables."""
+"""Runs cases in parallel and formats their results as tables."""
 
 from __future__ import annotations
 
@@ -12,20 +12,23 @@
 
 
 def run_all(
-    work: collections.abc.Callable[[Case], Result],
+    run_case: collections.abc.Callable[[Case], Result],
     cases: collections.abc.Sequence[Case],
 ) -> list[Result]:
-    """Return the result of each case; each has its own seed, so order is no matter."""
-    workers = max(1, (os.cpu_count() or 2) - 2)
-    with concurrent.futures.ProcessPoolExecutor(workers) as pool:
-        return list(pool.map(work, cases))
+    """Return the results of all cases, which run in processes of their own.
+
+    Each case carries its seed, so the results do not depend on the order of the runs.
+    """
+    process_count = max(1, (os.cpu_count() or 2) - 2)
+    with concurrent.futures.ProcessPoolExecutor(process_count) as pool:
+        return list(pool.map(run_case, cases))
 
 
 def format_table(
-    head: collections.abc.Sequence[str],
+    columns: collections.abc.Sequence[str],
     rows: collections.abc.Iterable[collections.abc.Sequence[object]],
 ) -> str:
     """Return a Markdown table."""
-    lines = ["| " + " | ".join(head) + " |", "|" + "---|" * len(head)]
+    lines = ["| " + " | ".join(columns) + " |", "|" + "---|" * len(columns)]
     lines += ["| " + " | ".join(str(cell) for cell in row) + " |" for row in rows]
     return "\n".join(lines)
