--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -26,7 +26,7 @@
 
 
 def make_load(
-    kinds: tuple[Kind, ...], rate: float, count: int, failing_error_share: float = 0.9
+    kinds: tuple[Kind, ...], rate: float, count: int, failure_share: float = 0.9
 ) -> loads.Load:
     """Return a load whose targets are healthy for 21 s and fail for 9 s, on average."""
     return loads.Load(
@@ -35,7 +35,7 @@
         target_count=count,
         onset_per_s=1 / 21,
         recovery_per_s=1 / 9,
-        failing_error_share=failing_error_share,
+        failure_share=failure_share,
         kinds=kinds,
         vms=48,
     )
--- a/bench/detection.py
+++ b/bench/detection.py
@@ -74,94 +74,58 @@
     """Share of requests answered in time."""
 
 
-def _is_first_vm(vm: int) -> bool:
+def _is_vm0(vm: int) -> bool:
     return vm == 0
 
 
-def _is_in_first_data_centre(vm: int) -> bool:
+def _is_in_first_centre(vm: int) -> bool:
     return vm % 3 == 0
 
 
-def _is_outside_second_data_centre(vm: int) -> bool:
+def _is_outside_second_centre(vm: int) -> bool:
     return vm % 3 != 1
 
 
 def list_scenarios(targets: int) -> list[Scenario]:
     """Return the faults for a service with the given number of targets."""
 
-    def _make_fault(indexes: tuple[int, ...], **fields: object) -> shapes.Fault:
+    def _fault(indexes: tuple[int, ...], **fields: object) -> shapes.Fault:
         return shapes.Fault(indexes, FAULT_STARTS_AT_S, FAULT_ENDS_AT_S, **fields)  # type: ignore
 
-    one_target, all_targets = (3,), tuple(range(targets))
-    data_centre_targets = tuple(number for number in all_targets if number % 3 == 1)
+    one, every = (3,), tuple(range(targets))
+    centre = tuple(number for number in every if number % 3 == 1)
     return [
-        Scenario("errors 5%", (_make_fault(one_target, error_share=0.05),), one_target),
-        Scenario("errors 20%", (_make_fault(one_target, error_share=0.2),), one_target),
-        Scenario(
-            "errors 100%", (_make_fault(one_target, error_share=1.0),), one_target
-        ),
-        Scenario(
-            "straggler 2x", (_make_fault(one_target, slow_factor=2.0),), one_target
-        ),
-        Scenario(
-            "straggler 5x", (_make_fault(one_target, slow_factor=5.0),), one_target
-        ),
-        Scenario(
-            "straggler 20x", (_make_fault(one_target, slow_factor=20.0),), one_target
-        ),
-        Scenario("hangs", (_make_fault(one_target, hangs=True),), one_target),
-        Scenario(
-            "one kind fails",
-            (_make_fault(one_target, error_share=1.0, kind="order"),),
-            one_target,
-        ),
-        Scenario(
-            "flaps, 4 s",
-            (_make_fault(one_target, error_share=1.0, period=4.0),),
-            one_target,
-        ),
-        Scenario(
-            "flaps, 20 s",
-            (_make_fault(one_target, error_share=1.0, period=20.0),),
-            one_target,
-        ),
+        Scenario("errors 5%", (_fault(one, error_share=0.05),), one),
+        Scenario("errors 20%", (_fault(one, error_share=0.2),), one),
+        Scenario("errors 100%", (_fault(one, error_share=1.0),), one),
+        Scenario("straggler 2x", (_fault(one, slow_factor=2.0),), one),
+        Scenario("straggler 5x", (_fault(one, slow_factor=5.0),), one),
+        Scenario("straggler 20x", (_fault(one, slow_factor=20.0),), one),
+        Scenario("hangs", (_fault(one, hangs=True),), one),
+        Scenario("one kind fails", (_fault(one, error_share=1.0, kind="order"),), one),
+        Scenario("flaps, 4 s", (_fault(one, error_share=1.0, period=4.0),), one),
+        Scenario("flaps, 20 s", (_fault(one, error_share=1.0, period=20.0),), one),
         Scenario(
             "one VM cut from one target",
-            (_make_fault(one_target, hangs=True, seen_by=_is_first_vm),),
+            (_fault(one, hangs=True, seen_by=_is_vm0),),
             (),
         ),
         Scenario(
             "one data centre cut from one target",
-            (_make_fault(one_target, hangs=True, seen_by=_is_in_first_data_centre),),
+            (_fault(one, hangs=True, seen_by=_is_in_first_centre),),
             (),
         ),
         Scenario(
             "targets of one data centre cut off",
-            (
-                _make_fault(
-                    data_centre_targets,
-                    hangs=True,
-                    seen_by=_is_outside_second_data_centre,
-                ),
-            ),
-            (),
-        ),
-        Scenario(
-            "one VM slow",
-            (_make_fault(all_targets, slow_factor=5.0, seen_by=_is_first_vm),),
+            (_fault(centre, hangs=True, seen_by=_is_outside_second_centre),),
             (),
         ),
+        Scenario("one VM slow", (_fault(every, slow_factor=5.0, seen_by=_is_vm0),), ()),
         Scenario(
-            "one VM sees errors",
-            (_make_fault(all_targets, error_share=0.5, seen_by=_is_first_vm),),
-            (),
-        ),
-        Scenario(
-            "everything 3x slower", (_make_fault(all_targets, slow_factor=3.0),), ()
-        ),
-        Scenario(
-            "everything fails 30%", (_make_fault(all_targets, error_share=0.3),), ()
+            "one VM sees errors", (_fault(every, error_share=0.5, seen_by=_is_vm0),), ()
         ),
+        Scenario("everything 3x slower", (_fault(every, slow_factor=3.0),), ()),
+        Scenario("everything fails 30%", (_fault(every, error_share=0.3),), ()),
     ]
 
 
--- a/bench/least_busy.py
+++ b/bench/least_busy.py
@@ -14,18 +14,16 @@
     ----------
     names : list of str
         Identifiers of the targets.
-    avoidance_s : float
+    avoid_s : float
         Seconds for which a target that failed a request is avoided; 0 for none.
     rng : random.Random
         Chooses between targets that are equally busy.
     """
 
-    def __init__(
-        self, names: list[str], avoidance_s: float, rng: random.Random
-    ) -> None:
+    def __init__(self, names: list[str], avoid_s: float, rng: random.Random) -> None:
         self._in_flight = dict.fromkeys(names, 0)
         self._avoided_until: dict[str, float] = {}
-        self._avoidance_s = avoidance_s
+        self._avoid_s = avoid_s
         self._rng = rng
 
     def request_slot(
@@ -48,8 +46,8 @@
     ) -> list[messages.Decision]:
         """Count the request as ended, and avoid its target for a time if it failed."""
         self._in_flight[report.target_id] -= 1
-        if report.outcome is messages.Outcome.FAILED and self._avoidance_s:
-            self._avoided_until[report.target_id] = now + self._avoidance_s
+        if report.outcome is messages.Outcome.FAILED and self._avoid_s:
+            self._avoided_until[report.target_id] = now + self._avoid_s
         return []
 
     def wake(self, now: float) -> list[messages.Decision]:
--- a/bench/load_model.py
+++ b/bench/load_model.py
@@ -38,7 +38,7 @@
 WORK_SIGMA = 0.7
 """Standard deviation of the logarithm of work times."""
 
-FAILURE_DELAY_S = 0.001
+FAIL_TIME_S = 0.001
 """Seconds in which a target answers with an error or turns a request away."""
 
 MAX_RETURN_WAIT_SHARE = 1 / 3
@@ -103,36 +103,31 @@
         self._load = load
         self._work_rng = random.Random(seed)
         target_count = round(load.target_count * (1 - load.lost_share))
-        self.target_names = [f"t{n}" for n in range(target_count)]
+        self.names = [f"t{n}" for n in range(target_count)]
         slow = round(load.slow_share * target_count)
-        self._slow_targets = set(self.target_names[:slow])
+        self._slow_targets = set(self.names[:slow])
         limited = round(load.limited_share * target_count)
-        self._limited_arrivals: dict[str, list[float]] = {
-            name: [] for name in self.target_names[target_count - limited :]
+        # Arrivals of requests at the targets that announce a limit.
+        self._arrival_times: dict[str, list[float]] = {
+            name: [] for name in self.names[target_count - limited :]
         }
         # Arrivals and changes of targets have generators of their own, so that they do
         # not depend on the decisions of the policy.
         self._arrival_rng = random.Random(f"{seed} arrivals")
-        self._change_rngs = {
-            name: random.Random(f"{seed} {name}") for name in self.target_names
-        }
+        self._rngs = {name: random.Random(f"{seed} {name}") for name in self.names}
         failing = round(self._find_failing_share() * target_count)
-        chosen = set(self._arrival_rng.sample(self.target_names, failing))
-        self._failing = {name: name in chosen for name in self.target_names}
-        self._busy = dict.fromkeys(self.target_names, 0)
-        self._slot_ends: dict[str, list[float]] = {
-            name: [] for name in self.target_names
-        }
+        chosen = set(self._arrival_rng.sample(self.names, failing))
+        self._fails = {name: name in chosen for name in self.names}
+        self._busy = dict.fromkeys(self.names, 0)
+        self._slot_ends: dict[str, list[float]] = {name: [] for name in self.names}
         self._events: list[tuple[float, int, typing.Any]] = []
         self._numbers = itertools.count()
         self._pending: dict[str, _Request] = {}
         self._counts: collections.Counter[str] = collections.Counter()
-        self._request_counts: collections.Counter[str] = collections.Counter()
-        self._served_counts: collections.Counter[str] = collections.Counter()
+        self._received: collections.Counter[str] = collections.Counter()
+        self._served: collections.Counter[str] = collections.Counter()
         self._longest_refusal_s = 0.0
-        self._idle_connections: dict[tuple[int, str], list[float]] = (
-            collections.defaultdict(list)
-        )
+        self._idle: dict[tuple[int, str], list[float]] = collections.defaultdict(list)
 
     def make_entries(self) -> list[targets.Entry]:
         """Return the registry entries of the targets."""
@@ -149,34 +144,33 @@
                 0,
                 1,
             )
-            for name in self.target_names
+            for name in self.names
         ]
 
     def run(self, policy: Policy) -> loads.Result:
         """Simulate the load under a policy, which may be used only once."""
         self._policy = policy
         self._schedule(0.0, self._arrive)
-        for name in self.target_names:
+        for name in self.names:
             self._schedule(
                 self._draw_change(name),
-                lambda time, target=name: self._toggle_failing(target, time),
+                lambda at, target=name: self._toggle(target, at),
             )
         self._schedule(WAKE_INTERVAL_S, self._wake_policy)
         while self._events:
-            time, _, action = heapq.heappop(self._events)
-            if time > self._load.seconds + 5.0:
+            at, _, action = heapq.heappop(self._events)
+            if at > self._load.seconds + 5.0:
                 break
-            action(time)
+            action(at)
         counts = self._counts
         return loads.Result(
-            request_count=sum(self._request_counts.values()),
+            request_count=sum(self._received.values()),
             in_time=counts["in_time"],
             late=counts["late"],
             failed=counts["failed"],
             refused=counts["refused"],
             served_by_kind={
-                name: self._served_counts[name] / request_count
-                for name, request_count in self._request_counts.items()
+                name: self._served[name] / sent for name, sent in self._received.items()
             },
             failed_attempts=counts["failed_attempts"],
             denied_retries=counts["denied_retries"],
@@ -185,7 +179,7 @@
             max_requests_at_limit=self._find_max_requests_at_limit(),
             rate_after_limit=self._find_rate_after_limit(),
             late_refusal_share=counts["late_refusals"]
-            / max(1, sum(self._request_counts.values())),
+            / max(1, sum(self._received.values())),
         )
 
     def _find_max_requests_at_limit(self) -> int:
@@ -193,10 +187,8 @@
         until = self._load.limit_until
         return max(
             (
-                sum(
-                    begin <= time < min(until, begin + LIMIT_WINDOW_S) for time in times
-                )
-                for times in self._limited_arrivals.values()
+                sum(begin <= at < min(until, begin + LIMIT_WINDOW_S) for at in times)
+                for times in self._arrival_times.values()
                 for begin in times
                 if since <= begin < until
             ),
@@ -205,18 +197,18 @@
 
     def _find_rate_after_limit(self) -> float:
         left = self._load.seconds - self._load.limit_until
-        if left <= 0 or not self._limited_arrivals:
+        if left <= 0 or not self._arrival_times:
             return 0.0
         until = self._load.limit_until
-        arrival_count = sum(
-            time >= until for times in self._limited_arrivals.values() for time in times
+        count = sum(
+            at >= until for times in self._arrival_times.values() for at in times
         )
-        return arrival_count / left / len(self._limited_arrivals)
+        return count / left / len(self._arrival_times)
 
     def _find_limit_per_s(self, name: str, now: float) -> float:
         """Return the rate limit that a target announces now; infinite for none."""
         load = self._load
-        is_limited = name in self._limited_arrivals
+        is_limited = name in self._arrival_times
         if is_limited and load.limit_from <= now < load.limit_until:
             return load.limit_per_s
         return math.inf
@@ -227,19 +219,16 @@
         return load.onset_per_s / total if total else 0.0
 
     def _draw_change(self, name: str) -> float:
-        rate = (
-            self._load.recovery_per_s if self._failing[name] else self._load.onset_per_s
-        )
-        return self._change_rngs[name].expovariate(rate) if rate else math.inf
+        """Return the seconds until a target changes between healthy and failing."""
+        hz = self._load.recovery_per_s if self._fails[name] else self._load.onset_per_s
+        return self._rngs[name].expovariate(hz) if hz else math.inf
 
-    def _toggle_failing(self, name: str, now: float) -> None:
-        self._failing[name] = not self._failing[name]
-        self._schedule(
-            now + self._draw_change(name), lambda time: self._toggle_failing(name, time)
-        )
+    def _toggle(self, name: str, now: float) -> None:
+        self._fails[name] = not self._fails[name]
+        self._schedule(now + self._draw_change(name), lambda at: self._toggle(name, at))
 
-    def _schedule(self, time: float, action: typing.Callable[[float], None]) -> None:
-        heapq.heappush(self._events, (time, next(self._numbers), action))
+    def _schedule(self, at: float, action: typing.Callable[[float], None]) -> None:
+        heapq.heappush(self._events, (at, next(self._numbers), action))
 
     def _wake_policy(self, now: float) -> None:
         self._apply(self._policy.wake(now), now)
@@ -252,7 +241,7 @@
         [kind] = self._arrival_rng.choices(kinds, [each.share for each in kinds])
         request = _Request(next(self._numbers), kind, now)
         request.vm = self._arrival_rng.randrange(self._load.vms or 1)
-        self._request_counts[kind.name] += 1
+        self._received[kind.name] += 1
         self._request_slot(request, now)
         load = self._load
         is_burst = load.burst_from <= now < load.burst_until
@@ -283,12 +272,10 @@
         if not self._load.vms:
             return ()
         expired_at = now - self._load.idle_timeout_s
-        for name in self.target_names:
-            idle = self._idle_connections[vm, name]
-            idle[:] = [time for time in idle if time > expired_at]
-        return tuple(
-            name for name in self.target_names if self._idle_connections[vm, name]
-        )
+        for name in self.names:
+            idle = self._idle[vm, name]
+            idle[:] = [at for at in idle if at > expired_at]
+        return tuple(name for name in self.names if self._idle[vm, name])
 
     def _apply(self, decisions: list[messages.Decision], now: float) -> None:
         for decision in decisions:
@@ -326,7 +313,7 @@
         if retry_at - now > MAX_RETURN_WAIT_SHARE * left:
             return False
         request.return_count += 1
-        self._schedule(retry_at, lambda time: self._request_slot(request, time))
+        self._schedule(retry_at, lambda at: self._request_slot(request, at))
         return True
 
     def _send(self, grant: messages.Grant, now: float) -> None:
@@ -334,24 +321,18 @@
         taken."""
         request = self._pending[grant.ticket]
         name, kind = grant.target_id, request.kind
-        if name in self._limited_arrivals:
-            self._limited_arrivals[name].append(now)
+        if name in self._arrival_times:
+            self._arrival_times[name].append(now)
         if self._load.vms:
-            idle = self._idle_connections[request.vm, name]
+            idle = self._idle[request.vm, name]
             self._counts["opened_connections"] += not idle
             del idle[-1:]
         if self._load.shed_share and self._work_rng.random() < self._load.shed_share:
-            self._schedule(
-                now + FAILURE_DELAY_S, lambda time: self._handle_shed(grant, time)
-            )
+            self._schedule(now + FAIL_TIME_S, lambda at: self._handle_shed(grant, at))
             return
-        share = (
-            self._load.failing_error_share
-            if self._failing[name]
-            else self._load.error_share
-        )
-        failed = self._work_rng.random() < share
-        duration_s = FAILURE_DELAY_S
+        risk = self._load.failure_share if self._fails[name] else self._load.error_share
+        failed = self._work_rng.random() < risk
+        duration_s = FAIL_TIME_S
         if not failed:
             mu = math.log(kind.mean_work_s) - WORK_SIGMA * WORK_SIGMA / 2
             duration_s = self._work_rng.lognormvariate(mu, WORK_SIGMA)
@@ -364,8 +345,8 @@
         heapq.heappush(slots, end)
         self._schedule(
             min(end, request.arrived_at + kind.deadline) if end > now else now,
-            lambda time: self._handle_end(
-                grant, failed or end > request.arrived_at + kind.deadline, now, time
+            lambda at: self._handle_end(
+                grant, failed or end > request.arrived_at + kind.deadline, now, at
             ),
         )
 
@@ -380,7 +361,7 @@
             SHARD,
             grant.target_id,
             Outcome.SHED,
-            FAILURE_DELAY_S,
+            FAIL_TIME_S,
             "vm",
             self._find_limit_per_s(grant.target_id, now),
         )
@@ -409,13 +390,13 @@
             self._find_limit_per_s(grant.target_id, now),
         )
         if self._load.vms:
-            self._idle_connections[request.vm, grant.target_id].append(now)
+            self._idle[request.vm, grant.target_id].append(now)
         decisions = self._policy.handle_report(report, now)
         kind = request.kind
         if not failed:
             in_time = now <= request.arrived_at + kind.objective
             self._counts["in_time" if in_time else "late"] += 1
-            self._served_counts[kind.name] += 1
+            self._served[kind.name] += 1
         else:
             self._counts["failed_attempts"] += 1
             if (
@@ -443,9 +424,7 @@
     return model.run(policy)
 
 
-def play_least_busy(
-    load: loads.Load, seed: int, avoidance_s: float = 0.0
-) -> loads.Result:
+def play_least_busy(load: loads.Load, seed: int, avoid_s: float = 0.0) -> loads.Result:
     """Simulate a load under the least-busy policy.
 
     Parameters
@@ -454,23 +433,20 @@
         Load and faults to simulate.
     seed : int
         Seed of everything drawn at random.
-    avoidance_s : float
+    avoid_s : float
         Seconds for which a target that failed a request is avoided.
     """
     model = Model(load, seed)
-    return model.run(
-        least_busy.LeastBusy(model.target_names, avoidance_s, random.Random(seed))
-    )
+    return model.run(least_busy.LeastBusy(model.names, avoid_s, random.Random(seed)))
 
 
 def format_row(name: str, result: loads.Result) -> str:
     """Return one row of the table: a name and shares of the requests."""
     refused = result.refused / result.request_count
-    failed = result.failed / result.request_count
+    fails = result.failed / result.request_count
     return (
-        f"{name:28} {result.served_share:7.3f} {result.in_time_share:7.3f}"
-        f" {failed:7.3f} {refused:7.3f}"
-        f" {result.failed_attempts / result.request_count:7.3f}"
+        f"{name:28} {result.served_share:7.3f} {result.in_time_share:7.3f} {fails:7.3f}"
+        f" {refused:7.3f} {result.failed_attempts / result.request_count:7.3f}"
     )
 
 
--- a/bench/loads.py
+++ b/bench/loads.py
@@ -60,7 +60,7 @@
     recovery_per_s: float = 0.078
     """Rate at which a failing target becomes healthy."""
 
-    failing_error_share: float = 0.75
+    failure_share: float = 0.75
     """Share of its requests that a failing target answers with an error."""
 
     error_share: float = 0.012
--- a/bench/retry_fleet.py
+++ b/bench/retry_fleet.py
@@ -199,14 +199,16 @@
                 self.load, random.Random(f"{self.seed} wire")
             )
             group.start_soon(self._network.run)
-            names = {f"vm-{n}": self._name_data_centre(n) for n in range(self.load.vms)}
-            for name, centre_name in names.items():
+            centre_by_vm = {
+                f"vm-{n}": self._name_data_centre(n) for n in range(self.load.vms)
+            }
+            for name, centre_name in centre_by_vm.items():
                 self._start(name, centre_name, retry_vms.FIRST_INCARNATION)
             self._add_members()
             await anyio.sleep(members.SETTLE_TIME_S + 1.0)
             self._load_began_at = self._network.load_began_at = anyio.current_time()
             for kill in self.load.kills:
-                group.start_soon(self._kill, kill, names)
+                group.start_soon(self._kill, kill, centre_by_vm)
             for centre_index in range(self.load.data_centres):
                 group.start_soon(self._send_requests, centre_index)
             await anyio.sleep(self.load.seconds + 5.0)
--- a/tests/dispatch/test_load_replay.py
+++ b/tests/dispatch/test_load_replay.py
@@ -36,7 +36,7 @@
 
 def play_with_strikes(load: loads.Load, seed: int) -> loads.Result:
     """Play the least-busy policy that avoids a target for 0.7 s after a failure."""
-    return load_model.play_least_busy(load, seed, avoidance_s=0.7)
+    return load_model.play_least_busy(load, seed, avoid_s=0.7)
 
 
 def test_failing_targets_are_detected_and_avoided() -> None:
@@ -78,7 +78,7 @@
         target_count=count,
         onset_per_s=1 / 21,
         recovery_per_s=1 / 9,
-        failing_error_share=0.9,
+        failure_share=0.9,
         kinds=(kind,),
     )
 
