--- a/packages/zinniastand-proxy/src/zinniastand_proxy/answers.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/answers.py
@@ -73,8 +73,8 @@
         (b"cache-control", b"no-store"),
     ]
     if refusal.retry_at is not None:
-        wait = max(1, math.ceil(refusal.retry_at - now))
-        headers.append((b"retry-after", str(wait).encode()))
+        delay_s = max(1, math.ceil(refusal.retry_at - now))
+        headers.append((b"retry-after", str(delay_s).encode()))
     return Answer(status, tuple(headers), json.dumps(problem).encode())
 
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/caller_app.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/caller_app.py
@@ -1,4 +1,4 @@
-"""The ASGI application that callers talk to."""
+"""The ASGI application that serves callers."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 Send = collections.abc.Callable[[typing.Any], collections.abc.Awaitable[None]]
 
 MAX_CLOCK_ERROR_S = 5.0
-"""Greatest error of a caller's clock that the age of a key allows for."""
+"""Largest error of a caller's clock that the check of a key's age tolerates."""
 
 REQUEST_ID_BYTES = 8
 BODY_TIMEOUT_S = 10.0
-"""Time in which the complete body of a request must arrive."""
+"""Time within which the complete body of a request must arrive."""
 
 NO_BUNDLE_RETRY_DELAY_S = 1.0
 """Delay for ``Retry-After`` while no configuration is in force."""
@@ -142,10 +142,10 @@
         match = self._table.routes.find(request.method, request.path)
         if match is None:
             return self._make_refusal(outcomes.Reason.NO_ROUTE)
-        limit = match.kind.time_limit
+        allowed_time = match.kind.time_limit
         if request.timeout is not None:
-            limit = min(limit, request.timeout)
-        deadline = started + limit
+            allowed_time = min(allowed_time, request.timeout)
+        deadline = started + allowed_time
         budget = self._table.find_account_budget(request.account, started)
         if budget is not None and not budget.spend(started):
             retry_at = budget.find_refill_time(started)
@@ -192,7 +192,7 @@
             while (await receive())["type"] != "http.disconnect":
                 pass
 
-        run = conductor.Conductor(
+        request_conductor = conductor.Conductor(
             self._dependencies,
             self._table.routers[match.service],
             match.kind,
@@ -202,7 +202,7 @@
             claim,
             _wait_disconnected,
         )
-        reply = await run.run()
+        reply = await request_conductor.run()
         if reply.answer is not None:
             self._dependencies.metrics.count("zinniastand_answers_total")
             return reply.answer
@@ -234,14 +234,17 @@
         return expression.Ok(claim)
 
     def _find_gate(self, service: str) -> gate.Gate:
-        """Return the gate of a service, a new one if its router was replaced."""
+        """Return the gate of a service; create one if its router is new or replaced."""
         admission_control = self._table.routers[service].admission
-        existing = self._gates.get(service)
-        if existing is None or existing.admission_control is not admission_control:
-            existing = self._gates[service] = gate.Gate(
+        current_gate = self._gates.get(service)
+        if (
+            current_gate is None
+            or current_gate.admission_control is not admission_control
+        ):
+            current_gate = self._gates[service] = gate.Gate(
                 admission_control, self._dependencies.timer
             )
-        return existing
+        return current_gate
 
     def _record_refusal(
         self, request_id: str, match: route_table.Match, refusal: outcomes.Refusal
@@ -277,8 +280,8 @@
         if not is_head:
             headers.append((b"content-length", str(len(answer.body)).encode()))
         if self.is_stopping:
-            # Keeps the caller from sending its next request on a connection that is
-            # about to close.
+            # Without this header, the caller could send its next request on a
+            # connection that is about to close.
             headers.append((b"connection", b"close"))
         start = {"status": answer.status, "headers": headers}
         await send({"type": "http.response.start", **start})
@@ -305,11 +308,11 @@
                 chunk = message.get("body", b"")
                 size += len(chunk)
                 if size > self._dependencies.max_body_bytes:
-                    raise _BodyError(413, "the body is over the bound")
+                    raise _BodyError(413, "the request body is too large")
                 chunks.append(chunk)
                 if not message.get("more_body", False):
                     return b"".join(chunks)
-        raise _BodyError(408, "the body came too slowly")
+        raise _BodyError(408, "the request body arrived too slowly")
 
 
 async def serve_lifespan(receive: Receive, send: Send) -> None:
@@ -322,5 +325,5 @@
 
 
 def make_window(length: float) -> keys.Window:
-    """Return the key window of `length` seconds."""
+    """Return the key window of `length` seconds, with `MAX_CLOCK_ERROR_S`."""
     return keys.Window(length, MAX_CLOCK_ERROR_S)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/claims_service.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/claims_service.py
@@ -1,7 +1,7 @@
-"""Claims on the platform's log: one driver per slice, and the VM that appends for it.
+"""Appends claims and outcomes to the platform's log and reads the verdicts on claims.
 
-Keys are spread over slices, each with a stream of its own on the log. For each slice
-one VM appends on behalf of all, so that claims share batches.
+Keys are spread over slices, each of which has its own stream on the log. For each slice
+one VM appends on behalf of all, so that claims from several VMs share a batch.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 from . import clock, platform_log
 
 READ_WAIT_S = 0.25
-"""Longest wait of one read for a new entry."""
+"""Maximum time that one read waits for a new entry."""
 
 RETRY_DELAY_S = 0.05
 """Delay after a failed read, or an append whose effect is unknown."""
 
 OUTAGE_RETRY_INTERVAL_S = 1.0
-"""Interval at which outcomes that the log has not taken are appended again."""
+"""Interval between retries of outcomes that the log has not accepted yet."""
 
 PEER_TIMEOUT_SHARE = 0.3
-"""Share of the time to the start deadline that the appending VM gets to answer."""
+"""Part of the time until the start deadline that the appending VM has to answer."""
 
 HORIZON_WINDOWS = 1.5
-"""How long the ledger remembers a key, in lengths of the key window."""
+"""How long the ledger remembers a key, as a multiple of the key window."""
 
 Verdict = claimer.Granted | claimer.Denied
 
@@ -63,7 +63,7 @@
 
 
 class _Pending:
-    """A claim whose verdict is awaited."""
+    """A claim that waits for its verdict."""
 
     def __init__(self) -> None:
         self.verdict: Verdict | None = None
@@ -116,12 +116,15 @@
         return self._claimer.is_settled
 
     async def seek(self, claim: claim_records.Claim) -> Verdict:
-        """Append a claim and return the verdict, by the start deadline."""
+        """Append a claim and return the verdict, at the latest by the start deadline.
+
+        A claim without a verdict by then is denied as lapsed.
+        """
         pending = self._pending.setdefault(claim.claim_id, _Pending())
         self._execute(self._claimer.seek(claim, self._timer.now()))
         self._schedule_flush()
-        until = clock.convert_deadline(claim.start_deadline, self._timer.now())
-        with anyio.move_on_at(until):
+        wait_until = clock.convert_deadline(claim.start_deadline, self._timer.now())
+        with anyio.move_on_at(wait_until):
             await pending.event.wait()
         self._execute(self._claimer.process_due(self._timer.now()))
         self._pending.pop(claim.claim_id, None)
@@ -135,7 +138,7 @@
         self._schedule_flush()
 
     def retry(self) -> None:
-        """Append again what an outage of the log kept from it."""
+        """Retry appends that failed because the log was down."""
         self._execute(self._claimer.retry(self._timer.now()))
 
     def _execute(self, actions: list[claimer.Action]) -> None:
@@ -304,7 +307,7 @@
             self._find_driver(slice_number).settle(record)
 
     async def run(self) -> None:
-        """Retry periodically what an outage of the log kept from it."""
+        """Retry periodically the appends that failed because the log was down."""
         while True:
             await anyio.sleep(OUTAGE_RETRY_INTERVAL_S)
             for driver in self._drivers.values():
@@ -316,27 +319,28 @@
     ) -> Verdict | None:
         """Return the appending VM's verdict, or None if it gives none in time.
 
-        It gets only part of the time, so that this VM can still append the claim
-        itself. The second copy on the log has the same id, so it counts once.
+        The peer has only part of the time, so that this VM can still append the claim
+        itself. Should both append it, the copies have the same id and count once.
         """
         if self._peers is None:
             return None
         now = self._timer.now()
         peer_timeout = PEER_TIMEOUT_SHARE * (claim.start_deadline - now)
-        answered = None
+        response = None
         with anyio.move_on_after(max(0.0, peer_timeout)):
-            answered = await self._peers.ask_claim(appender, claim)
-        if answered is None:
+            response = await self._peers.ask_claim(appender, claim)
+        if response is None:
             return None
-        if answered.denial is None:
+        if response.denial is None:
             return claimer.Granted(claim)
-        return claimer.Denied(claim, answered.denial, answered.entry)
+        return claimer.Denied(claim, response.denial, response.entry)
 
     def _allow_for_peer_append(self, verdict: Verdict) -> Verdict:
         """Adjust this VM's own verdict, after a peer was asked and gave none.
 
-        Although the log refused this VM's append, the peer's may have succeeded. The
-        claim is then unsettled and has to be released, or its key would stay blocked.
+        The log refused this VM's append, but the peer's may have succeeded. The claim
+        is therefore reported as unsettled: unless it is released, its key may stay
+        blocked.
         """
         if isinstance(verdict, claimer.Denied):
             if verdict.reason is claimer.Denial.LOG_DOWN:
@@ -346,7 +350,7 @@
     def _pick_appender(self, slice_number: int) -> str:
         """Return the VM that appends for a slice.
 
-        VMs that know the same members pick the same one. The choice is kept until the
+        VMs with the same member list pick the same VM. The choice is cached until the
         members change.
         """
         if self._peers is None:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/conductor.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/conductor.py
@@ -26,7 +26,7 @@
 
 CLAIM_ID_BYTES = 12
 START_DEADLINE_SHARE = 0.5
-"""Share of the time to the deadline in which a claimed request may start."""
+"""Part of the time until the deadline in which a claimed request may start."""
 
 DISCONNECT_WATCH_DELAY_S = 0.05
 """How long a request runs before its caller is watched for a disconnect."""
@@ -57,10 +57,10 @@
     """Task group in which attempts, claims and disconnect watches run."""
 
     metrics: metrics.Metrics
-    """Counters and latencies."""
+    """Metrics of this VM."""
 
     events: timeline.Timeline
-    """Time line of this VM's events."""
+    """Timeline of this VM's events."""
 
     max_body_bytes: int
     """Largest body of a request or an answer."""
@@ -171,8 +171,8 @@
     async def _watch_disconnect(self, scope: anyio.CancelScope) -> None:
         """Abandon the request if its caller disconnects.
 
-        The watch starts late, because it costs more than it gains for short requests,
-        and most requests are short.
+        The watch starts only after `DISCONNECT_WATCH_DELAY_S`: most requests have ended
+        by then, and for them the watch would cost more than it saves.
         """
         with scope:
             await self._wait_disconnected()
@@ -204,9 +204,9 @@
     def _record_overdue(self, now: float) -> None:
         """Record attempts that are overdue as slow, without waiting for their end.
 
-        A target that hangs gives no answer whose latency could be judged.
+        A target that hangs sends no answer whose latency could be measured.
         """
-        for attempt in [n for n, at in self._overdue_at.items() if at <= now]:
+        for attempt in [number for number, at in self._overdue_at.items() if at <= now]:
             del self._overdue_at[attempt]
             self._recorded_overdue.add(attempt)
             name = self._targets[attempt]
@@ -290,7 +290,7 @@
             self._routing.record_shed(name, now)
             return
         if result.failure is attempt_actions.Failure.SILENT and result.was_pooled:
-            # The connection may have failed rather than the target; a repeat on a new
+            # Either the connection or the target may have failed. A retry on a new
             # connection shows which.
             self._record_event(
                 timeline.EventKind.CONNECTION_SILENT, name, result.detail, now
@@ -319,7 +319,9 @@
 
     def _record_leaving(self, name: str, now: float) -> None:
         self._routing.mark_leaving(name, now)
-        self._record_event(timeline.EventKind.TARGET_LEAVING, name, "it said so", now)
+        self._record_event(
+            timeline.EventKind.TARGET_LEAVING, name, "announced by it", now
+        )
 
     def _record_event(
         self, kind: timeline.EventKind, target: str, detail: str, now: float
@@ -341,13 +343,13 @@
     Parameters
     ----------
     dependencies : Dependencies
-        Names the VM that holds the claim.
+        Provide the name and the incarnation of the VM that holds the claim.
     key_digest : bytes
         Digest of the key.
     key_made_at : float
         Unix seconds at which the key was made.
     fingerprint : bytes
-        Digest of the request.
+        Digest of the request's method, target and body.
     deadline : float
         Unix seconds after which an answer is useless. The work must start in the first
         half of the time that is left, so that it can end in time.
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/connections.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/connections.py
@@ -1,9 +1,9 @@
-"""Connections to targets, each an object of its own.
+"""Connections to targets, each represented by an object.
 
-A caller of this module can therefore tell a connection that has gone silent from a
-target that has. `httpcore`, the transport of `httpx`, is used directly on this path,
-because the `httpx` client and its pool cost more than the rest of the path together
-(see docs/COST.md), and because the pool hides which connection carries a request.
+Code that uses them can therefore distinguish a connection that stopped responding from
+a target that did. `httpcore`, the transport of `httpx`, is used directly, because the
+`httpx` client and its pool cost more than all other processing of a request (see
+docs/COST.md), and because the pool hides which connection carries a request.
 """
 
 from __future__ import annotations
@@ -50,8 +50,8 @@
         self.proved_until = now + PROVED_DURATION_S
         self.idle_until = now + IDLE_TIMEOUT_S
 
-    def record_whole_answer(self, now: float) -> None:
-        """Record that a complete answer arrived on it, and extend its use."""
+    def record_complete_answer(self, now: float) -> None:
+        """Record a complete answer, and extend the time for which it is kept."""
         self.is_new = False
         self.proved_until = now + PROVED_DURATION_S
         self.idle_until = now + IDLE_TIMEOUT_S
@@ -65,7 +65,7 @@
     target : services.Target
         The target.
     max_connections : int
-        Greatest number of connections at a time.
+        Maximum number of open connections.
     """
 
     def __init__(self, target: services.Target, max_connections: int) -> None:
@@ -92,7 +92,7 @@
         Parameters
         ----------
         freshness : attempt_actions.Freshness
-            Whether an idle connection will do, and how recently it must have worked.
+            Whether an idle connection may be used, and whether it must be proved.
         now : float
             Unix seconds.
 
@@ -101,7 +101,7 @@
         NoConnectionError
             If a new connection cannot be established.
         NoFreeConnectionError
-            If as many as allowed are in use already.
+            If the maximum number of connections is already in use.
         """
         if freshness is not attempt_actions.Freshness.NEW:
             pooled = self._acquire_idle(freshness, now)
@@ -114,7 +114,7 @@
         if not connection.http.is_idle():
             self._open_count -= 1
             return
-        connection.record_whole_answer(now)
+        connection.record_complete_answer(now)
         self._idle.append(connection)
 
     async def discard(self, connection: Connection) -> None:
@@ -136,12 +136,12 @@
     def _acquire_idle(
         self, freshness: attempt_actions.Freshness, now: float
     ) -> Connection | None:
-        """Return an idle connection that is fresh enough, or None without one."""
+        """Return an idle connection that is fresh enough, or None if there is none."""
         while self._idle:
             connection = self._idle[-1]
             # Work that must not run twice uses only a connection that has just carried
-            # an answer: on a connection that failed silently the request would be lost,
-            # and whether it ran would be unknown.
+            # an answer. On a connection that had failed silently, the request would be
+            # lost, and its outcome would be unknown.
             if (
                 freshness is attempt_actions.Freshness.PROVED
                 and connection.proved_until <= now
@@ -182,35 +182,38 @@
     Parameters
     ----------
     max_per_target : int
-        Greatest number of connections to one target at a time.
+        Maximum number of open connections to one target.
     """
 
     def __init__(self, max_per_target: int) -> None:
         self._max_per_target = max_per_target
-        self._targets: dict[tuple[str, int], TargetConnections] = {}
+        self._by_address: dict[tuple[str, int], TargetConnections] = {}
 
     def find(self, target: services.Target) -> TargetConnections:
         """Return the connections to a target; targets with one address share them."""
         address = (target.host, target.port)
-        connections_to_target = self._targets.get(address)
+        connections_to_target = self._by_address.get(address)
         if connections_to_target is None:
-            connections_to_target = self._targets[address] = TargetConnections(
+            connections_to_target = self._by_address[address] = TargetConnections(
                 target, self._max_per_target
             )
         return connections_to_target
 
     def count_open(self) -> int:
         """Return the number of connections over all targets."""
-        return sum(target.open_count for target in self._targets.values())
+        return sum(
+            target_connections.open_count
+            for target_connections in self._by_address.values()
+        )
 
     async def close_idle(self, now: float) -> None:
         """Close connections that have been idle for `IDLE_TIMEOUT_S` seconds."""
-        for address, target in list(self._targets.items()):
-            await target.close_idle(now)
-            if target.open_count == 0:
-                del self._targets[address]
+        for address, target_connections in list(self._by_address.items()):
+            await target_connections.close_idle(now)
+            if target_connections.open_count == 0:
+                del self._by_address[address]
 
     async def close(self) -> None:
         """Close all idle connections."""
-        for target in self._targets.values():
-            await target.close()
+        for target_connections in self._by_address.values():
+            await target_connections.close()
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/exchange.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/exchange.py
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Task:
-    """What all attempts of a request have in common."""
+    """Data that all attempts of a request share."""
 
     request: incoming.Request
     """The caller's request, which every attempt repeats."""
@@ -53,7 +53,7 @@
     """Whether the target announced that it is leaving."""
 
     detail: str = ""
-    """Explanation for the time line."""
+    """Explanation for the timeline."""
 
 
 class Exchanger:
@@ -77,9 +77,11 @@
         Failures are returned, not raised. Cancellation closes the connection, which
         shows the target that the answer is no longer needed.
         """
-        target = self._pool.find(send.target)
+        target_connections = self._pool.find(send.target)
         try:
-            connection = await target.acquire(send.freshness, self._timer.now())
+            connection = await target_connections.acquire(
+                send.freshness, self._timer.now()
+            )
         except connections.NoFreeConnectionError:
             return Result(None, attempt_actions.Failure.BUSY, False)
         except connections.NoConnectionError as error:
@@ -91,12 +93,12 @@
             try:
                 result = await sender.run()
             except BaseException:
-                await target.discard(connection)
+                await target_connections.discard(connection)
                 raise
             if result.answer is None and result.failure is not _REFUSED:
-                await target.discard(connection)
+                await target_connections.discard(connection)
             else:
-                target.release(connection, self._timer.now())
+                target_connections.release(connection, self._timer.now())
             return result
         return Result(None, attempt_actions.Failure.OVERDUE, was_pooled)
 
@@ -139,7 +141,7 @@
         except (httpcore.NetworkError, httpcore.ProtocolError, OSError) as error:
             return self._fail(attempt_actions.Failure.CUT, error)
         if body is None:
-            return self._fail(attempt_actions.Failure.CUT, "answer body over the bound")
+            return self._fail(attempt_actions.Failure.CUT, "answer body is too large")
         return self._validate(response, body)
 
     async def _read_body(self, response: httpcore.Response) -> bytes | None:
@@ -159,17 +161,18 @@
         """Return the result of a received answer, which may be invalid or a refusal."""
         headers = [(name.lower(), value) for name, value in response.headers]
         values_by_name = dict(headers)
-        leaving = b"close" in values_by_name.get(b"connection", b"").lower()
+        announces_leaving = b"close" in values_by_name.get(b"connection", b"").lower()
         if not _has_stated_end(
             response.status, values_by_name, self._task.request.method
         ):
             return self._fail(
-                attempt_actions.Failure.CUT, "the answer does not say its end"
+                attempt_actions.Failure.CUT,
+                "answer has neither content-length nor transfer-encoding",
             )
         echo = self._task.service.echo_header.encode()
         if echo and values_by_name.get(echo) != self._task.request_id:
             return self._fail(
-                attempt_actions.Failure.CUT, "the answer is not to this request"
+                attempt_actions.Failure.CUT, "answer belongs to another request"
             )
         not_started_rule = self._task.service.not_started
         if (
@@ -187,7 +190,7 @@
         end_to_end = incoming.keep_end_to_end(headers)
         end_to_end = tuple(item for item in end_to_end if item[0] != b"content-length")
         answer = answers.Answer(response.status, end_to_end, body)
-        return Result(answer, None, self._was_pooled, is_leaving=leaving)
+        return Result(answer, None, self._was_pooled, is_leaving=announces_leaving)
 
     def _fail(self, failure: attempt_actions.Failure, error: object) -> Result:
         detail = f"{type(error).__name__}: {error}"
@@ -218,7 +221,10 @@
 def _has_stated_end(
     status: int, headers: collections.abc.Mapping[bytes, bytes], method: str
 ) -> bool:
-    """Return whether a truncated answer could be distinguished from a complete one."""
+    """Return whether the headers show where the body ends.
+
+    Otherwise a truncated answer could not be distinguished from a complete one.
+    """
     if method == "HEAD" or status in (204, 304):
         return True
     return b"content-length" in headers or b"transfer-encoding" in headers
