--- a/packages/zinniastand-proxy/src/zinniastand_proxy/admin_app.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/admin_app.py
@@ -1,4 +1,4 @@
-"""The ASGI application for operators and for the balancer's readiness check."""
+"""The ASGI application for operators and the balancer's readiness check."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     Attributes
     ----------
     is_stopping : bool
-        Whether ``/ready`` reports a stop.
+        Whether ``/ready`` reports that the VM is stopping.
     """
 
     def __init__(
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/cli.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/cli.py
@@ -32,8 +32,8 @@
 ) -> None:
     """Run the proxy on this VM.
 
-    Exit codes: 0 after a graceful stop, 2 for bad settings or an address in use, 3
-    where a stop cut requests off.
+    Exit codes: 0 after a graceful stop, 2 for invalid settings or an address in use, 3
+    if the stop cut requests off.
     """
     match settings.load(settings_file):
         case expression.Result(tag="ok", ok=config):
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/clock.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/clock.py
@@ -1,4 +1,4 @@
-"""The clock that decisions use: unix seconds that never go backwards."""
+"""The clock that decisions use: Unix seconds that never go backwards."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 import anyio
 
 MAX_SLEW_RATE = 0.01
-"""Largest correction, in seconds per elapsed second."""
+"""Maximum correction, in seconds per elapsed second."""
 
 
 class Clock(typing.Protocol):
     """Source of the current time."""
 
     def now(self) -> float:
-        """Return unix seconds, never less than an earlier call returned."""
+        """Return Unix seconds, never less than an earlier call returned."""
         ...
 
 
@@ -24,7 +24,7 @@
 
     It is driven by the boot-time clock, which keeps running while the machine is
     suspended. A process that holds a claim and was paused therefore sees at once how
-    late it is, and a step of the wall clock, forward or back, moves no deadline.
+    late it is, and a step of the wall clock, forward or back, changes no deadline.
     """
 
     def __init__(self) -> None:
@@ -32,16 +32,16 @@
         self._adjusted_at = _read_boot_time()
 
     def now(self) -> float:
-        """Return unix seconds, never less than an earlier call returned."""
+        """Return Unix seconds, never less than an earlier call returned."""
         return self._base + _read_boot_time()
 
     def adjust_to_wall_clock(self) -> None:
         """Slew towards the machine's wall clock; to be called every few seconds."""
         elapsed = _read_boot_time() - self._adjusted_at
         self._adjusted_at += elapsed
-        error = time.time() - self.now()
+        clock_error = time.time() - self.now()
         max_change = MAX_SLEW_RATE * elapsed
-        self._base += max(-max_change, min(max_change, error))
+        self._base += max(-max_change, min(max_change, clock_error))
 
 
 def convert_deadline(deadline: float, now: float) -> float:
@@ -52,7 +52,7 @@
     deadline : float
         Unix seconds by a `Clock`.
     now : float
-        Current unix seconds by the same `Clock`.
+        Current Unix seconds by the same `Clock`.
 
     Returns
     -------
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/daemon.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/daemon.py
@@ -29,7 +29,7 @@
 )
 
 INCARNATIONS_PER_S = 1000
-"""Incarnations are start times in unix milliseconds."""
+"""Incarnations are start times in Unix milliseconds."""
 
 STOP_POLL_INTERVAL_S = 0.02
 MAINTENANCE_INTERVAL_S = 5.0
@@ -54,7 +54,7 @@
         The VM list; by default the one that the settings name, if any.
     unready_for : float
         Seconds for which requests are still served after ``/ready`` reports that the
-        VM is stopping: at least as long as the balancer takes to notice.
+        VM is stopping. The balancer must notice within this time.
 
     Attributes
     ----------
@@ -69,7 +69,7 @@
     table : service_table.ServiceTable
         Routers and limits of the bundle in force.
     cut_off : int
-        Number of requests that the stop cut off.
+        Number of requests that the stop ended without an answer.
     """
 
     def __init__(
@@ -210,11 +210,11 @@
         fleet_control: fleet.Fleet,
         claims: claims_service.ClaimsService,
     ) -> None:
-        """Stop in an order that cuts off no request unless the time limit ends it.
+        """Stop without cutting off requests, unless the time limit expires.
 
         The balancer keeps sending requests until it notices that this VM is not ready,
         so the listeners stay open for `unready_for` seconds more. After that, this VM
-        announces that it leaves and waits until open requests have ended and their
+        announces that it is leaving and waits until open requests have ended and their
         outcomes are on the log. The listeners close last. `Settings.stop_limit` or a
         second stop request ends the wait early.
         """
@@ -223,11 +223,11 @@
         self._record_event(
             timeline.EventKind.STOPPING, f"{callers.in_flight} in flight"
         )
-        limit = anyio.current_time() + self._config.stop_limit
+        stop_deadline = anyio.current_time() + self._config.stop_limit
         with anyio.CancelScope() as scope:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._cancel_on_second_stop, scope)
-                with anyio.move_on_at(limit):
+                with anyio.move_on_at(stop_deadline):
                     await anyio.sleep(self._unready_for)
                     fleet_control.announce_leaving()
                     while callers.in_flight or not claims.is_settled:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/fleet.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/fleet.py
@@ -1,6 +1,6 @@
-"""Connects the control plane of one VM, `control.Control`, to the outside.
+"""Connects the control plane of one VM to other VMs, the platform's log and VM list.
 
-The outside is the links to other VMs, the platform's log and the VM list.
+The control plane itself, `control.Control`, does no I/O.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 TICK_INTERVAL_S = 0.5
 READ_WAIT_S = 5.0
-"""Seconds that a read of the log waits for new entries."""
+"""Maximum time that a read of the log waits for new entries."""
 
 ERROR_DELAY_S = 0.5
 LIST_INTERVAL_S = 2.0
@@ -43,7 +43,7 @@
 MAX_APPEND_ATTEMPTS = 3
 REFRESH_CHECK_INTERVAL_S = 5.0
 READERS_PER_DATA_CENTRE = 8
-"""VMs of each data centre that wait on the configuration stream."""
+"""VMs of each data centre that follow the configuration stream on the log."""
 
 RELAYED_READ_INTERVAL_S = 5.0
 """Seconds between reads by VMs that rely on their peers for configuration."""
@@ -52,7 +52,7 @@
 
 
 class Fleet:
-    """Runs the control plane of one VM: feeds it events and executes its actions.
+    """Runs the control plane of one VM: passes it events and executes its actions.
 
     Parameters
     ----------
@@ -139,7 +139,7 @@
     ) -> peer_messages.ClaimResponse | None:
         """Ask another VM to seek a claim.
 
-        Waits without a time limit: the caller sets one.
+        Waits until the answer arrives or the calling task cancels the wait.
 
         Parameters
         ----------
@@ -255,7 +255,7 @@
         """Read the configuration stream and apply its entries.
 
         To limit the load on the log, only `READERS_PER_DATA_CENTRE` VMs of each data
-        centre wait on it. The others receive configuration from peers, and read the
+        centre follow it. The others receive configuration from peers, and read the
         log every `RELAYED_READ_INTERVAL_S` seconds in case that fails.
         """
         while True:
@@ -284,9 +284,9 @@
             for member in self._core.members.list_alive()
             if member.data_centre == own.data_centre
         ]
-        task = f"config-readers/{own.data_centre}"
+        role = f"config-readers/{own.data_centre}"
         return own.vm in rendezvous.pick(
-            task, [*names, own.vm], READERS_PER_DATA_CENTRE
+            role, [*names, own.vm], READERS_PER_DATA_CENTRE
         )
 
     def _record_log_state(self, is_up: bool, detail: str) -> None:
@@ -310,7 +310,7 @@
             await anyio.sleep(LIST_INTERVAL_S)
 
     async def _contact_first_peers(self) -> None:
-        """Contact the peers that the settings name while no other VM is known."""
+        """Contact the first peers of the settings while no other VM is alive."""
         members = self._core.members
         while True:
             for url in self._config.first_peers:
@@ -329,8 +329,8 @@
     async def _refresh_head(self) -> None:
         """Append the head of the configuration again before its retention ends.
 
-        The VM that ranks first does so. If it can't, the head is still old when the
-        VM of the next rank checks it, later. A second copy changes nothing.
+        The VM of the first rank does so. If it fails to, the VM of the next rank finds
+        the head still old at its own, later check. A second copy changes nothing.
         """
         while True:
             await anyio.sleep(REFRESH_CHECK_INTERVAL_S)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/gate.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/gate.py
@@ -1,4 +1,4 @@
-"""Wait queue in front of each service, decided by `zinniastand_core.admission`."""
+"""Waiting for admission to a service, which `zinniastand_core.admission` decides."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class Gate:
-    """Lets coroutines wait for admission to one service.
+    """Lets requests wait for admission to one service.
 
-    The admission control decides; the gate wakes the coroutines that it admits or
-    refuses.
+    The admission control decides; the gate wakes the coroutines of the requests that
+    are admitted or refused.
 
     Parameters
     ----------
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/incoming.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/incoming.py
@@ -34,7 +34,7 @@
 """Headers of the caller that are not forwarded; the proxy sets its own if needed."""
 
 SINGLE_HEADERS = (b"host", b"content-length", b"idempotency-key", b"x-account")
-"""Headers that a request may carry once at most."""
+"""Headers that a request may contain at most once."""
 
 REFUSED_METHODS = frozenset({"CONNECT", "TRACE"})
 KEY_HEADER = b"idempotency-key"
@@ -74,7 +74,7 @@
     """Value of ``X-Account``, or empty without one."""
 
     timeout: float | None
-    """Seconds that the caller waits, from ``X-Request-Timeout-Ms``, if it says so."""
+    """Seconds that the caller waits, from ``X-Request-Timeout-Ms``; None without it."""
 
     client: str
     """IP address of the caller, or empty if unknown."""
@@ -125,17 +125,17 @@
         Ok for an unambiguous head, otherwise the fault.
     """
     names = [name for name, _ in headers]
-    for single in SINGLE_HEADERS:
-        if names.count(single) > 1:
-            return _refuse(400, f"{single.decode()} stands more than once")
+    for header in SINGLE_HEADERS:
+        if names.count(header) > 1:
+            return _refuse(400, f"header {header.decode()} occurs more than once")
     if b"transfer-encoding" in names and b"content-length" in names:
-        return _refuse(400, "both transfer-encoding and content-length")
+        return _refuse(400, "both transfer-encoding and content-length are set")
     if method in REFUSED_METHODS:
-        return _refuse(501, f"method {method} is not served")
+        return _refuse(501, f"method {method} is not supported")
     if not target.startswith(b"/"):
         return _refuse(400, "the request target must be a path")
     if any(byte <= 0x20 or byte == 0x7F for byte in target):
-        return _refuse(400, "control characters in the request target")
+        return _refuse(400, "control character or space in the request target")
     return expression.Ok(None)
 
 
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/listeners.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/listeners.py
@@ -17,7 +17,8 @@
 MAX_REQUESTS_PER_CONNECTION = 2**62
 ACCEPT_BACKLOG = 1024
 CLOSE_GRACE_S = 2.0
-"""Seconds that open requests have to finish after the listener is told to stop."""
+"""Time that open requests have to finish once the listener stops."""
+
 MAX_HEADER_BYTES = 32 * 1024
 
 App = typing.Any
@@ -103,7 +104,7 @@
     """Log unhandled errors in callbacks of the running event loop, as JSON.
 
     When a connection breaks during a request, the stream callback of Python 3.11 asks
-    a cancelled task for its exception. The resulting `CancelledError` is no fault and
+    a cancelled task for its exception. The resulting `CancelledError` is harmless and
     is ignored.
     """
 
@@ -123,7 +124,7 @@
     """Serve until `should_stop` is set, shielded from cancellation.
 
     hypercorn raises errors when it is cancelled while it closes connections. With a
-    shutdown trigger it closes them in order and returns.
+    shutdown trigger it closes them and returns without an error.
     """
     with anyio.CancelScope(shield=True):
         await hypercorn.asyncio.serve(app, config, shutdown_trigger=should_stop.wait)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/peers.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/peers.py
@@ -23,15 +23,15 @@
 """Header in which both sides of a link name their VM."""
 
 MAX_QUEUED_MESSAGES = 512
-"""Most messages queued for one VM: on an open link, and while connecting."""
+"""Maximum number of messages queued for one VM on its link, and while connecting."""
 
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 OPEN_TIMEOUT_S = 2.0
 MAX_SILENCE_S = 5.0
-"""Seconds without a message after which a link is taken for dead."""
+"""Time without a received message after which a link counts as broken."""
 
 RECONNECT_DELAY_S = 0.5
-"""Seconds between a failed connection attempt and the next one."""
+"""Delay between a failed connection attempt and the next one."""
 
 _logger = logs.get_logger("peers")
 
@@ -143,7 +143,7 @@
         data = peer_messages.encode(message)
         link = self._links.get(vm)
         if link is not None and self._timer.now() - link.received_at > MAX_SILENCE_S:
-            # A link can stop working without an error; a fresh one may work.
+            # A link can stop working without an error; a new one may work.
             self._remove(link)
             link = None
         if link is not None and link.send(data):
@@ -182,7 +182,9 @@
         try:
             vm, socket = await self._connect(url)
         except (OSError, TimeoutError, websockets.WebSocketException) as error:
-            _logger.debug("call failed", extra={"url": url, "error": str(error)})
+            _logger.debug(
+                "connection attempt failed", extra={"url": url, "error": str(error)}
+            )
             return
         unsent = self._unsent.setdefault(vm, [])
         unsent += [peer_messages.encode(message) for message in messages]
@@ -192,7 +194,9 @@
         try:
             peer, socket = await self._connect(url)
         except (OSError, TimeoutError, websockets.WebSocketException) as error:
-            _logger.debug("call failed", extra={"peer": vm, "error": str(error)})
+            _logger.debug(
+                "connection attempt failed", extra={"peer": vm, "error": str(error)}
+            )
             self._reconnect_at[vm] = self._timer.now() + RECONNECT_DELAY_S
             self._unsent.pop(vm, None)
             return
@@ -235,7 +239,9 @@
         vm = response.headers.get(VM_HEADER, "") if response else ""
         if not vm or not self._is_authentic(socket, vm):
             await socket.close()
-            raise OSError(f"the VM at {url} did not prove its name: it gave {vm!r}")
+            raise OSError(
+                f"the VM at {url} did not prove the name that it gave: {vm!r}"
+            )
         return vm, socket
 
     async def _accept(self, socket: ws_server.ServerConnection) -> None:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/platform_log.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/platform_log.py
@@ -12,14 +12,14 @@
 
 APPEND_TIMEOUT_S = 2.0
 READ_MARGIN_S = 2.0
-"""Time for the answer to a long poll, beyond the time that the log may wait."""
+"""Time that a read may last beyond the time that the log waits for entries."""
 
 NOT_APPENDED_HEADER = "x-not-appended"
 """Set by the log on answers to appends that certainly had no effect."""
 
 
 class LogRefusedError(Exception):
-    """The log did not do what was requested, and this is certain."""
+    """The log certainly did not carry out the request."""
 
 
 class LogUncertainError(Exception):
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/service_table.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/service_table.py
@@ -30,8 +30,8 @@
     def apply_bundle(self, bundle: bundles.Bundle, now: float) -> None:
         """Apply a new bundle without interrupting requests in flight.
 
-        Routers of services that remain are kept, with all that they have learnt about
-        their targets; account budgets start again.
+        Routers of services that remain are kept, with their statistics on targets.
+        Account budgets are reset.
 
         Parameters
         ----------
@@ -93,14 +93,14 @@
     def _find_rate(self, account: str) -> float | None:
         if self._bundle is None:
             return None
-        found = self._bundle.find_account(account)
-        return found.requests_per_second if found else None
+        account_rules = self._bundle.find_account(account)
+        return account_rules.requests_per_second if account_rules else None
 
     def _share(self, rate: float) -> tuple[float, float]:
-        """Return this VM's rate in requests a second, and its burst in requests.
+        """Return this VM's rate in requests per second, and its burst in requests.
 
-        The balancer spreads a caller's requests evenly only on average. The burst, two
-        seconds' worth, lets a VM briefly accept more than its share.
+        The balancer spreads a caller's requests evenly only on average. The burst, the
+        requests of two seconds, lets a VM briefly accept more than its share.
         """
         share = rate / self._vm_count
         return share, max(MIN_BURST_REQUESTS, 2.0 * share)
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/settings.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/settings.py
@@ -16,7 +16,7 @@
 DEFAULT_MAX_BODY_BYTES = 1024 * 1024
 MS_PER_S = 1000.0
 RETENTION_PER_KEY_WINDOW = 2.0
-"""Least retention of the log, in key windows."""
+"""Minimum retention of the log, as a multiple of the key window."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
     """Address of a listener."""
 
     host: str
-    """IPv4 or IPv6 address, in digits."""
+    """IPv4 or IPv6 address, not a host name."""
 
     port: int
     """TCP port; 0 lets the system choose one, as tests do."""
@@ -160,7 +160,7 @@
         data_centre=reader.read_text("data_centre"),
         callers=_read_address(reader.read_object("callers")),
         admin=_read_address(reader.read_object("admin")),
-        peers=_read_address(peers, is_last=False),
+        peers=_read_address(peers, rejects_unknown=False),
         peers_url=peers.read_text("url"),
         first_peers=peers.read_texts("first", []),
         log_url=log.read_text("url"),
@@ -199,7 +199,7 @@
         )
 
 
-def _read_address(reader: documents.Reader, is_last: bool = True) -> Address:
+def _read_address(reader: documents.Reader, rejects_unknown: bool = True) -> Address:
     host = reader.read_text("host")
     try:
         ipaddress.ip_address(host)
@@ -207,7 +207,7 @@
         if host:
             reader.add("host", f"expected an IP address, got {host!r}")
     port = reader.read_integer("port", None, 0, sections.MAX_PORT)
-    if is_last:
+    if rejects_unknown:
         reader.refuse_unknown()
     return Address(host, port)
 
