--- a/packages/zinniastand-ctl/src/zinniastand_ctl/bundle_commands.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/bundle_commands.py
@@ -17,7 +17,9 @@
 
 SettingsOption = typing.Annotated[
     pathlib.Path,
-    typer.Option("--settings", help="Settings of any VM: names the log and operators."),
+    typer.Option(
+        "--settings", help="Settings of any VM; they name the log and operators."
+    ),
 ]
 JsonOption = typing.Annotated[bool, typer.Option("--json", help="Print JSON.")]
 BundleArgument = typing.Annotated[pathlib.Path, typer.Argument(help="Bundle document.")]
@@ -39,13 +41,13 @@
 def check_settings(
     path: typing.Annotated[pathlib.Path, typer.Argument(help="Settings file.")],
 ) -> None:
-    """Check a VM's settings. Exit codes: 0 fine, 2 findings."""
+    """Check a VM's settings. Exit codes: 0 valid, 2 findings."""
     files.read_settings(path)
     typer.echo("settings are fine")
 
 
 def check_bundle(path: BundleArgument, as_json: JsonOption = False) -> None:
-    """Check a bundle document. Exit codes: 0 fine, 2 findings."""
+    """Check a bundle document. Exit codes: 0 valid, 2 findings."""
     bundle = files.read_bundle(path)
     summary = {
         "digest": bundle.digest.hex(),
@@ -59,7 +61,7 @@
 def make_key(
     path: typing.Annotated[pathlib.Path, typer.Argument(help="New private key file.")],
 ) -> None:
-    """Make an operator's key and print the public half for the bundle."""
+    """Make an operator's private key and print its public key for the bundle."""
     typer.echo(key_files.make(path))
 
 
@@ -69,7 +71,7 @@
     out: OutOption,
     force: ForceOption = False,
 ) -> None:
-    """Make a proposal that leads from the head to a bundle document.
+    """Make a proposal to replace the bundle in force by a bundle document.
 
     Exit codes: 0 written, 1 warnings not accepted, 2 bad input, 3 log unreachable.
     """
@@ -83,7 +85,7 @@
     settings_file: SettingsOption,
     as_json: JsonOption = False,
 ) -> None:
-    """Show which sections a bundle document changes, and what a reviewer should see.
+    """Show which sections a bundle document changes, and warnings for its reviewers.
 
     Exit codes: 0 shown, 2 bad input, 3 log unreachable.
     """
@@ -98,13 +100,15 @@
         for key, value in sorted(changes.items())
     }
     value = {"changes": rows, "warnings": [str(item) for item in warnings.items]}
-    lines = [f"{word:8} {key}" for key, word in rows.items()] or ["no change"]
+    lines = [f"{change_type:8} {key}" for key, change_type in rows.items()] or [
+        "no change"
+    ]
     lines += [f"warning: {item}" for item in warnings.items]
     output.show(value, as_json, "\n".join(lines))
 
 
 def sign(path: ProposalArgument, operator: OperatorOption, key: KeyOption) -> None:
-    """Sign a proposal file off. Exit codes: 0 signed, 2 bad input."""
+    """Add a sign-off to a proposal file. Exit codes: 0 signed, 2 bad input."""
     proposal = files.read_proposal(path)
     signed = proposals.sign(proposal, operator, key_files.read(key))
     files.write_proposal(path, signed)
@@ -113,10 +117,10 @@
 
 
 def publish(path: ProposalArgument, settings_file: SettingsOption) -> None:
-    """Append a signed proposal to the log and say whether it won.
+    """Append a signed proposal to the log and report whether it was accepted.
 
-    Exit codes: 0 accepted, 1 refused (the reason names the bundle that won), 2 bad
-    input, 3 log unreachable.
+    Exit codes: 0 accepted, 1 refused (the reason names the bundle accepted instead, if
+    there is one), 2 bad input, 3 log unreachable.
     """
     proposal = files.read_proposal(path)
     _print_ruling(log_access.publish(files.read_settings(settings_file), proposal))
@@ -129,7 +133,7 @@
     out: OutOption,
     force: ForceOption = False,
 ) -> None:
-    """Propose to take a target out of service; sign and publish it as any other."""
+    """Propose to take a target out of service; sign and publish this like others."""
     _set_draining(service, target, files.read_settings(settings_file), out, force, True)
 
 
@@ -151,7 +155,7 @@
     config: settings.Settings,
     out: pathlib.Path,
     force: bool,
-    draining: bool,
+    is_draining: bool,
 ) -> None:
     head = log_access.load_chain(config)
     section = head.bundle.sections.get(bundles.SERVICE_PREFIX + service)
@@ -162,7 +166,7 @@
     matches = [item for item in target_rows if item["name"] == target]
     if not matches:
         output.fail(f"no target {target!r} in service {service!r}")
-    matches[0]["draining"] = draining
+    matches[0]["draining"] = is_draining
     match bundles.change(head.bundle, {bundles.SERVICE_PREFIX + service: value}):
         case expression.Result(tag="ok", ok=new):
             _write_proposal(head, new, out, force)
@@ -178,7 +182,10 @@
     warnings = review.review(head.bundle, new)
     _show_warnings(warnings)
     if warnings.items and head.version and not force:
-        output.fail("not proposed; see --accept-warnings", output.EXIT_FAILED)
+        output.fail(
+            "not proposed because of the warnings; see --accept-warnings",
+            output.EXIT_FAILED,
+        )
     name = f"proposal-{uuid.uuid4().hex[:12]}"
     proposal = proposals.propose(name, head.version + 1, head.bundle, new)
     files.write_proposal(out, proposal)
@@ -195,5 +202,5 @@
     if ruling.verdict in (chain.Verdict.ACCEPTED, chain.Verdict.KNOWN):
         typer.echo(f"{ruling.proposal_id} accepted")
         return
-    text = f"{ruling.proposal_id} {ruling.verdict}: {ruling.reason}"
-    output.fail(text, output.EXIT_FAILED)
+    message = f"{ruling.proposal_id} {ruling.verdict}: {ruling.reason}"
+    output.fail(message, output.EXIT_FAILED)
--- a/packages/zinniastand-ctl/src/zinniastand_ctl/cli.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/cli.py
@@ -40,16 +40,18 @@
 ) -> None:
     """Run two small sites on loopback through a series of faults.
 
-    Exit codes: 0 where everything that must always hold did hold, 1 otherwise.
+    Exit codes: 0 if no promise was broken, 1 otherwise.
     """
     report = demo.run(seed)
     typer.echo(report.format_text())
     if report.broken_promises:
-        output.fail("broken: " + "; ".join(report.broken_promises), output.EXIT_FAILED)
+        output.fail(
+            "broken promises: " + "; ".join(report.broken_promises), output.EXIT_FAILED
+        )
 
 
 def main() -> None:
-    """Run the command that the process arguments name."""
+    """Run the command line application."""
     app()
 
 
--- a/packages/zinniastand-ctl/src/zinniastand_ctl/explain/causes.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/explain/causes.py
@@ -10,9 +10,9 @@
 import enum
 
 MIN_EXPECTED_FAILURE_PROBABILITY = 0.3
-"""A failure counts as expected if the target was chosen with at least this estimated
-failure probability. From this value on, work that may run only once waits for a better
-target."""
+"""Estimated failure probability of a target from which on its failure is expected.
+
+From this value on, work that may run only once waits for a better target."""
 
 SLOW_FACTOR = 2.0
 """An attempt counts as slow if it lasts longer than its expected duration times this
@@ -102,7 +102,7 @@
     """Milliseconds that the request waited for the target."""
 
     outcome: str
-    """How it ended: `outcome` of its log line."""
+    """How it ended, from the field `outcome` of its log line."""
 
     why: str
     """Reason for the outcome, such as a status code."""
--- a/packages/zinniastand-ctl/src/zinniastand_ctl/explain/commands.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/explain/commands.py
@@ -20,10 +20,11 @@
 def explain(
     logs: LogsArgument,
     request: typing.Annotated[
-        str, typer.Option("--request", help="Tell the story of this request.")
+        str, typer.Option("--request", help="Show the log lines of this request.")
     ] = "",
     html: typing.Annotated[
-        pathlib.Path | None, typer.Option("--html", help="Write a page.")
+        pathlib.Path | None,
+        typer.Option("--html", help="Write an HTML page to this file."),
     ] = None,
     compare: typing.Annotated[
         str, typer.Option("--compare", help="Log file or folder of another run.")
@@ -32,10 +33,10 @@
         bool, typer.Option("--json", help="Print JSON for scripts.")
     ] = False,
 ) -> None:
-    """Tell why requests were not served, from the logs of any number of VMs.
+    """Explain why requests were not served, from the logs of any number of VMs.
 
-    Exit codes: 0 done, 1 nothing found, 2 no readable input. Broken lines are named on
-    standard error and do not end the command.
+    Exit codes: 0 done, 1 request not found, 2 no readable input. Unreadable lines are
+    listed on standard error and do not end the command.
     """
     if request:
         _show_history(logs, request, as_json)
@@ -84,7 +85,7 @@
         for row in summary.list_limits(totals)
     ]
     if limits:
-        names = ["target with a limit", "a second", "busiest seconds"]
+        names = ["target with a rate limit", "per second", "busiest seconds"]
         sections.append(output.format_table(names, limits))
     sections += _format_retries(totals)
     if totals.store_returns:
@@ -114,7 +115,7 @@
         "retries",
         "requests",
     ]
-    return [output.format_table([*names, "given by"], rows)] if rows else []
+    return [output.format_table([*names, "granted by"], rows)] if rows else []
 
 
 def _list_store_returns(described: object) -> list[list[object]]:
@@ -145,7 +146,7 @@
         history.add_record(record)
     _report_findings(reader)
     if history.is_empty:
-        output.fail(f"no line names the request {request}", output.EXIT_FAILED)
+        output.fail(f"no log line names the request {request}", output.EXIT_FAILED)
     output.show(history.list_records(), as_json, history.format_text())
 
 
@@ -171,15 +172,15 @@
 
 
 def _report_progress(lines: int) -> None:
-    typer.echo(f"{lines} lines", err=True)
+    typer.echo(f"{lines} lines read", err=True)
 
 
 def _report_findings(reader: log_reader.LogReader) -> None:
     for finding in reader.findings:
         typer.echo(str(finding), err=True)
     if reader.broken > len(reader.findings):
-        more = reader.broken - len(reader.findings)
-        typer.echo(f"and {more} more that could not be read", err=True)
+        unlisted = reader.broken - len(reader.findings)
+        typer.echo(f"{unlisted} more lines or files could not be read", err=True)
 
 
 def _write_page(path: pathlib.Path, text: str) -> None:
--- a/packages/zinniastand-ctl/src/zinniastand_ctl/explain/log_reader.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/explain/log_reader.py
@@ -16,7 +16,7 @@
 GZIP_MAGIC = b"\x1f\x8b"
 
 MAX_FINDINGS = 10
-"""Unreadable lines that are listed; further ones are only counted."""
+"""Unreadable lines and files that are listed; further ones are only counted."""
 
 PROGRESS_INTERVAL_LINES = 1 << 18
 """Lines between two progress reports."""
@@ -54,7 +54,7 @@
     broken : int
         Lines and files that could not be read.
     findings : list of Finding
-        The first `MAX_FINDINGS` of those.
+        The first `MAX_FINDINGS` unreadable lines and files.
     """
 
     def __init__(
@@ -119,7 +119,9 @@
                 self._add_finding(f"{name}:{number}", f"not JSON: {error}")
                 continue
             if not isinstance(record, dict) or not isinstance(record.get("vm"), str):
-                self._add_finding(f"{name}:{number}", "no record of a VM")
+                self._add_finding(
+                    f"{name}:{number}", "not a JSON object with the name of a VM"
+                )
                 continue
             yield record
 
--- a/packages/zinniastand-ctl/src/zinniastand_ctl/explain/request_history.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/explain/request_history.py
@@ -7,7 +7,7 @@
 from . import log_reader
 
 HIDDEN_FIELDS = frozenset({"time", "vm", "event", "request"})
-"""Fields that the printed line shows at its start, or not at all."""
+"""Fields that are left out of the list at the end of a printed line."""
 
 
 class RequestHistory:
@@ -50,5 +50,9 @@
 def _format(record: log_reader.Record) -> str:
     moment = datetime.datetime.fromtimestamp(_read_time(record), tz=datetime.UTC)
     clock = moment.strftime("%H:%M:%S.%f")[:-3]
-    fields = " ".join(f"{k}={v}" for k, v in record.items() if k not in HIDDEN_FIELDS)
+    fields = " ".join(
+        f"{field}={content}"
+        for field, content in record.items()
+        if field not in HIDDEN_FIELDS
+    )
     return f"{clock} {record['vm']:16} {record.get('event', ''):8} {fields}"
--- a/packages/zinniastand-ctl/src/zinniastand_ctl/explain/request_totals.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/explain/request_totals.py
@@ -9,11 +9,13 @@
 from . import causes, log_reader
 
 MAX_OPEN_REQUESTS = 200_000
-"""Requests whose attempts were read but whose answer was not. The lines of a VM come in
-order, so that only its concurrent requests are open; the oldest are dropped first."""
+"""Maximum number of requests with attempts but no answer so far.
+
+The log lines of a VM are in order, so that only its concurrent requests are open. The
+oldest are dropped first."""
 
 MAX_NAMES = 20_000
-"""Targets, and fingerprints of requests, that are counted individually."""
+"""Maximum number of targets, and of fingerprints, that are counted individually."""
 
 UNSENT_OUTCOMES = frozenset({"unreachable", "unused"})
 """Outcomes of attempts that did not reach a target."""
@@ -148,7 +150,9 @@
 
     def count_result(self, result: causes.Result) -> int:
         """Return the number of requests with a result."""
-        return sum(n for (other, _), n in self.results.items() if other is result)
+        return sum(
+            count for (other, _), count in self.results.items() if other is result
+        )
 
     def add_record(self, record: log_reader.Record) -> None:
         """Add a record. Missing and malformed fields count as empty or 0."""
@@ -221,12 +225,12 @@
         """
         if attempt.number < 2 or attempt.outcome in UNSENT_OUTCOMES:
             return
-        sent = attempt.end_second - int(attempt.duration_ms / MS_PER_S)
+        sent_second = attempt.end_second - int(attempt.duration_ms / MS_PER_S)
         by_dispatcher = self.retries.setdefault(attempt.service, collections.Counter())
-        by_dispatcher[sent, attempt.dispatcher] += 1
+        by_dispatcher[sent_second, attempt.dispatcher] += 1
 
     def _count_crash(self, attempt: causes.Attempt) -> None:
-        """Count attempts by fingerprint, from the first crash with it on."""
+        """Count attempts by fingerprint, from its first crash on."""
         row = self.crashes.get(attempt.fingerprint)
         if row is None:
             has_room = len(self.crashes) < MAX_NAMES
--- a/packages/zinniastand-ctl/src/zinniastand_ctl/explain/summary.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/explain/summary.py
@@ -12,7 +12,7 @@
 """Rows of a table; further rows, which rank lower, are left out."""
 
 STORE_RETURN_MARGIN_S = 3
-"""Failed requests are counted this many seconds before and after a store returned."""
+"""Time before and after a return of the store in which failed requests are counted."""
 
 LIMIT_WINDOW_S = 4
 """Seconds over which the load of a target with a rate limit is averaged."""
@@ -21,7 +21,7 @@
 """Seconds over which retries, and the requests that permit them, are counted."""
 
 NOISE_DEVIATIONS = 2.0
-"""Two runs differ in a count from this many standard deviations on."""
+"""Two counts differ if they are at least this many standard deviations apart."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -199,24 +199,24 @@
 def _find_busiest_retries(
     totals: request_totals.RequestTotals, service: str
 ) -> RetryRow:
-    sent, arrivals = totals.retries[service], totals.arrivals.get(service, {})
-    seconds = {second for second, _ in sent}
+    retry_counts, arrivals = totals.retries[service], totals.arrivals.get(service, {})
+    seconds = {second for second, _ in retry_counts}
     begins = range(min(seconds) - RETRY_WINDOW_S + 1, max(seconds) + 1)
     sums = {
         begin: sum(
             count
-            for (second, _), count in sent.items()
+            for (second, _), count in retry_counts.items()
             if begin <= second < begin + RETRY_WINDOW_S
         )
         for begin in begins
     }
     begin = max(begins, key=lambda start: sums[start])
     requests = max(
-        sum(arrivals.get(begin - back + n, 0) for n in range(RETRY_WINDOW_S))
-        for back in (0, RETRY_WINDOW_S // 2, RETRY_WINDOW_S)
+        sum(arrivals.get(begin - shift + n, 0) for n in range(RETRY_WINDOW_S))
+        for shift in (0, RETRY_WINDOW_S // 2, RETRY_WINDOW_S)
     )
     dispatchers: collections.Counter[str] = collections.Counter()
-    for (second, dispatcher), count in sent.items():
+    for (second, dispatcher), count in retry_counts.items():
         if begin <= second < begin + RETRY_WINDOW_S:
             dispatchers[dispatcher] += count
     top_dispatchers = dict(dispatchers.most_common(MAX_ROWS))
@@ -300,12 +300,12 @@
     """Compare two counts of random events, after scaling the earlier one.
 
     The variance of such a count equals its mean, so that the standard deviation of the
-    difference is the root of the sum.
+    difference is the square root of the sum of the variances.
     """
     expected = before * scale
-    spread = math.sqrt(max(1.0, after + expected * scale))
+    deviation = math.sqrt(max(1.0, after + expected * scale))
     return Difference(
-        name, before, after, abs(after - expected) < NOISE_DEVIATIONS * spread
+        name, before, after, abs(after - expected) < NOISE_DEVIATIONS * deviation
     )
 
 
--- a/packages/zinniastand-ctl/src/zinniastand_ctl/files.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/files.py
@@ -1,6 +1,7 @@
 """Read and write the files that commands take as arguments.
 
-All functions end the command with an error message if a file is invalid.
+All functions end the command with an error message if a file is invalid or cannot be
+read or written.
 """
 
 from __future__ import annotations
--- a/packages/zinniastand-ctl/src/zinniastand_ctl/fleet_commands.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/fleet_commands.py
@@ -16,7 +16,7 @@
 """Timeout of connecting to an admin page, and of each read from it."""
 
 FOLLOW_INTERVAL_S = 0.2
-"""Delay between two rounds of `follow`."""
+"""Delay between two queries of all VMs by `follow`."""
 
 AdminOption = typing.Annotated[
     list[str],
@@ -54,13 +54,15 @@
     proposal_id: typing.Annotated[str, typer.Argument(help="Id of the proposal.")],
     admin: AdminOption,
     version: typing.Annotated[
-        int, typer.Option("--version", help="Version that it makes, if known.")
+        int, typer.Option("--version", help="Version of the proposal, if known.")
     ] = 0,
-    limit: typing.Annotated[float, typer.Option(help="Seconds to wait.")] = 30.0,
+    limit: typing.Annotated[
+        float, typer.Option(help="Maximum time to wait, in seconds.")
+    ] = 30.0,
 ) -> None:
-    """Wait until a bundle, or a later one, is in force on every VM.
+    """Wait until a proposed bundle, or a later one, is in force on every VM.
 
-    Exit codes: 0 in force everywhere, 1 not within the limit.
+    Exit codes: 0 in force on all VMs, 1 not within the limit.
     """
     started = time.monotonic()
     while True:
@@ -87,7 +89,7 @@
 def status(admin: AdminOption, as_json: bundle_commands.JsonOption = False) -> None:
     """Show every VM, and every target as the VMs see it.
 
-    Exit codes: 0 all answered, 3 some VM did not.
+    Exit codes: 0 all VMs answered, 3 a VM did not.
     """
     pages = _fetch_all(admin, "/fleet")
     versions = _fetch_all(admin, "/bundle")
@@ -110,7 +112,7 @@
         if page is None:
             rows.append([url, "no answer", "", "", ""])
             continue
-        alive = [item for item in page["members"] if item["status"] == "alive"]
+        alive = [member for member in page["members"] if member["status"] == "alive"]
         bundle = versions.get(url) or {}
         log = "up" if page["log_is_up"] else "down"
         version = bundle.get("version", "?")
@@ -141,16 +143,16 @@
 def timeline(
     admin: AdminOption,
     html: typing.Annotated[
-        pathlib.Path | None, typer.Option(help="Write a page to this file.")
+        pathlib.Path | None, typer.Option(help="Write an HTML page to this file.")
     ] = None,
     about: typing.Annotated[
-        str, typer.Option(help="Only events whose subject contains this.")
+        str, typer.Option(help="Show only events whose subject contains this text.")
     ] = "",
     as_json: bundle_commands.JsonOption = False,
 ) -> None:
     """Show the events of all VMs in one causal order.
 
-    Exit codes: 0 all answered, 3 some VM did not (the others are shown).
+    Exit codes: 0 all VMs answered, 3 a VM did not (the others are shown).
     """
     pages = _fetch_all(admin, "/events")
     events = timeline_page.merge(page for page in pages.values() if page)
--- a/packages/zinniastand-ctl/src/zinniastand_ctl/log_access.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/log_access.py
@@ -10,7 +10,7 @@
 from . import output
 
 MAX_RULING_CHECKS = 20
-"""Times that a publisher reads the stream to find the ruling on its proposal."""
+"""Maximum number of reads of the stream to find the ruling on a proposal."""
 
 RULING_CHECK_INTERVAL_S = 0.5
 """Delay between two of these reads."""
@@ -68,8 +68,8 @@
     """Append a proposal and return the ruling on it, or end the command.
 
     The answer to an append may be lost after the log has stored the proposal. Therefore
-    the ruling is found by reading the stream: the proposal is identified by its id, and
-    the rules that every VM applies tell whether it was accepted.
+    the stream is read for a proposal with the same id, and the ruling on it follows
+    from the rules that every VM applies.
     """
 
     async def _run() -> chain.Ruling | None:
@@ -86,7 +86,7 @@
         output.fail(f"not published: {error}", output.EXIT_UNREACHABLE)
     if ruling is None:
         output.fail(
-            "it is not known whether the proposal was published; ask again with "
+            "it is not known whether the proposal was published; check with "
             f"'zinniactl follow {proposal.proposal_id}'",
             output.EXIT_UNREACHABLE,
         )
--- a/packages/zinniastand-ctl/src/zinniastand_ctl/output.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/output.py
@@ -45,7 +45,7 @@
 
 
 def format_table(head: list[str], rows: list[list[object]]) -> str:
-    """Return a text table with aligned columns and a line of column heads."""
+    """Return a text table with aligned columns and a header line."""
     table = [head, *[[str(cell) for cell in row] for row in rows]]
     widths = [max(len(row[i]) for row in table) for i in range(len(head))]
     lines = [
--- a/packages/zinniastand-ctl/src/zinniastand_ctl/timeline_page.py
+++ b/packages/zinniastand-ctl/src/zinniastand_ctl/timeline_page.py
@@ -28,7 +28,7 @@
 
 
 def merge(pages: collections.abc.Iterable[Event]) -> list[Event]:
-    """Return the events of all pages in the order of their hybrid clocks.
+    """Return the events of all pages, ordered by their hybrid timestamps.
 
     Parameters
     ----------
