--- a/tests/ctl/test_cli.py
+++ b/tests/ctl/test_cli.py
@@ -109,10 +109,10 @@
         files.write_bundle(floor=2)
         second = files.propose("second")
         assert files.publish(first).exit_code == 0
-        lost = files.publish(second)
-        assert lost.exit_code == 1
-        assert "version 1" in lost.output
-        assert "proposal-" in lost.output
+        second_result = files.publish(second)
+        assert second_result.exit_code == 1
+        assert "version 1" in second_result.output
+        assert "proposal-" in second_result.output
 
 
 def test_publish_finds_its_proposal_after_a_lost_append_answer(
--- a/tests/ctl/test_explain.py
+++ b/tests/ctl/test_explain.py
@@ -159,7 +159,7 @@
         make_attempt("failed", 0.7),
         "host-7 12:00:01 " + make_answer(500, "500"),
         '{"time":101.0,"vm":"vm-1","event":"answ',
-        "no line of ours",
+        "a line without a record",
         '["an","array"]',
     ]
     (folder / "vm-1.log").write_text("\n".join(lines))
@@ -174,8 +174,8 @@
 
 
 def test_repeated_request_is_counted_with_all_targets_that_it_crashed() -> None:
-    # A client that repeats a request uses a new id each time, so that crashes can be
-    # attributed to it only by its fingerprint.
+    # A caller that repeats a request gets a new request id each time. Only the
+    # fingerprint shows that it was the same request that crashed several targets.
     totals = request_totals.RequestTotals()
     for number in range(3):
         crashed = {"crashed": True, "target": f"t{number}", "request": f"r{number}"}
@@ -193,8 +193,10 @@
     totals = request_totals.RequestTotals()
     for second in range(100, 110):
         for _ in range(3):
-            named = {"limit": 1.5} if second >= 102 else {}
-            totals.add_record(json.loads(make_attempt("good", time=second, **named)))
+            limit_field = {"limit": 1.5} if second >= 102 else {}
+            totals.add_record(
+                json.loads(make_attempt("good", time=second, **limit_field))
+            )
     [row] = summary.list_limits(totals)
     assert (row.target, row.limit, row.busiest) == ("t1", 1.5, 3.0)
 
@@ -254,8 +256,8 @@
 
 
 def test_truncated_gzip_file_is_read_up_to_its_end(tmp_path: pathlib.Path) -> None:
-    whole = gzip.compress(("\n".join([make_answer(200, "200")] * 500)).encode())
-    (tmp_path / "vm.log.gz").write_bytes(whole[:-20])
+    compressed = gzip.compress(("\n".join([make_answer(200, "200")] * 500)).encode())
+    (tmp_path / "vm.log.gz").write_bytes(compressed[:-20])
     reader = log_reader.LogReader()
     assert len(list(reader.read([str(tmp_path)]))) > 100
     assert reader.broken == 1
@@ -301,12 +303,12 @@
     def make_totals(failed: int) -> request_totals.RequestTotals:
         totals = request_totals.RequestTotals()
         for number in range(1000):
-            name = {"request": f"r{number}"}
+            request_field = {"request": f"r{number}"}
             if number < failed:
-                totals.add_record(json.loads(make_attempt("failed", **name)))
-                totals.add_record(json.loads(make_answer(500, "500", **name)))
+                totals.add_record(json.loads(make_attempt("failed", **request_field)))
+                totals.add_record(json.loads(make_answer(500, "500", **request_field)))
             else:
-                totals.add_record(json.loads(make_answer(200, "200", **name)))
+                totals.add_record(json.loads(make_answer(200, "200", **request_field)))
         return totals
 
     [same] = summary.compare(make_totals(50), make_totals(55))
--- a/tests/proxy/test_cli.py
+++ b/tests/proxy/test_cli.py
@@ -1,4 +1,4 @@
-"""Command line of the daemon: bad settings give findings, never a traceback."""
+"""Command line of the daemon: invalid settings give findings, never a traceback."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_incoming.py
+++ b/tests/proxy/test_incoming.py
@@ -1,4 +1,4 @@
-"""Validation of requests, request heads and settings from outside."""
+"""Validation of callers' requests and of settings files."""
 
 from __future__ import annotations
 
