--- a/packages/zinniastand-core/src/zinniastand_core/admission.py
+++ b/packages/zinniastand-core/src/zinniastand_core/admission.py
@@ -12,10 +12,19 @@
 import enum
 
 MIN_LIMIT = 1.0
+"""Lower bound of the limit on concurrent requests."""
+
 LIMIT_INCREASE = 1.0
+"""Increase of the limit per `limit` answers, in concurrent requests."""
+
 LIMIT_DECREASE_FACTOR = 0.85
+"""Factor by which a refusal for lack of slots lowers the limit."""
+
 LIMIT_DECREASE_INTERVAL_S = 0.1
+"""Minimum time between two decreases."""
+
 DURATION_SMOOTHING = 0.1
+"""Weight of the latest request in the moving average of durations."""
 
 
 class Entry(enum.StrEnum):
@@ -61,16 +70,16 @@
 
     Parameters
     ----------
-    most : int
+    max_running : int
         Upper bound of the limit on concurrent requests.
-    queue : int
+    queue_size : int
         Maximum number of waiting requests.
     """
 
-    def __init__(self, most: int, queue: int) -> None:
-        self._max_running = float(most)
-        self._queue_size = queue
-        self._limit = float(most)
+    def __init__(self, max_running: int, queue_size: int) -> None:
+        self._max_running = float(max_running)
+        self._queue_size = queue_size
+        self._limit = float(max_running)
         self._running = 0
         self._waiting: list[Ticket] = []
         self._decrease_allowed_at = 0.0
@@ -91,19 +100,19 @@
         """Number of requests in the queue."""
         return len(self._waiting)
 
-    def resize(self, most: int, queue: int) -> None:
+    def resize(self, max_running: int, queue_size: int) -> None:
         """Apply the bounds of a new bundle.
 
         Parameters
         ----------
-        most : int
+        max_running : int
             Upper bound of the limit on concurrent requests.
-        queue : int
+        queue_size : int
             Maximum number of waiting requests.
         """
-        self._max_running = float(most)
+        self._max_running = float(max_running)
         self._limit = min(self._limit, self._max_running)
-        self._queue_size = queue
+        self._queue_size = queue_size
 
     def enter(self, ticket: Ticket, now: float) -> list[Verdict]:
         """Admit, queue or refuse a new request.
@@ -202,18 +211,20 @@
             self._limit = max(MIN_LIMIT, self._limit * LIMIT_DECREASE_FACTOR)
 
     def _refuse_excess(self, now: float) -> list[Verdict]:
-        kept: list[Ticket] = []
+        still_waiting: list[Ticket] = []
         verdicts: list[Verdict] = []
         for ticket in self._waiting:
-            fits = len(kept) < self._queue_size
-            if fits and self._is_in_time(ticket, len(kept), now):
-                kept.append(ticket)
+            fits = len(still_waiting) < self._queue_size
+            if fits and self._is_in_time(ticket, len(still_waiting), now):
+                still_waiting.append(ticket)
             else:
                 verdicts.append(Verdict(ticket, Entry.REFUSED))
-        self._waiting = kept
+        self._waiting = still_waiting
         return verdicts
 
     def _is_in_time(self, ticket: Ticket, ahead: int, now: float) -> bool:
+        # Requests start in rounds of `limit`, each as long as the mean duration; the
+        # request waits for these rounds and then takes one duration itself.
         rounds = (ahead + 1) / max(1.0, int(self._limit))
         return now + (rounds + 1.0) * self._mean_duration < ticket.deadline
 
--- a/packages/zinniastand-core/src/zinniastand_core/attempts.py
+++ b/packages/zinniastand-core/src/zinniastand_core/attempts.py
@@ -12,10 +12,20 @@
 from . import attempt_actions, claim_ledger, claim_records, claimer, outcomes, services
 
 MAX_ATTEMPTS = 4
+"""Limit on the attempts of a request. Before a retry, attempts that were refused are
+not counted; before a hedge, all are."""
+
 REFUSALS_BEFORE_DELAY = 3
+"""Refusals of one request after which the next attempt is delayed."""
+
 REFUSED_DELAY_S = 0.25
+"""Time after which a caller that was refused may try again."""
+
 FAILED_STATUSES = frozenset({500, 502, 503, 504})
+"""HTTP statuses after which idempotent work is tried on another target."""
+
 OUTAGE_DELAY_S = 5.0
+"""Time after which a caller may try again while the log refuses appends."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/packages/zinniastand-core/src/zinniastand_core/chain.py
+++ b/packages/zinniastand-core/src/zinniastand_core/chain.py
@@ -16,8 +16,13 @@
 from . import bundles, codec, proposals, services
 
 SNAPSHOT = "snapshot"
+"""Type of the record of a snapshot: the first field of its encoding."""
+
 PROPOSAL = "proposal"
+"""Type of the record of a proposal: the first field of its encoding."""
+
 MAX_REMEMBERED_PROPOSALS = 256
+"""Number of accepted proposals kept for VMs that lag and to recognize copies."""
 
 
 class Verdict(enum.StrEnum):
@@ -220,8 +225,8 @@
     def _apply_snapshot(self, snapshot: Snapshot) -> Ruling:
         head = snapshot.head
         if head.version <= self._version:
-            known = self._accepted.get(head.proposal_id) == head.version
-            verdict = Verdict.KNOWN if known else Verdict.STALE
+            is_known = self._accepted.get(head.proposal_id) == head.version
+            verdict = Verdict.KNOWN if is_known else Verdict.STALE
             return Ruling(verdict, head.proposal_id, f"head is {self._version}")
         operators = self._trace_operators(snapshot)
         if operators is None:
--- a/packages/zinniastand-core/src/zinniastand_core/choice.py
+++ b/packages/zinniastand-core/src/zinniastand_core/choice.py
@@ -8,7 +8,7 @@
 from . import services, steering
 
 
-def draw(
+def pick_target(
     weighted: collections.abc.Sequence[steering.Weighted],
     in_flight: collections.abc.Mapping[str, float],
     generator: random.Random,
--- a/packages/zinniastand-core/src/zinniastand_core/claim_ledger.py
+++ b/packages/zinniastand-core/src/zinniastand_core/claim_ledger.py
@@ -42,14 +42,15 @@
 class ClaimLedger:
     """The claims of one slice.
 
-    The first claim of a key owns it permanently, unless it is released, which states
-    that its work was never sent. Each later claim is void and stays so even if the
-    owner is released, because its VM has already reported the denial to its caller.
+    The first claim of a key owns it permanently, unless its holder releases it, which
+    states that the work was never sent. Each later claim is void, and stays void even
+    if the first is released, because its VM has already refused its caller's request.
 
     Parameters
     ----------
     horizon : float
-        Seconds for which the records of a key are kept, counted from its making.
+        Seconds for which the records of a key are kept, counted from the time
+        in the key.
     """
 
     def __init__(self, horizon: float) -> None:
@@ -62,7 +63,7 @@
         return len(self._entries)
 
     def find(self, key_digest: bytes) -> Entry | None:
-        """Return the state of a key, or None without an owner."""
+        """Return the state of a key, or None if no claim owns it."""
         return self._entries.get(key_digest)
 
     def is_void(self, claim_id: bytes) -> bool:
--- a/packages/zinniastand-core/src/zinniastand_core/claimer.py
+++ b/packages/zinniastand-core/src/zinniastand_core/claimer.py
@@ -12,7 +12,10 @@
 from . import claim_ledger, claim_records
 
 MAX_BATCH = 512
+"""Maximum number of records in one append."""
+
 MAX_WAITING = 8192
+"""Number of queued records from which on new claims are denied."""
 
 
 class Denial(enum.StrEnum):
@@ -209,13 +212,13 @@
         """
         records = self._in_flight.pop(batch, ())
         actions: list[Action] = []
-        kept: list[claim_records.Record] = []
+        still_queued: list[claim_records.Record] = []
         for record in (*records, *self._queue):
             if not isinstance(record, claim_records.Claim):
-                kept.append(record)
+                still_queued.append(record)
             elif self._undecided.pop(record.claim_id, None) is not None:
                 actions.append(self._deny_unappended(record))
-        self._queue = kept
+        self._queue = still_queued
         self._flush_at = None
         return actions
 
@@ -328,11 +331,11 @@
         self, entry: claim_ledger.Entry | None
     ) -> claim_ledger.Entry | None:
         """Return `entry` with its outcome if that is known but not on the log yet."""
-        known = self._unlogged_outcomes.get(entry.claim.claim_id) if entry else None
-        if entry is None or known is None or entry.phase is claim_ledger.Phase.DONE:
+        outcome = self._unlogged_outcomes.get(entry.claim.claim_id) if entry else None
+        if entry is None or outcome is None or entry.phase is claim_ledger.Phase.DONE:
             return entry
-        if isinstance(known, claim_records.Done):
+        if isinstance(outcome, claim_records.Done):
             return dataclasses.replace(
-                entry, phase=claim_ledger.Phase.DONE, status=known.status
+                entry, phase=claim_ledger.Phase.DONE, status=outcome.status
             )
         return dataclasses.replace(entry, phase=claim_ledger.Phase.UNKNOWN)
--- a/packages/zinniastand-core/src/zinniastand_core/control.py
+++ b/packages/zinniastand-core/src/zinniastand_core/control.py
@@ -20,6 +20,7 @@
 )
 
 HEARTBEAT_INTERVAL_S = 0.9
+"""Minimum time between two rounds of heartbeats to the neighbours."""
 
 Actions = list[control_actions.Action]
 
@@ -47,7 +48,7 @@
         events: timeline.Timeline,
     ) -> None:
         self.events = events
-        self._beat_at = 0.0
+        self._next_beat_at = 0.0
         self._member_exchange = member_exchange.MemberExchange(own, events)
         self.members = self._member_exchange.members
         flood = self._member_exchange.flood
@@ -62,8 +63,8 @@
     def tick(self, now: float) -> Actions:
         """Return the actions that are due; call about twice a second."""
         actions: Actions = []
-        if now >= self._beat_at:
-            self._beat_at = now + HEARTBEAT_INTERVAL_S
+        if now >= self._next_beat_at:
+            self._next_beat_at = now + HEARTBEAT_INTERVAL_S
             actions += self._member_exchange.make_beats(
                 self.config.next_offset, self.config.chain.version, now
             )
--- a/packages/zinniastand-core/src/zinniastand_core/ejections.py
+++ b/packages/zinniastand-core/src/zinniastand_core/ejections.py
@@ -17,11 +17,21 @@
 from . import bundles, codec, services
 
 EJECTION = "ejection"
+"""Type of the record of an ejection: the first field of its encoding."""
+
 MAX_LEASE_S = 600.0
+"""Longest ejection that is granted."""
+
 MS_PER_S = 1000
+
 MAX_CLOCK_ERROR_S = 1.0
+"""Maximum difference between the clocks of two VMs."""
+
 RAMP_S = 10.0
+"""Time after which a target that was readmitted has its full capacity again."""
+
 HOLD_AFTER_DEADLINE_S = 2 * MAX_CLOCK_ERROR_S + RAMP_S
+"""Time past its deadline for which an ejection still holds the slots of its target."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -70,7 +80,7 @@
         self._latest_grant_at = 0.0
 
     def apply(self, ejection: Ejection, bundle: bundles.Bundle) -> Decision:
-        """Decide on the next ejection of the log, and grant it if nothing objects."""
+        """Decide on the next ejection of the log, and grant it if allowed."""
         service = bundle.find_service(ejection.service)
         if service is None:
             return Decision(ejection, False, "no such service")
@@ -103,12 +113,12 @@
                 self._count_available(service, self._latest_grant_at)
                 < service.floor_slots
             ):
-                ours = [e for e in self._granted if e.service == service.name]
-                ours = [e for e in ours if _holds_slots(e, self._latest_grant_at)]
-                if not ours:
+                grants = [e for e in self._granted if e.service == service.name]
+                grants = [e for e in grants if _holds_slots(e, self._latest_grant_at)]
+                if not grants:
                     break
-                self._granted.remove(ours[-1])
-                revoked.append(ours[-1])
+                self._granted.remove(grants[-1])
+                revoked.append(grants[-1])
         return revoked
 
     def list_ejected(self, service: services.Service, now: float) -> set[str]:
@@ -117,7 +127,9 @@
         Grants are applied from the oldest on, as far as the floor allows on this VM:
         drains that only this VM knows of may have lowered the capacity.
         """
-        left = sum(target.slots for target in service.targets if not target.draining)
+        available_slots = sum(
+            target.slots for target in service.targets if not target.draining
+        )
         ejected: set[str] = set()
         for ejection in self._granted:
             target = service.find_target(ejection.target)
@@ -125,8 +137,8 @@
                 continue
             if ejection.deadline <= now or target.name in ejected:
                 continue
-            if left - target.slots >= service.floor_slots:
-                left -= target.slots
+            if available_slots - target.slots >= service.floor_slots:
+                available_slots -= target.slots
                 ejected.add(target.name)
         return ejected
 
@@ -142,10 +154,10 @@
 
         The count is 0 if its last ejection ended before `since` (Unix seconds).
         """
-        known = self._counts.get((service, target))
-        if known is None or known[1].deadline < since:
+        count_and_latest = self._counts.get((service, target))
+        if count_and_latest is None or count_and_latest[1].deadline < since:
             return 0
-        return known[0]
+        return count_and_latest[0]
 
     def find_objection(self, ejection: Ejection, service: services.Service) -> str:
         """Return why an ejection is refused, or an empty string if it is not."""
@@ -164,9 +176,9 @@
             if e.deadline > at
         ):
             return "already ejected"
-        left = self._count_available(service, at) - target.slots
-        if left < service.floor_slots:
-            return f"{left} slots would be left, under the floor"
+        remaining_slots = self._count_available(service, at) - target.slots
+        if remaining_slots < service.floor_slots:
+            return f"{remaining_slots} slots would be left, under the floor"
         return ""
 
     def _count_available(self, service: services.Service, at: float) -> int:
@@ -193,7 +205,7 @@
 
 
 def pack(ejection: Ejection) -> bytes:
-    """Return the log record of an ejection."""
+    """Return the log record of an ejection, with times in ms and level in 1/1000."""
     fields = [
         ejection.service,
         ejection.target,
--- a/packages/zinniastand-core/src/zinniastand_core/evidence_pool.py
+++ b/packages/zinniastand-core/src/zinniastand_core/evidence_pool.py
@@ -14,13 +14,28 @@
 from . import baselines, evidence
 
 MIN_ACCUSING_DATA_CENTRES = 2
-DATA_CENTRE_SHARE = 0.6
+"""Data centres whose VMs must accuse a target, or all if there are fewer."""
+
+LINK_FAULT_SHARE = 0.6
+"""Share of a data centre's targets above which suspects are blamed on its link."""
+
 MASS_FAULT_SHARE = 0.34
+"""Share of a service's targets above which suspects count as a mass fault."""
+
 MIN_MASS_FAULT_TARGETS = 2
+"""Suspects below which neither a fault of the link nor a mass fault is assumed."""
+
 MASS_FAULT_PAUSE_S = 5.0
+"""Time without ejections after a mass fault was last seen."""
+
 MIN_FAILING_DURATION_S = 1.4
+"""Time for which a target must be failing before it may be ejected."""
+
 ACCUSATION_RETENTION_S = 30.0
+"""Time for which a target is listed after its last bad outcome."""
+
 SUSPECT_THRESHOLD_SHARE = 0.5
+"""Share of the threshold from which on a score makes its target a suspect."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -39,7 +54,7 @@
     """How many VMs and data centres can contribute evidence."""
 
     vms: int
-    """VMs known to be alive, the counting one included."""
+    """VMs known to be alive, including the VM that counts."""
 
     data_centres: int
     """Data centres in which they run."""
@@ -133,14 +148,16 @@
 
         Targets without a bad outcome for `ACCUSATION_RETENTION_S` are left out.
         """
-        found: dict[str, Level] = {}
+        highest_levels: dict[str, Level] = {}
         for subject, pooled in self._scores.items():
             if now - pooled.accused_at > ACCUSATION_RETENTION_S:
                 continue
             level = self._make_level(subject.target, pooled, observer_counts)
-            known = found.get(subject.target)
-            found[subject.target] = _merge(known, level) if known else level
-        return list(found.values())
+            previous = highest_levels.get(subject.target)
+            highest_levels[subject.target] = (
+                _merge(previous, level) if previous else level
+            )
+        return list(highest_levels.values())
 
     def list_ejectable(
         self,
@@ -234,14 +251,14 @@
         return now < self._paused_until
 
 
-def _merge(one: Level, other: Level) -> Level:
-    merged = dict(one.by_data_centre)
-    for observing_data_centre, level in other.by_data_centre:
+def _merge(first: Level, second: Level) -> Level:
+    merged = dict(first.by_data_centre)
+    for observing_data_centre, level in second.by_data_centre:
         merged[observing_data_centre] = max(
             level, merged.get(observing_data_centre, 0.0)
         )
-    overall = max(one.overall, other.overall)
-    return Level(one.target, overall, tuple(sorted(merged.items())))
+    overall = max(first.overall, second.overall)
+    return Level(first.target, overall, tuple(sorted(merged.items())))
 
 
 def _blames_link(
@@ -260,6 +277,6 @@
         if location == own_data_centre
     ]
     bad = [name for name in neighbours if name in suspects]
-    return len(bad) >= MIN_MASS_FAULT_TARGETS and len(bad) > DATA_CENTRE_SHARE * len(
+    return len(bad) >= MIN_MASS_FAULT_TARGETS and len(bad) > LINK_FAULT_SHARE * len(
         neighbours
     )
--- a/packages/zinniastand-core/src/zinniastand_core/router.py
+++ b/packages/zinniastand-core/src/zinniastand_core/router.py
@@ -18,9 +18,16 @@
 )
 
 COLD_START_S = 5.0
+"""Time over which the weight of a new or readmitted target rises to its full value."""
+
 SHED_DELAY_S = 0.05
+"""Time for which other targets are preferred to one that refused for lack of slots."""
+
 WEIGHTS_LIFETIME_S = 0.05
+"""Time for which calculated weights are reused."""
+
 LEAVING_DURATION_S = 30.0
+"""Time for which a target that announced that it is leaving gets no new work."""
 
 
 class Router:
@@ -33,7 +40,7 @@
     generator : random.Random
         Source of randomness.
     now : float
-        Unix seconds. Targets known from the start count as warm.
+        Unix seconds. The targets of `service` start warm.
     """
 
     def __init__(
@@ -88,7 +95,7 @@
             healthy = [item for item in weighted if not item.is_suspect]
             weighted = healthy or weighted
         free = [w for w in weighted if self._shed_until.get(w.target.name, 0) <= now]
-        return choice.draw(free or weighted, self._in_flight, self._generator)
+        return choice.pick_target(free or weighted, self._in_flight, self._generator)
 
     def may_retry(self, now: float) -> bool:
         """Return whether the retry budget allows one more attempt, and spend it.
@@ -108,7 +115,7 @@
     def find_hedge_time(
         self, kind: services.Kind, target: services.Target, now: float
     ) -> float | None:
-        """Return the unix time at which to hedge, or None if no limit is known."""
+        """Return the unix time at which to hedge, or None while no limit is known."""
         subject = baselines.Subject(target.name, kind.name)
         after = self.health.find_overdue_after(subject)
         return None if after is None else now + after
@@ -135,7 +142,7 @@
             for target in self.service.targets
             if self.is_in_service(target, now)
         ]
-        return steering.weigh(conditions, self.service.floor_slots)
+        return steering.calculate_weights(conditions, self.service.floor_slots)
 
     def is_in_service(self, target: services.Target, now: float) -> bool:
         """Return whether a target may get new work."""
--- a/packages/zinniastand-core/src/zinniastand_core/steering.py
+++ b/packages/zinniastand-core/src/zinniastand_core/steering.py
@@ -13,14 +13,21 @@
 from . import services
 
 FULL_WEIGHT_LEVEL = 0.3
+"""Level, as a ratio of the threshold, up to which a target keeps its full weight."""
+
 SUSPECT_LEVEL = 0.85
+"""Level, as a ratio of the threshold, from which on a target is a suspect."""
+
 SUSPECT_WEIGHT = 0.02
+"""Weight of a suspect; between the two levels the weight falls linearly to it."""
+
 COLD_WEIGHT = 0.15
+"""Factor on the weight of a target at the start of its warm-up."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Condition:
-    """Score and warm-up state of one target at one moment."""
+    """Score and warm-up state of one target."""
 
     target: services.Target
     """The target."""
@@ -46,7 +53,7 @@
     """Whether at-most-once work should go to other targets if there are any."""
 
 
-def weigh(
+def calculate_weights(
     conditions: collections.abc.Sequence[Condition], floor_slots: int
 ) -> list[Weighted]:
     """Return the weight of each target.
--- a/tests/core/test_steering.py
+++ b/tests/core/test_steering.py
@@ -59,7 +59,7 @@
     conditions = [
         steering.Condition(target, 5.0, 1.0) for target in make_service().targets
     ]
-    weighted = steering.weigh(conditions, floor_slots=9)
+    weighted = steering.calculate_weights(conditions, floor_slots=9)
     assert sum(item.weight == 1.0 for item in weighted) == 3
 
 
