--- a/packages/zinniastand-core/src/zinniastand_core/baselines.py
+++ b/packages/zinniastand-core/src/zinniastand_core/baselines.py
@@ -1,4 +1,4 @@
-"""Usual failure rates of a service's targets, to compare any one of them with."""
+"""Usual failure rates of a service's targets, with which each of them is compared."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 
 from . import evidence
 
-DECAY = 0.98
+DECAY_PER_OUTCOME = 0.98
+"""Factor on a target's earlier counts for each new outcome."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -29,8 +30,8 @@
         self.slow = 0.0
 
     def add(self, tally: evidence.Tally) -> None:
-        """Add outcomes; each one decays the earlier counts by `DECAY`."""
-        decay = DECAY**tally.total
+        """Add outcomes; each one decays the earlier counts."""
+        decay = DECAY_PER_OUTCOME**tally.total
         self.good = self.good * decay + tally.good
         self.error = self.error * decay + tally.error
         self.slow = self.slow * decay + tally.slow
--- a/packages/zinniastand-core/src/zinniastand_core/budgets.py
+++ b/packages/zinniastand-core/src/zinniastand_core/budgets.py
@@ -3,9 +3,16 @@
 from __future__ import annotations
 
 RETRY_SHARE = 0.2
+"""Retries allowed per request in the long run."""
+
 RETRY_RESERVE = 10.0
+"""Retries allowed beyond that in a burst."""
+
 HEDGE_SHARE = 0.05
+"""Hedges allowed per request in the long run."""
+
 HEDGE_RESERVE = 3.0
+"""Hedges allowed beyond that in a burst."""
 
 
 class ShareBudget:
@@ -20,7 +27,7 @@
     share : float
         Tokens that one request adds.
     reserve : float
-        Tokens at the start, and the most that the bucket holds.
+        Tokens at the start, and the maximum that the bucket holds.
     """
 
     def __init__(self, share: float, reserve: float) -> None:
@@ -48,7 +55,7 @@
     rate : float
         Tokens per second.
     burst : float
-        Most tokens that the bucket holds.
+        Maximum number of tokens that the bucket holds.
     now : float
         Unix seconds.
     """
--- a/packages/zinniastand-core/src/zinniastand_core/bundles.py
+++ b/packages/zinniastand-core/src/zinniastand_core/bundles.py
@@ -146,7 +146,7 @@
     for key, value in changes.items():
         if value is None:
             if parts.pop(key, None) is None:
-                collector.add(key, "removed, but not there")
+                collector.add(key, "removed, but the base has no such section")
         else:
             parts[key] = parse_section(key, value, collector)
     _check_consistency(parts, collector)
--- a/packages/zinniastand-core/src/zinniastand_core/config_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/config_exchange.py
@@ -17,11 +17,23 @@
 )
 
 MAX_KEPT_ENTRIES = 512
+"""Maximum number of entries kept for peers that lack them."""
+
 MAX_KEPT_BYTES = 8 * 1024 * 1024
+"""Maximum size of these entries together."""
+
 FIRST_REFRESH_SHARE = 0.25
+"""Share of the log's retention after which a VM that has just started first appends the
+head again."""
+
 REFRESH_SHARE = 0.4
+"""Share of the log's retention after which the head is appended again."""
+
 RANK_DELAY_S = 20.0
+"""Time by which each VM appends the head later than the VM ranked before it."""
+
 REQUEST_TIMEOUT_S = 0.4
+"""Time for which no further entries are requested while an answer is outstanding."""
 
 Flood = collections.abc.Callable[
     [peer_messages.Message, str, float], list[control_actions.Action]
@@ -44,7 +56,7 @@
     events : timeline.Timeline
         Records the events of this VM.
     flood : callable
-        Makes the actions that send a message to all neighbours except one.
+        Returns the actions that send a message to all neighbours but one.
     """
 
     def __init__(
--- a/packages/zinniastand-core/src/zinniastand_core/evidence.py
+++ b/packages/zinniastand-core/src/zinniastand_core/evidence.py
@@ -13,12 +13,25 @@
 import math
 
 MIN_ERROR_RATE = 0.01
+"""Lower bound of the error rate that counts as usual."""
+
 MAX_ERROR_RATE = 0.6
+"""Upper bound of the error rate that counts as usual."""
+
 MIN_SLOW_RATE = 0.08
+"""Lower bound of the rate of slow answers that counts as usual."""
+
 MAX_SLOW_RATE = 0.6
+"""Upper bound of the rate of slow answers that counts as usual."""
+
 MAX_SCORE = 40.0
+"""Upper bound of every score."""
+
 MIN_THRESHOLD = 6.0
+"""Threshold at the detection weight 1."""
+
 THRESHOLD_SPAN = 8.0
+"""Difference between the thresholds at the detection weights 0 and 1."""
 
 
 class Sign(enum.IntEnum):
--- a/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/evidence_exchange.py
@@ -16,14 +16,31 @@
 )
 
 POOLING_VMS_PER_SERVICE = 2
+"""Number of VMs that pool the evidence about one service."""
+
 LEVELS_VALIDITY_S = 3.0
+"""Time for which an announced score counts in routing."""
+
 FIRST_LEASE_S = 20.0
+"""Length of a target's first ejection; each further one is twice as long."""
+
 MAX_LEASE_S = 320.0
+"""Upper bound of the length of an ejection."""
+
 FLAP_WINDOW_S = 900.0
+"""Time after the end of a target's last ejection at which the count starts again."""
+
 PROPOSAL_INTERVAL_S = 2.0
+"""Minimum time between two proposals to eject the same target."""
+
 ANNOUNCED_SHARE = 0.45
+"""Share of the threshold from which on a score is announced."""
+
 CHANGED_SHARE = 0.3
+"""Share of the threshold by which a score must change to be announced at once."""
+
 REPEAT_INTERVAL_S = 1.4
+"""Time after which unchanged scores are announced again, before they expire."""
 
 Flood = collections.abc.Callable[
     [peer_messages.Message, str, float], list[control_actions.Action]
@@ -196,7 +213,7 @@
     def _collect(
         self, name: str, routing: router.Router, now: float
     ) -> tuple[evidence_pool.Report, ...]:
-        """Return all new outcomes, or none while this VM doubts its own view.
+        """Return all new outcomes, or none if this VM may itself be at fault.
 
         The good ones matter as much: from bad outcomes alone, a pool would add up
         random failures seen by many VMs and eject healthy targets (see
--- a/packages/zinniastand-core/src/zinniastand_core/health.py
+++ b/packages/zinniastand-core/src/zinniastand_core/health.py
@@ -7,9 +7,16 @@
 from . import baselines, evidence, latencies
 
 SCORE_DECAY_PER_S = 0.15
+"""Amount by which a score falls per second without an outcome."""
+
 OVERDUE_FACTOR = 2.0
+"""Factor on the latency limit after which a missing answer counts as slow."""
+
 MAX_SUSPECT_SHARE = 0.5
+"""Share of suspects among the targets above which this VM may itself be at fault."""
+
 SUSPECT_SCORE_RATIO = 0.5
+"""Ratio of score to threshold from which on a target is a suspect."""
 
 
 class _Record:
@@ -116,7 +123,7 @@
         return max((record.find_level(now) for record in records), default=0.0)
 
     def list_suspects(self, now: float) -> set[str]:
-        """Return the targets whose score is at least half of the threshold."""
+        """Return the targets with at least `SUSPECT_SCORE_RATIO` of the threshold."""
         return {
             target
             for target in self._records
--- a/packages/zinniastand-core/src/zinniastand_core/hybrid_clock.py
+++ b/packages/zinniastand-core/src/zinniastand_core/hybrid_clock.py
@@ -8,6 +8,7 @@
 import dataclasses
 
 MAX_AHEAD_S = 60.0
+"""Lead over the local clock above which a received stamp is ignored."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
--- a/packages/zinniastand-core/src/zinniastand_core/latencies.py
+++ b/packages/zinniastand-core/src/zinniastand_core/latencies.py
@@ -5,13 +5,28 @@
 import collections
 
 MAX_SAMPLES = 192
+"""Number of latest answers that are kept."""
+
 MIN_SAMPLES = 12
+"""Answers of other targets below which a target has no limit."""
+
 SAMPLES_PER_REFRESH = 8
+"""Answers after which the limits and the median are calculated again."""
+
 SLOW_FACTOR = 1.6
+"""Factor on the median below which no answer is slow."""
+
 SLOW_MARGIN_S = 0.002
+"""Time added to every limit."""
+
 TYPICAL_QUANTILE = 0.5
+"""Quantile of the latencies that counts as typical."""
+
 UPPER_QUANTILE = 0.85
+"""Quantile of the latencies below which no answer is slow, up to `MAX_UPPER_FACTOR`."""
+
 MAX_UPPER_FACTOR = 4.0
+"""Factor on the median that caps the upper quantile."""
 
 
 class Latencies:
--- a/packages/zinniastand-core/src/zinniastand_core/member_exchange.py
+++ b/packages/zinniastand-core/src/zinniastand_core/member_exchange.py
@@ -7,24 +7,32 @@
 from . import control_actions, membership, overlay, peer_messages, timeline
 
 NEIGHBOUR_TIMEOUT_S = 3.0
+"""Time without heartbeats after which a neighbour is declared down."""
+
 ONE_WAY_LINK_DURATION_S = 60.0
+"""Time for which a VM that contradicted such a report is not declared down again."""
+
 REUNION_INTERVAL_S = 5.0
+"""Interval at which a VM that is down is sent a heartbeat, to heal partitions."""
+
 RING_CACHE_S = 2.0
+"""Maximum time for which the neighbours picked are kept."""
 
 Actions = list[control_actions.Action]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Link:
-    """Heartbeats sent and received over the link to a neighbour.
+    """Heartbeats sent and received over the link to a neighbour."""
 
-    `heard` is the sequence number received last, `heard_until` the time (Unix seconds)
-    at which the neighbour counts as silent, and `sent` the number sent.
-    """
+    received: int
+    """Sequence number of the heartbeat received last."""
+
+    silent_at: float
+    """Unix seconds at which the neighbour counts as silent."""
 
-    heard: int
-    heard_until: float
     sent: int
+    """Number of heartbeats sent."""
 
 
 class MemberExchange:
@@ -65,8 +73,8 @@
         receivers = self.list_neighbours(now)
         receivers += self._pick_down_vm(now)
         for vm in receivers:
-            known = self._links.get(vm, _Link(0, now + NEIGHBOUR_TIMEOUT_S, 0))
-            self._links[vm] = dataclasses.replace(known, sent=known.sent + 1)
+            previous = self._links.get(vm, _Link(0, now + NEIGHBOUR_TIMEOUT_S, 0))
+            self._links[vm] = dataclasses.replace(previous, sent=previous.sent + 1)
             beat = self.make_beat(vm, next_offset, version, False, now)
             actions.append(control_actions.SendMessage(vm, beat))
         return actions
@@ -79,7 +87,7 @@
         return peer_messages.Heartbeat(
             sighting=self.members.own_sighting,
             sequence=link.sent,
-            last_received=link.heard,
+            last_received=link.received,
             next_offset=next_offset,
             version=version,
             members_digest=self.members.digest(),
@@ -95,9 +103,9 @@
         # While two VMs know different members, neither may have the other among its
         # neighbours. Replies to replies would then go back and forth endlessly.
         wants_reply = not beat.is_reply and sender not in self.list_neighbours(now)
-        known = self._links.get(sender, _Link(0, now, 0))
+        previous = self._links.get(sender, _Link(0, now, 0))
         self._links[sender] = _Link(
-            beat.sequence, now + NEIGHBOUR_TIMEOUT_S, known.sent + int(wants_reply)
+            beat.sequence, now + NEIGHBOUR_TIMEOUT_S, previous.sent + int(wants_reply)
         )
         actions = self.apply_sightings(
             sender, peer_messages.Sightings((beat.sighting,)), now
@@ -142,7 +150,7 @@
         actions: Actions = []
         for vm in self.list_neighbours(now):
             link = self._links.get(vm)
-            if link is None or now < link.heard_until:
+            if link is None or now < link.silent_at:
                 continue
             if self._one_way_links.get(vm, 0.0) > now:
                 continue
@@ -161,18 +169,22 @@
         return self.flood(peer_messages.Sightings((sighting,)), "", now)
 
     def flood(self, message: peer_messages.Message, sender: str, now: float) -> Actions:
-        """Return the messages to all neighbours in both directions except `sender`."""
-        callers = {vm for vm, link in self._links.items() if now < link.heard_until}
-        receivers = callers.union(self.list_neighbours(now)) - {sender}
+        """Return the messages to all neighbours but `sender`.
+
+        The neighbours are the VMs that this one connects to and those that send it
+        heartbeats.
+        """
+        senders = {vm for vm, link in self._links.items() if now < link.silent_at}
+        receivers = senders.union(self.list_neighbours(now)) - {sender}
         return [control_actions.SendMessage(vm, message) for vm in sorted(receivers)]
 
     def _pick_down_vm(self, now: float) -> list[str]:
         """Return a VM thought to be down to contact, every `REUNION_INTERVAL_S`.
 
-        After a partition each side takes the other for down, and none would connect
-        again. One heartbeat across is enough: the receiver contradicts the outdated
-        sightings, and both sides learn of each other. The list has one name, or none
-        if no attempt is due.
+        After a partition each side considers the other down, and neither would connect
+        again. One heartbeat from side to side is enough: the receiver contradicts the
+        outdated sightings, and both sides learn of each other. The list has one name,
+        or none if no attempt is due.
         """
         if now < self._reunion_at:
             return []
--- a/packages/zinniastand-core/src/zinniastand_core/membership.py
+++ b/packages/zinniastand-core/src/zinniastand_core/membership.py
@@ -16,7 +16,11 @@
 from . import evidence_pool
 
 UNSEEN_CALL_DURATION_S = 15.0
+"""Time for which this VM tries to connect to a listed VM that has not been seen."""
+
 GONE_RETENTION_S = 600.0
+"""Time for which the sighting of a member that is gone is kept."""
+
 DIGEST_BYTES = 8
 
 
@@ -115,8 +119,8 @@
         """
         if sighting.member.vm == self.own.vm:
             return self._contradict(sighting)
-        known = self._sightings.get(sighting.member.vm)
-        if known is not None and sighting.rank <= known.rank:
+        previous = self._sightings.get(sighting.member.vm)
+        if previous is not None and sighting.rank <= previous.rank:
             return None
         self._sightings[sighting.member.vm] = sighting
         self._invalidate_caches()
@@ -131,10 +135,12 @@
 
         Returns the sighting to relay, or None if the VM was not known to be alive.
         """
-        known = self._sightings.get(vm)
-        if known is None or known.status is not Status.ALIVE:
+        previous = self._sightings.get(vm)
+        if previous is None or previous.status is not Status.ALIVE:
             return None
-        return self.apply_sighting(dataclasses.replace(known, status=Status.DOWN), now)
+        return self.apply_sighting(
+            dataclasses.replace(previous, status=Status.DOWN), now
+        )
 
     def find(self, vm: str) -> Member | None:
         """Return a VM by name, alive or not, or None if it is unknown."""
--- a/packages/zinniastand-core/src/zinniastand_core/overlay.py
+++ b/packages/zinniastand-core/src/zinniastand_core/overlay.py
@@ -9,12 +9,15 @@
 import hashlib
 
 MAX_NEIGHBOURS = 4
+"""Maximum number of VMs that one VM connects to."""
 
 
 def pick_neighbours(
     own: str, members: collections.abc.Iterable[str], limit: int = MAX_NEIGHBOURS
 ) -> list[str]:
-    """Return the members that `own` calls: its successor and some at longer strides.
+    """Return the members that `own` connects to.
+
+    They are its successor on the ring and some members at longer strides.
 
     With strides of a half, a quarter, ... of the ring, and edges used both ways,
     updates reach all members in about log2(n) / 2 steps. After the loss of any single
--- a/packages/zinniastand-core/src/zinniastand_core/peer_messages.py
+++ b/packages/zinniastand-core/src/zinniastand_core/peer_messages.py
@@ -24,7 +24,10 @@
 )
 
 FIXED_POINT_SCALE = 1000
+"""Factor by which clock times and scores are multiplied to be sent as integers."""
+
 MAX_OUTCOMES = 1_000_000
+"""Number of outcomes from which on a report counts as malformed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -286,7 +289,7 @@
             1,
             sighting,
             int(sequence),
-            int(heard),
+            int(received),
             int(offset),
             int(version),
             bytes(digest),
@@ -296,7 +299,7 @@
             return Heartbeat(
                 _read_sighting(sighting),
                 sequence,
-                heard,
+                received,
                 offset,
                 version,
                 digest,
@@ -325,8 +328,8 @@
         case [5, int(offset), list(data)]:
             return ConfigEntries(offset, tuple(_expect_bytes(item) for item in data))
         case [6, int(offset), bytes(snapshot), list(ejections)]:
-            kept = tuple(_expect_bytes(item) for item in ejections)
-            return ConfigState(offset, snapshot, kept)
+            granted = tuple(_expect_bytes(item) for item in ejections)
+            return ConfigState(offset, snapshot, granted)
         case [12, int(offset), int(version)]:
             return ConfigNotice(offset, version)
         case _:
--- a/packages/zinniastand-core/src/zinniastand_core/proposals.py
+++ b/packages/zinniastand-core/src/zinniastand_core/proposals.py
@@ -18,6 +18,8 @@
 from . import bundles, codec, services
 
 FORMAT = 1
+"""Number of the encoding; proposals with another number are refused."""
+
 MAX_RECORD_BYTES = 4 * 1024 * 1024
 
 
@@ -83,9 +85,9 @@
 def sign(proposal: Proposal, operator: str, key: ed25519.Ed25519PrivateKey) -> Proposal:
     """Return the proposal signed by `operator`, replacing an earlier signature."""
     signature = key.sign(proposal.signed_bytes())
-    kept = tuple(s for s in proposal.sign_offs if s.operator != operator)
+    others = tuple(s for s in proposal.sign_offs if s.operator != operator)
     return dataclasses.replace(
-        proposal, sign_offs=(*kept, SignOff(operator, signature))
+        proposal, sign_offs=(*others, SignOff(operator, signature))
     )
 
 
--- a/packages/zinniastand-core/src/zinniastand_core/route_table.py
+++ b/packages/zinniastand-core/src/zinniastand_core/route_table.py
@@ -37,8 +37,8 @@
             self._remove(key)
         for key in current:
             section = bundle.sections[key]
-            known = self._by_service.get(key)
-            if known is None or known[0] != section.digest:
+            indexed = self._by_service.get(key)
+            if indexed is None or indexed[0] != section.digest:
                 self._remove(key)
                 self._add(key, section)
 
--- a/packages/zinniastand-core/src/zinniastand_core/sections.py
+++ b/packages/zinniastand-core/src/zinniastand_core/sections.py
@@ -148,4 +148,4 @@
 def _check_unique(reader: documents.Reader, name: str, values: list[str]) -> None:
     for index, value in enumerate(values):
         if value in values[:index]:
-            reader.add(f"{name}[{index}].name", f"{value!r} stands twice")
+            reader.add(f"{name}[{index}].name", f"{value!r} appears more than once")
--- a/packages/zinniastand-core/src/zinniastand_core/timeline.py
+++ b/packages/zinniastand-core/src/zinniastand_core/timeline.py
@@ -9,8 +9,13 @@
 from . import budgets, hybrid_clock
 
 CAPACITY = 4096
+"""Number of events kept."""
+
 MAX_EVENTS_PER_S = 50.0
+"""Maximum rate of events of one kind."""
+
 MAX_EVENT_BURST = 200.0
+"""Number of events of one kind that may exceed the rate in a burst."""
 
 
 class EventKind(enum.StrEnum):
