--- a/packages/zinniastand-standins/src/zinniastand_standins/callers.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/callers.py
@@ -14,7 +14,11 @@
 from . import balancer, site, users
 
 TIMEOUT_S = 6.0
+"""Time after which a try is given up."""
+
 MAX_TRIES = 3
+"""Maximum number of tries of one call, if each is answered "not run"."""
+
 BODY = b"content"
 MS_PER_S = 1000.0
 
@@ -115,8 +119,8 @@
             if answer.outcome != "not-run":
                 break
             await anyio.sleep(min(wait, 1.0))
-        took = time.monotonic() - started
-        self.calls.append(Call(name, work, took, tuple(answers)))
+        elapsed = time.monotonic() - started
+        self.calls.append(Call(name, work, elapsed, tuple(answers)))
 
     async def _send_once(
         self, work: users.Work, name: str, headers: dict[str, str]
@@ -133,10 +137,10 @@
             )
         except httpx.HTTPError:
             return ReceivedAnswer(0, "", False, None), 0.0
-        took = time.monotonic() - started
+        elapsed = time.monotonic() - started
         expected = f"done:{name}:{(content or b'').decode()}"
-        worked = reply.headers.get("x-worked-ms")
-        added_latency = took - float(worked) / MS_PER_S if worked else None
+        worked_ms = reply.headers.get("x-worked-ms")
+        added_latency = elapsed - float(worked_ms) / MS_PER_S if worked_ms else None
         received = ReceivedAnswer(
             reply.status_code,
             reply.headers.get("x-outcome", ""),
--- a/packages/zinniastand-standins/src/zinniastand_standins/demo.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/demo.py
@@ -19,10 +19,16 @@
 from . import balancer, callers, site, target, users
 
 REQUESTS_PER_S = 14.0
+"""Mean rate of requests at each site."""
+
 LOAD_DURATION_S = 36.0
 VM_COUNT = 3
+
 DETECTED_SHARE = 0.2
+"""Share of its usual requests up to which a failing target counts as detected."""
+
 WINDOW_S = 1.0
+"""Time over which a target's requests are counted for that."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -262,9 +268,9 @@
         )
 
     def _count_row(self, work: users.Work, calls: list[callers.Call]) -> Row:
-        ours = [call for call in calls if call.work is work]
-        answered = sum(call.is_answered for call in ours)
-        return Row(self._user.name, work.kind, len(ours), answered)
+        calls_of_kind = [call for call in calls if call.work is work]
+        answered = sum(call.is_answered for call in calls_of_kind)
+        return Row(self._user.name, work.kind, len(calls_of_kind), answered)
 
     def _find_detection(
         self, place: site.Site, name: str, start: float, end: float
@@ -306,14 +312,14 @@
     """Run the demo at both users' sites at the same time and return the results."""
     sites: dict[str, SiteReport] = {}
 
-    async def _run_one(user: users.User) -> None:
+    async def _run_user(user: users.User) -> None:
         sites[user.name] = await SiteDemo(user, seed).run()
 
     async def _run_all() -> None:
         listeners.log_loop_errors()
         async with anyio.create_task_group() as group:
             for user in (users.AUTHORITY, users.FRANCHISE):
-                group.start_soon(_run_one, user)
+                group.start_soon(_run_user, user)
 
     anyio.run(_run_all, backend_options={"use_uvloop": True})
     return Report({name: sites[name] for name in sorted(sites)})
--- a/packages/zinniastand-standins/src/zinniastand_standins/retry_audit.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/retry_audit.py
@@ -1,9 +1,9 @@
 """Audits the retries of a service by what callers sent and what targets received.
 
-An arrival at a target is a retry if the same request has arrived before. The retries of
-any span of time may not exceed a share of the requests of the busiest of three spans
-plus a fixed number. The three are the span itself, the one before it, and the one that
-begins halfway between them.
+An arrival at a target is a retry if the same request has arrived before. In any
+span of time, the retries may not exceed a fixed number plus a share of the requests
+in the busiest of three spans: the span itself, the one before it, and the one that
+begins halfway between the two.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import dataclasses
 
 SPAN_STEP_S = 0.05
-"""Seconds between the begins of the spans that are examined in addition to those that
+"""Seconds between the starts of the spans that are examined in addition to those that
 begin or end with a retry."""
 
 SPAN_MARGIN_S = 1e-6
@@ -39,7 +39,7 @@
     """The retries that arrived in one span of time, against their limit."""
 
     begin: float
-    """Time of its begin, in seconds."""
+    """Time at which it begins, in seconds."""
 
     retries: int
     """Number of retries that arrived in it."""
--- a/packages/zinniastand-standins/src/zinniastand_standins/site.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/site.py
@@ -251,11 +251,11 @@
 
     async def _start_target(self, plan: ServicePlan, number: int) -> dict[str, object]:
         name = f"{plan.name}-{number + 1}"
-        worker = target.Target(
+        started_target = target.Target(
             name, self.ledger, plan.slots, plan.work_time, self._generator
         )
-        self.targets[name] = worker
-        port = self.ports[name] = await self.serve(worker)
+        self.targets[name] = started_target
+        port = self.ports[name] = await self.serve(started_target)
         return {
             "name": name,
             "host": HOST,
--- a/packages/zinniastand-standins/src/zinniastand_standins/topic_store.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/topic_store.py
@@ -11,6 +11,7 @@
 import enum
 
 KEYED = "keyed."
+"""Prefix of the names of keyed topics."""
 
 
 class Fault(enum.StrEnum):
@@ -75,7 +76,7 @@
 
 
 class TopicStore:
-    """Topics with item partition each.
+    """Topics with one partition each.
 
     Attributes
     ----------
@@ -100,10 +101,10 @@
 
     def append(self, topic: str, records: list[bytes]) -> int:
         """Append records; return the offset of the first."""
-        kept = self._records.setdefault(topic, [])
+        topic_records = self._records.setdefault(topic, [])
         offset = self.find_end(topic)
         for number, record in enumerate(records):
-            kept.append(record)
+            topic_records.append(record)
             if topic.startswith(KEYED):
                 self._index_record(topic, record, offset + number)
         return offset
@@ -168,9 +169,9 @@
     def _index_record(self, topic: str, record: bytes, offset: int) -> None:
         end_of_key = 1 + record[0]
         key = record[1:end_of_key].decode()
-        known = self._newest_records.setdefault(topic, {})
+        newest_records = self._newest_records.setdefault(topic, {})
         value = record[end_of_key:]
         if value:
-            known[key] = KeyedRecord(key, value, offset)
+            newest_records[key] = KeyedRecord(key, value, offset)
         else:
-            known.pop(key, None)
+            newest_records.pop(key, None)
--- a/packages/zinniastand-standins/src/zinniastand_standins/topic_store_app.py
+++ b/packages/zinniastand-standins/src/zinniastand_standins/topic_store_app.py
@@ -26,6 +26,7 @@
 READ_HEADER = struct.Struct(">QQ")
 MS_PER_S = 1000.0
 SILENCE_S = 3600.0
+"""Time for which a call without an answer is kept open."""
 
 
 class TopicStoreApp:
@@ -41,7 +42,7 @@
         self._store = store
 
     async def handle(self, incoming: calls.Incoming) -> calls.Reply:
-        """Return the answer to record call, with the era of the store.
+        """Return the answer to a call, with the era of the store.
 
         Raises
         ------
--- a/tests/core/test_control.py
+++ b/tests/core/test_control.py
@@ -88,8 +88,8 @@
 
 
 def test_two_halves_rejoin_after_a_partition() -> None:
-    # The fleet is partitioned for a minute; each half takes the other for down. After
-    # the partition each learns of the other again, without the platform's list.
+    # The fleet is partitioned for a minute; each half considers the other down.
+    # After the partition each learns of the other again, without the platform's list.
     fleet = virtual_fleet.Fleet(10)
     fleet.run(3)
     half = {f"vm-{number}" for number in range(5)}
@@ -114,9 +114,9 @@
         fleet.run(10)
         for offset in range(len(fleet.log)):
             appended_at.setdefault(offset, fleet.now)
-        kept = [o for o, at in appended_at.items() if at > fleet.now - 200.0]
-        assert kept, "the log has forgotten the head"
-        fleet.first_offset = min(kept)
+        retained = [o for o, at in appended_at.items() if at > fleet.now - 200.0]
+        assert retained, "the log has dropped the head"
+        fleet.first_offset = min(retained)
         if step % 3 == 0:
             replaced += 1
             fleet.start(f"vm-{replaced % 6}", incarnation=replaced + 1)
--- a/tests/core/test_steering.py
+++ b/tests/core/test_steering.py
@@ -81,22 +81,22 @@
 
 
 def test_heavier_work_is_admitted_first_and_work_too_late_is_refused() -> None:
-    door = admission.Admission(1, 10)
-    door.enter(admission.Ticket(1, 1.0, 10.0), 0.0)
-    door.enter(admission.Ticket(2, 1.0, 10.0), 0.0)
-    door.enter(admission.Ticket(3, 5.0, 10.0), 0.0)
-    (admitted,) = door.leave(1.0, 1.0)
+    admissions = admission.Admission(1, 10)
+    admissions.enter(admission.Ticket(1, 1.0, 10.0), 0.0)
+    admissions.enter(admission.Ticket(2, 1.0, 10.0), 0.0)
+    admissions.enter(admission.Ticket(3, 5.0, 10.0), 0.0)
+    (admitted,) = admissions.leave(1.0, 1.0)
     assert admitted.ticket.number == 3
-    verdicts = door.enter(admission.Ticket(4, 5.0, 1.5), 1.0)
+    verdicts = admissions.enter(admission.Ticket(4, 5.0, 1.5), 1.0)
     assert [v.entry for v in verdicts if v.ticket.number == 4] == [
         admission.Entry.REFUSED
     ]
 
 
 def test_a_full_queue_drops_the_last_of_the_lightest_requests() -> None:
-    door = admission.Admission(1, 2)
+    admissions = admission.Admission(1, 2)
     for number, weight in ((1, 1.0), (2, 1.0), (3, 1.0)):
-        door.enter(admission.Ticket(number, weight, 10.0), 0.0)
-    verdicts = door.enter(admission.Ticket(4, 5.0, 10.0), 0.0)
+        admissions.enter(admission.Ticket(number, weight, 10.0), 0.0)
+    verdicts = admissions.enter(admission.Ticket(4, 5.0, 10.0), 0.0)
     refused = [v.ticket.number for v in verdicts if v.entry is admission.Entry.REFUSED]
     assert refused == [3]
--- a/tests/machines/claims.py
+++ b/tests/machines/claims.py
@@ -234,10 +234,10 @@
     @hypothesis.stateful.rule(data=st.data())
     def land_delayed_append(self, data: st.DataObject) -> None:
         """An append that was reported lost takes effect late."""
-        stray = self.pick(data, self.delayed_appends)
-        if stray is not None:
-            self.delayed_appends.remove(stray)
-            self.log.append(stray)
+        delayed_append = self.pick(data, self.delayed_appends)
+        if delayed_append is not None:
+            self.delayed_appends.remove(delayed_append)
+            self.log.append(delayed_append)
 
     @hypothesis.stateful.rule(vm=st.integers(0, VMS - 1), lag=st.integers(0, 2))
     def read(self, vm: int, lag: int) -> None:
--- a/tests/machines/floor.py
+++ b/tests/machines/floor.py
@@ -148,18 +148,18 @@
         VMs are compared with those on the same version of the bundle.
         """
         by_version: dict[int, set[str]] = {}
-        found: dict[int, services.Service] = {}
+        services_by_version: dict[int, services.Service] = {}
         for index, config in enumerate(self.vms):
             service = find_service(config)
             if service is None:
                 continue
             clock = self.now + CLOCK_SKEWS_S[index % len(CLOCK_SKEWS_S)]
             version = config.chain.version
-            found[version] = service
+            services_by_version[version] = service
             ejected = config.ejections.list_ejected(service, clock)
             by_version.setdefault(version, set()).update(ejected)
         for version, ejected in by_version.items():
-            service = found[version]
+            service = services_by_version[version]
             assert count_slots(service, ejected) >= service.floor_slots
 
 
--- a/tests/machines/plants.py
+++ b/tests/machines/plants.py
@@ -71,8 +71,8 @@
     plan: typing.Any, attempt: int, failure: attempt_actions.Failure, now: float
 ) -> list[attempt_actions.Action]:
     lost = (attempt_actions.Failure.SILENT, attempt_actions.Failure.CUT)
-    taken = attempt_actions.Failure.NOT_HANDED if failure in lost else failure
-    return _TAKE_FAILURE(plan, attempt, taken, now)
+    reported = attempt_actions.Failure.NOT_HANDED if failure in lost else failure
+    return _HANDLE_FAILURE(plan, attempt, reported, now)
 
 
 def _treat_append_as_ownership(
@@ -119,7 +119,7 @@
 
 
 _SEND_NEXT = attempts.Plan._send_next
-_TAKE_FAILURE = attempts.Plan.handle_failure
+_HANDLE_FAILURE = attempts.Plan.handle_failure
 _HANDLE_APPENDED = claimer.Claimer.handle_appended
 _APPLY_PROPOSAL = chain.Chain.apply_proposal
 _APPLY_SNAPSHOT = chain.Chain._apply_snapshot
--- a/tests/machines/retries.py
+++ b/tests/machines/retries.py
@@ -47,17 +47,17 @@
             for other in self._windows:
                 other.merge_counts(count, self._now + 0.001)
 
-    @stateful.rule(which=st.integers(0, COUNTER_COUNT - 1), count=st.integers(1, 30))
-    def add_requests(self, which: int, count: int) -> None:
+    @stateful.rule(number=st.integers(0, COUNTER_COUNT - 1), count=st.integers(1, 30))
+    def add_requests(self, number: int, count: int) -> None:
         """Let callers send requests, which one counter records."""
         for _ in range(count):
-            self._windows[which].add_request(self._now)
+            self._windows[number].add_request(self._now)
             self._sent.append(self._now)
 
-    @stateful.rule(which=st.integers(0, COUNTER_COUNT - 1), count=st.integers(1, 30))
-    def fail(self, which: int, count: int) -> None:
+    @stateful.rule(number=st.integers(0, COUNTER_COUNT - 1), count=st.integers(1, 30))
+    def fail(self, number: int, count: int) -> None:
         """Let requests fail at their targets and reserve retries, as far as granted."""
-        window = self._windows[which]
+        window = self._windows[number]
         for _ in range(count):
             if not window.reserve(self._now):
                 return
@@ -73,14 +73,14 @@
         for window in self._windows:
             self._send_counts(window, is_whole=True)
 
-    @stateful.rule(which=st.integers(0, COUNTER_COUNT - 1))
-    def die(self, which: int) -> None:
+    @stateful.rule(number=st.integers(0, COUNTER_COUNT - 1))
+    def die(self, number: int) -> None:
         """Replace a counter by an empty one, to which the others send their counts."""
         recent = [at for at in self._died_at if at > self._now - 2 * BOUND.span]
         if len(recent) >= MAX_DEATHS:
             return
         self._died_at = [*recent, self._now]
-        self._windows[which] = self._make_window()
+        self._windows[number] = self._make_window()
         for window in self._windows:
             self._send_counts(window, is_whole=True)
 
--- a/tests/scenarios/fleet.feature
+++ b/tests/scenarios/fleet.feature
@@ -32,7 +32,7 @@
     Then the first of them is in force on every VM
     And the loser is told which bundle won
 
-  Scenario: A VM is heard but does not hear
+  Scenario: A link works in one direction only
     Given a fleet of 8 VMs with a bundle in force
     When VM 1 no longer hears the first VM that it calls
     And 30 seconds pass
--- a/tests/scenarios/targets.feature
+++ b/tests/scenarios/targets.feature
@@ -32,7 +32,7 @@
       | everything fails a third                   |
       | everything is 3 times slower               |
 
-  Scenario: Half of the service is sick and the floor leaves no room
+  Scenario: Half of the targets fail and the floor limits ejections
     Given a load of half of all slots and a floor of 15 slots
     When after 5 seconds targets 1, 2 and 3 fail every request
     And 15 seconds pass
--- a/tests/scenarios/test_targets.py
+++ b/tests/scenarios/test_targets.py
@@ -135,5 +135,5 @@
     model = run.finished()
     for vm in model.vms:
         ejected = vm.control.config.ejections.list_ejected(model.service, model.now)
-        left = [t for t in model.service.targets if t.name not in ejected]
-        assert sum(target.slots for target in left) >= slots
+        in_service = [t for t in model.service.targets if t.name not in ejected]
+        assert sum(target.slots for target in in_service) >= slots
