--- a/packages/zinniastand-proxy/src/zinniastand_proxy/caller_app.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/caller_app.py
@@ -308,11 +308,11 @@
                 chunk = message.get("body", b"")
                 size += len(chunk)
                 if size > self._dependencies.max_body_bytes:
-                    raise _BodyError(413, "the request body is too large")
+                    raise _BodyError(413, "the body is over the bound")
                 chunks.append(chunk)
                 if not message.get("more_body", False):
                     return b"".join(chunks)
-        raise _BodyError(408, "the request body arrived too slowly")
+        raise _BodyError(408, "the body came too slowly")
 
 
 async def serve_lifespan(receive: Receive, send: Send) -> None:
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/conductor.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/conductor.py
@@ -319,9 +319,7 @@
 
     def _record_leaving(self, name: str, now: float) -> None:
         self._routing.mark_leaving(name, now)
-        self._record_event(
-            timeline.EventKind.TARGET_LEAVING, name, "announced by it", now
-        )
+        self._record_event(timeline.EventKind.TARGET_LEAVING, name, "it said so", now)
 
     def _record_event(
         self, kind: timeline.EventKind, target: str, detail: str, now: float
--- a/packages/zinniastand-proxy/src/zinniastand_proxy/incoming.py
+++ b/packages/zinniastand-proxy/src/zinniastand_proxy/incoming.py
@@ -127,15 +127,15 @@
     names = [name for name, _ in headers]
     for header in SINGLE_HEADERS:
         if names.count(header) > 1:
-            return _refuse(400, f"header {header.decode()} occurs more than once")
+            return _refuse(400, f"{header.decode()} stands more than once")
     if b"transfer-encoding" in names and b"content-length" in names:
-        return _refuse(400, "both transfer-encoding and content-length are set")
+        return _refuse(400, "both transfer-encoding and content-length")
     if method in REFUSED_METHODS:
-        return _refuse(501, f"method {method} is not supported")
+        return _refuse(501, f"method {method} is not served")
     if not target.startswith(b"/"):
         return _refuse(400, "the request target must be a path")
     if any(byte <= 0x20 or byte == 0x7F for byte in target):
-        return _refuse(400, "control character or space in the request target")
+        return _refuse(400, "control characters in the request target")
     return expression.Ok(None)
 
 
